--- a/crates/bench/src/direct/cost.rs
+++ b/crates/bench/src/direct/cost.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use godwitpost_decide::health::Access;
-use godwitpost_direct::book::{Book, Report};
+use godwitpost_direct::book::{EndpointStats, Report};
 use godwitpost_direct::dialect::Part;
 use godwitpost_direct::place::{Candidate, Pick, Prefix, Rest, pick};
 use godwitpost_types::hash;
@@ -30,14 +30,14 @@
         .map(|n| hash::score(n, 1))
         .collect();
     let now = Duration::from_secs(10);
-    let mut book = Book::default();
+    let mut book = EndpointStats::default();
     let report = Report {
         running: 3,
         waiting: 0,
         slots: size.slots,
     };
     for id in ids.iter().step_by(3) {
-        book.report(*id, report, now);
+        book.record_report(*id, report, now);
     }
     let start = Instant::now();
     for n in 0..u64::from(TIMES) {
@@ -47,17 +47,17 @@
     each.as_secs_f64() * 1e9
 }
 
-fn place(book: &Book, ids: &[u64], size: &Size, now: Duration, n: u64) -> bool {
-    let looks = book.look(ids, now);
+fn place(book: &EndpointStats, ids: &[u64], size: &Size, now: Duration, n: u64) -> bool {
+    let looks = book.estimate(ids, now);
     let candidates: Vec<Candidate> = ids
         .iter()
         .zip(looks)
         .map(|(id, look)| Candidate {
             endpoint: *id,
             load: look.load,
-            spread: look.spread,
-            own: look.own,
-            seen: look.seen,
+            spread: look.std_dev,
+            own: look.own_requests,
+            seen: look.observed_load,
             known: look.known,
             slots: size.slots,
             near: true,
--- a/crates/bench/src/direct/instance.rs
+++ b/crates/bench/src/direct/instance.rs
@@ -1,7 +1,7 @@
 //! One instance that is driven: what it knows, and how it places by that.
 
 use godwitpost_decide::health::Access;
-use godwitpost_direct::book::{Book, Look};
+use godwitpost_direct::book::{EndpointStats, LoadEstimate};
 use godwitpost_direct::dialect::Part;
 use godwitpost_direct::holders::Directory;
 use godwitpost_direct::place::{Candidate, Choice, Pick, Prefix, Rest, pick};
@@ -26,7 +26,7 @@
 /// An instance.
 #[derive(Debug, Default)]
 pub(super) struct Instance {
-    pub(super) book: Book,
+    pub(super) book: EndpointStats,
     pub(super) directory: Directory,
 }
 
@@ -39,18 +39,18 @@
         form: Form,
         now: Moment,
     ) -> Outlook {
-        let looks = self.book.look(ids, now);
-        let candidate = |(id, look): (&EndpointId, Look)| {
+        let looks = self.book.estimate(ids, now);
+        let candidate = |(id, look): (&EndpointId, LoadEstimate)| {
             let (load, known) = match form {
-                Form::Idle => (look.seen, 1.0),
+                Form::Idle => (look.observed_load, 1.0),
                 _ => (look.load, look.known),
             };
             Candidate {
                 endpoint: *id,
                 load,
-                spread: look.spread,
-                own: look.own,
-                seen: look.seen,
+                spread: look.std_dev,
+                own: look.own_requests,
+                seen: look.observed_load,
                 known,
                 slots,
                 near: true,
@@ -70,10 +70,10 @@
         if form == Form::Usable {
             return Rest::default();
         }
-        let looks = self.book.look(ids, now);
+        let looks = self.book.estimate(ids, now);
         Rest {
             count: u32::try_from(ids.len()).unwrap_or(u32::MAX),
-            load: looks.iter().map(|look| look.seen).sum(),
+            load: looks.iter().map(|look| look.observed_load).sum(),
         }
     }
 
@@ -96,16 +96,18 @@
             Form::NoDemand => Prefix::new(part, USUAL, 0.0, 1.0),
             _ => {
                 let all = candidates.iter().map(|one| one.load).sum();
-                let own = candidates.iter().map(|one| self.book.own(one.endpoint));
+                let own = candidates
+                    .iter()
+                    .map(|one| self.book.own_requests(one.endpoint));
                 let own = f64::from(own.sum::<u32>());
-                self.book.prompt(SERVICE, part, (own, all), now)
+                self.book.record_prompt(SERVICE, part, (own, all), now)
             }
         };
         let pick = pick(candidates, *rest, Some(prefix), ALLOWED, draw);
         let Pick::Send { endpoint, choice } = pick else {
             unreachable!("no room at any endpoint");
         };
-        self.book.sent(endpoint);
+        self.book.start_request(endpoint);
         (endpoint, choice)
     }
 }
--- a/crates/bench/src/direct/loss.rs
+++ b/crates/bench/src/direct/loss.rs
@@ -198,6 +198,6 @@
         self.loads[one.endpoint] -= 1;
         let id = self.ids[one.endpoint];
         let lasted = since(now, one.began);
-        self.instances[one.instance].0.book.ended(id, lasted);
+        self.instances[one.instance].0.book.end_request(id, lasted);
     }
 }
--- a/crates/bench/src/direct/memory.rs
+++ b/crates/bench/src/direct/memory.rs
@@ -222,7 +222,7 @@
                 sent,
             } => {
                 let book = &mut self.instances[instance].book;
-                book.ended(endpoint, since(now, sent));
+                book.end_request(endpoint, since(now, sent));
                 if let Some(engine) = self.engine(endpoint) {
                     engine.running -= 1;
                 }
@@ -411,7 +411,7 @@
             slots,
         };
         let one = &mut self.instances[instance];
-        one.book.report(endpoint, report, now);
+        one.book.record_report(endpoint, report, now);
         if self.knowledge == Knowledge::Told {
             one.directory.read(endpoint, &self.prompts[&prompt], now);
         }
--- a/crates/bench/src/direct/traffic.rs
+++ b/crates/bench/src/direct/traffic.rs
@@ -331,12 +331,12 @@
         };
         self.instances[instance]
             .book
-            .report(self.ids[endpoint], report, now);
+            .record_report(self.ids[endpoint], report, now);
     }
 
     fn end(&mut self, instance: usize, endpoint: usize, lasted: Duration) {
         let book = &mut self.instances[instance].book;
-        book.ended(self.ids[endpoint], lasted);
+        book.end_request(self.ids[endpoint], lasted);
         self.loads[endpoint] -= 1;
         self.all -= 1;
     }
--- a/crates/direct/src/board.rs
+++ b/crates/direct/src/board.rs
@@ -26,31 +26,34 @@
 use crate::policy::Content;
 use crate::roster::Registration;
 use crate::source::Position;
-use crate::suspects::{Evidence, Sighting};
+use crate::suspects::{Evidence, ForwardedEvidence};
 
 /// Names of endpoints that are gone which are remembered. Beyond that, who
 /// asks with an older stamp is told everything anew.
-const GONE: usize = 1_000;
+const MAX_REMOVED_ENDPOINTS: usize = 1_000;
 
 /// Sightings that are kept to be told. An endpoint that ends leaves up to a
 /// hundred, and whoever asks does so every second or two.
-const SIGHTINGS: usize = 1_000;
+const MAX_EVIDENCE: usize = 1_000;
 
 /// Holders of beginnings that are kept to be told: those of some seconds in a
 /// fleet of hundreds, of a minute in one of ten.
-const HELD: usize = 2_000;
+const MAX_HOLDINGS: usize = 2_000;
 
 /// What a peer asks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Question {
+pub struct UpdateRequest {
     /// The life of the instance that gave the stamp; 0 for none.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// The last stamp that is known.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub revision: u64,
     /// The digest of the endpoints that the peer knows, if it knows no stamp; or 0.
     pub digest: u64,
     /// Where the peer can itself be asked.
-    pub own: Option<SocketAddr>,
+    #[serde(rename = "own")]
+    pub peer_address: Option<SocketAddr>,
     /// The version that is in force at the peer.
     pub version: Version,
     /// Up to where in the operator's topic the peer knows the evacuated zones.
@@ -60,16 +63,19 @@
     /// Loads that endpoints told the peer since it last asked.
     pub loads: Vec<Load>,
     /// Endpoints that the peer found to hold beginnings of prompts.
-    pub held: Vec<Holding>,
+    #[serde(rename = "held")]
+    pub holdings: Vec<Holding>,
 }
 
 /// What a peer is told.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct Update {
     /// The life of the instance that tells.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// The stamp to ask with next time.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub revision: u64,
     /// The log's era, as far as whoever tells knows; 0 if none was named.
     pub era: Era,
     /// How long ago it was heard that the log came back from a copy, if it was.
@@ -88,21 +94,26 @@
     /// The evacuated zones, if that is newer than what the peer knows.
     pub evacuation: Option<Evacuation>,
     /// Whether `set` is all there is, and what it doesn't name is gone.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub full: bool,
     /// Endpoints that changed.
     pub set: Vec<Registration>,
     /// Endpoints whose entries lapsed while the log was away from whoever
     /// tells. They may have left: who knows them keeps them until more is
     /// told, and who doesn't must not take them in.
-    pub lapsed: Vec<String>,
+    #[serde(rename = "lapsed")]
+    pub expired: Vec<String>,
     /// Endpoints that are gone.
-    pub gone: Vec<String>,
+    #[serde(rename = "gone")]
+    pub removed: Vec<String>,
     /// What was seen of requests that crash endpoints.
-    pub sightings: Vec<Sighting>,
+    #[serde(rename = "sightings")]
+    pub evidence: Vec<ForwardedEvidence>,
     /// Loads of endpoints that are known from lately.
     pub loads: Vec<Load>,
     /// Endpoints that were found to hold beginnings of prompts.
-    pub held: Vec<Holding>,
+    #[serde(rename = "held")]
+    pub holdings: Vec<Holding>,
     /// Instances that may be asked when no seed can be.
     pub standbys: Vec<SocketAddr>,
     /// How many instances there are, if whoever tells has counted them.
@@ -111,37 +122,37 @@
 
 /// What an instance knows of the log.
 #[derive(Debug)]
-pub struct Board {
-    life: u64,
-    stamp: u64,
+pub struct Replica {
+    incarnation: u64,
+    revision: u64,
     era: Era,
-    restored: Option<Moment>,
+    restored_at: Option<Moment>,
     policy: Option<Content>,
     evacuation: Evacuation,
-    policy_read: Option<Moment>,
-    endpoints_read: Option<Moment>,
+    policy_confirmed_at: Option<Moment>,
+    endpoints_confirmed_at: Option<Moment>,
     entries: BTreeMap<String, Entry>,
     // The latest stamp of any entry.
-    changed: u64,
+    last_endpoint_change: u64,
     // Stamps at or before this one are too old to tell only what changed.
-    forgotten: u64,
+    pruned_revision: u64,
     // By stamp.
     evidence: BTreeMap<u64, Evidence>,
     // By stamp; with when it was seen.
-    held: BTreeMap<u64, (Holding, Moment)>,
+    holdings: BTreeMap<u64, (Holding, Moment)>,
 }
 
 /// How soon a question has to be answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Urgency {
     /// There is nothing to tell: the log was never read.
-    Uninformed,
+    NotReady,
     /// There is no news.
     None,
     /// There is news, and more may follow at once.
-    News,
+    Incremental,
     /// The peer lacks the configuration or the list of endpoints.
-    Whole,
+    Full,
 }
 
 // What of a board a question is answered with.
@@ -151,22 +162,22 @@
     after: u64,
     // Likewise of endpoints.
     entries_after: u64,
-    whole: bool,
+    full: bool,
 }
 
 #[derive(Debug)]
 struct Entry {
-    stamp: u64,
+    revision: u64,
     digest: u64,
     // `None` once it is gone.
     registration: Option<Registration>,
     // When it will have warmed up.
     warm_at: Moment,
-    lapsed: bool,
+    expired: bool,
 }
 
 impl Entry {
-    fn told(&self, now: Moment) -> Option<Registration> {
+    fn registration_at(&self, now: Moment) -> Option<Registration> {
         let registration = self.registration.clone()?;
         let warming = since(self.warm_at, now);
         Some(Registration {
@@ -176,43 +187,43 @@
     }
 }
 
-impl Board {
+impl Replica {
     /// Returns the empty board of an instance's life, which is not 0.
     #[must_use]
-    pub const fn new(life: u64) -> Self {
+    pub const fn new(incarnation: u64) -> Self {
         Self {
-            life,
-            stamp: 0,
+            incarnation,
+            revision: 0,
             era: 0,
-            restored: None,
+            restored_at: None,
             policy: None,
             evacuation: Evacuation::NONE,
-            policy_read: None,
-            endpoints_read: None,
+            policy_confirmed_at: None,
+            endpoints_confirmed_at: None,
             entries: BTreeMap::new(),
-            changed: 0,
-            forgotten: 0,
+            last_endpoint_change: 0,
+            pruned_revision: 0,
             evidence: BTreeMap::new(),
-            held: BTreeMap::new(),
+            holdings: BTreeMap::new(),
         }
     }
 
     /// Notes what was seen of a request that may crash endpoints.
-    pub fn sighted(&mut self, evidence: Evidence) {
-        self.stamp += 1;
-        self.evidence.insert(self.stamp, evidence);
-        if self.evidence.len() > SIGHTINGS {
+    pub fn add_evidence(&mut self, evidence: Evidence) {
+        self.revision += 1;
+        self.evidence.insert(self.revision, evidence);
+        if self.evidence.len() > MAX_EVIDENCE {
             self.evidence.pop_first();
         }
     }
 
     /// Notes that an endpoint was found at `then` to hold a beginning. That is
     /// no news for which an answer is given early.
-    pub fn held(&mut self, holding: Holding, then: Moment) {
-        self.stamp += 1;
-        self.held.insert(self.stamp, (holding, then));
-        if self.held.len() > HELD {
-            self.held.pop_first();
+    pub fn add_holding(&mut self, holding: Holding, found_at: Moment) {
+        self.revision += 1;
+        self.holdings.insert(self.revision, (holding, found_at));
+        if self.holdings.len() > MAX_HOLDINGS {
+            self.holdings.pop_first();
         }
     }
 
@@ -227,8 +238,8 @@
     }
 
     /// Notes when it was heard that the log came back from a copy.
-    pub fn restored(&mut self, at: Moment) {
-        self.restored = self.restored.max(Some(at));
+    pub fn record_restore(&mut self, at: Moment) {
+        self.restored_at = self.restored_at.max(Some(at));
     }
 
     /// Notes the evacuated zones.
@@ -238,72 +249,72 @@
 
     /// Returns up to where in the operator's topic the evacuated zones are known.
     #[must_use]
-    pub const fn evacuation(&self) -> Position {
+    pub const fn evacuation_position(&self) -> Position {
         self.evacuation.as_of
     }
 
     /// Notes when the read was sent that confirmed the configuration.
-    pub fn policy_read(&mut self, at: Moment) {
-        self.policy_read = self.policy_read.max(Some(at));
+    pub fn confirm_policy(&mut self, at: Moment) {
+        self.policy_confirmed_at = self.policy_confirmed_at.max(Some(at));
     }
 
     /// Notes when the read was sent that confirmed the list of endpoints.
-    pub fn endpoints_read(&mut self, at: Moment) {
-        self.endpoints_read = self.endpoints_read.max(Some(at));
+    pub fn confirm_endpoints(&mut self, at: Moment) {
+        self.endpoints_confirmed_at = self.endpoints_confirmed_at.max(Some(at));
     }
 
     /// Returns when the list of endpoints was last confirmed.
     #[must_use]
-    pub const fn endpoints_confirmed(&self) -> Option<Moment> {
-        self.endpoints_read
+    pub const fn endpoints_confirmed_at(&self) -> Option<Moment> {
+        self.endpoints_confirmed_at
     }
 
     /// Returns when the older of both topics was last confirmed.
     #[must_use]
-    pub fn confirmed(&self) -> Option<Moment> {
-        self.policy_read.min(self.endpoints_read)
+    pub fn confirmed_at(&self) -> Option<Moment> {
+        self.policy_confirmed_at.min(self.endpoints_confirmed_at)
     }
 
     /// Notes an endpoint that changed, and when it will have warmed up.
-    pub fn set(&mut self, registration: Registration, warm_at: Moment) {
-        self.stamp += 1;
-        self.changed = self.stamp;
+    pub fn set_endpoint(&mut self, registration: Registration, warm_at: Moment) {
+        self.revision += 1;
+        self.last_endpoint_change = self.revision;
         let name = registration.endpoint.name.clone();
         let entry = Entry {
-            stamp: self.stamp,
-            digest: digest(&registration),
+            revision: self.revision,
+            digest: endpoint_digest(&registration),
             registration: Some(registration),
             warm_at,
-            lapsed: false,
+            expired: false,
         };
         self.entries.insert(name, entry);
     }
 
     /// Notes an endpoint whose entry lapsed.
-    pub fn lapse(&mut self, name: &str) {
+    pub fn mark_expired(&mut self, name: &str) {
         if let Some(entry) = self.entries.get_mut(name) {
-            self.stamp += 1;
-            self.changed = self.stamp;
-            entry.stamp = self.stamp;
-            entry.lapsed = true;
+            self.revision += 1;
+            self.last_endpoint_change = self.revision;
+            entry.revision = self.revision;
+            entry.expired = true;
         }
     }
 
     /// Notes an endpoint that is gone.
-    pub fn remove(&mut self, name: &str) {
+    pub fn remove_endpoint(&mut self, name: &str) {
         let Some(entry) = self.entries.get_mut(name) else {
             return;
         };
-        self.stamp += 1;
-        self.changed = self.stamp;
-        entry.stamp = self.stamp;
+        self.revision += 1;
+        self.last_endpoint_change = self.revision;
+        entry.revision = self.revision;
         entry.registration = None;
-        self.forget();
+        self.prune_removed();
     }
 
     /// Returns the names of the endpoints that are there.
     #[must_use]
-    pub fn names(&self) -> Vec<String> {
+    pub fn endpoint_names(&self) -> Vec<String> {
         self.entries
             .iter()
             .filter(|(_, entry)| entry.registration.is_some())
@@ -314,11 +325,11 @@
     /// Returns a digest of the endpoints that are there. Two boards with the same
     /// one say the same of them; 0 stands for none.
     #[must_use]
-    pub fn digest(&self) -> u64 {
-        let there = self.entries.values();
-        there
+    pub fn endpoint_digest(&self) -> u64 {
+        let present = self.entries.values();
+        present
             .filter(|entry| entry.registration.is_some())
-            .map(|entry| hash::score(entry.digest, u64::from(entry.lapsed)))
+            .map(|entry| hash::score(entry.digest, u64::from(entry.expired)))
             .fold(0, |all, one| all ^ one)
     }
 
@@ -326,73 +337,74 @@
     /// time in proportion to the endpoints, unless a stranger asks: whatever is news
     /// wakes all that wait.
     #[must_use]
-    pub fn urgency(&self, question: &Question) -> Urgency {
-        if self.policy_read.is_none() || self.endpoints_read.is_none() {
-            return Urgency::Uninformed;
+    pub fn urgency(&self, question: &UpdateRequest) -> Urgency {
+        if self.policy_confirmed_at.is_none() || self.endpoints_confirmed_at.is_none() {
+            return Urgency::NotReady;
         }
         let scope = self.scope(question);
         let newer = |content: &Content| content.version > question.version;
-        if scope.whole || self.policy.as_ref().is_some_and(newer) {
-            return Urgency::Whole;
+        if scope.full || self.policy.as_ref().is_some_and(newer) {
+            return Urgency::Full;
         }
-        let sighted = self.evidence.last_key_value();
-        let sighted = sighted.is_some_and(|(stamp, _)| *stamp > scope.after);
+        let has_new_evidence = self.evidence.last_key_value();
+        let has_new_evidence =
+            has_new_evidence.is_some_and(|(revision, _)| *revision > scope.after);
         let evacuated = self.evacuation.as_of > question.evacuation;
-        if evacuated || sighted || self.changed > scope.entries_after {
-            return Urgency::News;
+        if evacuated || has_new_evidence || self.last_endpoint_change > scope.entries_after {
+            return Urgency::Incremental;
         }
         Urgency::None
     }
 
     /// Returns what a question asked `waited` ago is answered with.
     #[must_use]
-    pub fn tell(&self, question: &Question, waited: Duration, now: Moment) -> Told {
+    pub fn build_update(&self, question: &UpdateRequest, waited: Duration, now: Moment) -> Update {
         let Scope {
             after,
             entries_after,
-            whole,
+            full,
         } = self.scope(question);
         let changed = self.changed_after(entries_after);
         let changed = || changed.iter().copied();
         let age = |read: Option<Moment>| read.map(|read| since(now, read));
         let newer = |content: &&Content| content.version > question.version;
         let evacuation = Some(&self.evacuation).filter(|own| own.as_of > question.evacuation);
-        Told {
-            life: self.life,
-            stamp: self.stamp,
+        Update {
+            incarnation: self.incarnation,
+            revision: self.revision,
             era: self.era,
-            restored: age(self.restored),
+            restored: age(self.restored_at),
             waited,
             version: self.policy.as_ref().map_or(0, |content| content.version),
-            policy_age: age(self.policy_read),
-            endpoints_age: age(self.endpoints_read),
+            policy_age: age(self.policy_confirmed_at),
+            endpoints_age: age(self.endpoints_confirmed_at),
             policy: self.policy.as_ref().filter(newer).cloned(),
             evacuation: evacuation.cloned(),
-            whole,
+            full,
             set: changed()
-                .filter(|(_, entry)| !entry.lapsed)
-                .filter_map(|(_, entry)| entry.told(now))
+                .filter(|(_, entry)| !entry.expired)
+                .filter_map(|(_, entry)| entry.registration_at(now))
                 .collect(),
-            lapsed: changed()
-                .filter(|(_, entry)| entry.lapsed && entry.registration.is_some())
+            expired: changed()
+                .filter(|(_, entry)| entry.expired && entry.registration.is_some())
                 .map(|(name, _)| name.clone())
                 .collect(),
-            gone: changed()
-                .filter(|(_, entry)| !whole && entry.registration.is_none())
+            removed: changed()
+                .filter(|(_, entry)| !full && entry.registration.is_none())
                 .map(|(name, _)| name.clone())
                 .collect(),
-            sightings: self
+            evidence: self
                 .evidence
                 .range(after.saturating_add(1)..)
-                .map(|(_, evidence)| Sighting::of(evidence, now))
+                .map(|(_, evidence)| ForwardedEvidence::from_evidence(evidence, now))
                 .collect(),
             loads: Vec::new(),
-            held: self
-                .held
+            holdings: self
+                .holdings
                 .range(after.saturating_add(1)..)
                 .rev()
                 .take(holders::TOLD)
-                .map(|(_, (holding, then))| holding.aged(since(now, *then)))
+                .map(|(_, (holding, found_at))| holding.aged(since(now, *found_at)))
                 .collect(),
             standbys: Vec::new(),
             instances: None,
@@ -400,45 +412,49 @@
     }
 
     // What of this board a question is answered with.
-    fn scope(&self, question: &Question) -> Scope {
-        let stranger = question.life != self.life || question.stamp < self.forgotten;
-        let after = if stranger { 0 } else { question.stamp };
+    fn scope(&self, question: &UpdateRequest) -> Scope {
+        let is_unknown =
+            question.incarnation != self.incarnation || question.revision < self.pruned_revision;
+        let after = if is_unknown { 0 } else { question.revision };
         // Hundreds that read the log for themselves at a start all know what is
         // told here when they first ask, and need no list of it.
-        let same = stranger && question.digest != 0 && question.digest == self.digest();
+        let same_endpoints =
+            is_unknown && question.digest != 0 && question.digest == self.endpoint_digest();
         Scope {
             after,
-            entries_after: if same { self.stamp } else { after },
-            whole: stranger && !same,
+            entries_after: if same_endpoints { self.revision } else { after },
+            full: is_unknown && !same_endpoints,
         }
     }
 
     // The entries that changed after a stamp.
-    fn changed_after(&self, stamp: u64) -> Vec<(&String, &Entry)> {
-        if self.changed <= stamp {
+    fn changed_after(&self, revision: u64) -> Vec<(&String, &Entry)> {
+        if self.last_endpoint_change <= revision {
             return Vec::new();
         }
-        let newer = |(_, entry): &(&String, &Entry)| entry.stamp > stamp;
+        let newer = |(_, entry): &(&String, &Entry)| entry.revision > revision;
         self.entries.iter().filter(newer).collect()
     }
 
-    fn forget(&mut self) {
-        let gone = |entry: &Entry| entry.registration.is_none();
-        while self.entries.values().filter(|entry| gone(entry)).count() > GONE {
+    fn prune_removed(&mut self) {
+        let removed = |entry: &Entry| entry.registration.is_none();
+        while self.entries.values().filter(|entry| removed(entry)).count() > MAX_REMOVED_ENDPOINTS {
             let oldest = self
                 .entries
                 .iter()
-                .filter(|(_, entry)| gone(entry))
-                .min_by_key(|(_, entry)| entry.stamp)
-                .map(|(name, entry)| (name.clone(), entry.stamp));
-            let Some((name, stamp)) = oldest else { return };
+                .filter(|(_, entry)| removed(entry))
+                .min_by_key(|(_, entry)| entry.revision)
+                .map(|(name, entry)| (name.clone(), entry.revision));
+            let Some((name, revision)) = oldest else {
+                return;
+            };
             self.entries.remove(&name);
-            self.forgotten = stamp;
+            self.pruned_revision = revision;
         }
     }
 }
 
-fn digest(registration: &Registration) -> u64 {
+fn endpoint_digest(registration: &Registration) -> u64 {
     let Registration {
         endpoint, slots, ..
     } = registration;
--- a/crates/direct/src/book/belief.rs
+++ b/crates/direct/src/book/belief.rs
@@ -11,24 +11,24 @@
 use godwitpost_types::clock::{Moment, since};
 
 /// The time in seconds over which reports count towards what is usual.
-const USUAL: f64 = 5.0;
+const REPORT_DECAY_SECONDS: f64 = 5.0;
 
 /// Reports closer together than this, in seconds, count for less: they tell of the
 /// same requests.
-const APART: f64 = 1.0;
+const MIN_REPORT_GAP_SECONDS: f64 = 1.0;
 
 /// How many reports the mean of the service is worth, beside an endpoint's own.
-const PRIOR: f64 = 1.0;
+const PRIOR_WEIGHT: f64 = 1.0;
 
 /// How long a request lasts at an endpoint, in seconds, before one has ended.
-const LASTS: f64 = 1.0;
+const DEFAULT_DURATION_SECONDS: f64 = 1.0;
 
 /// The part that an ended request keeps when the next one ends.
-const KEPT: f64 = 0.9;
+const DURATION_DECAY: f64 = 0.9;
 
 /// What other instances have at an endpoint, by its reports.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Reports {
+pub(super) struct ReportHistory {
     others: u32,
     at: Option<Moment>,
     sum: f64,
@@ -37,23 +37,23 @@
 
 /// What reports of some endpoints come to; sums over them give their mean.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Usual {
+pub(super) struct WeightedMean {
     sum: f64,
     weight: f64,
 }
 
 /// What others are believed to have at an endpoint now.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Belief {
+pub(super) struct Estimate {
     /// Requests of others.
     pub(super) others: f64,
     /// How far that may be off, as a standard deviation.
-    pub(super) spread: f64,
+    pub(super) std_dev: f64,
     /// How much of it was reported rather than taken from other endpoints, 0 to 1.
     pub(super) known: f64,
 }
 
-impl Usual {
+impl WeightedMean {
     /// Returns what is usual at any of the endpoints.
     pub(super) fn mean(self) -> f64 {
         if self.weight > 0.0 {
@@ -64,7 +64,7 @@
     }
 }
 
-impl std::iter::Sum for Usual {
+impl std::iter::Sum for WeightedMean {
     fn sum<I: Iterator<Item = Self>>(iter: I) -> Self {
         iter.fold(Self::default(), |sum, one| Self {
             sum: sum.sum + one.sum,
@@ -73,12 +73,12 @@
     }
 }
 
-impl Reports {
+impl ReportHistory {
     /// Takes in what others had at a moment.
     pub(super) fn add(&mut self, others: u32, at: Moment) {
         let gap = self.at.map_or(f64::INFINITY, |then| seconds(at, then));
-        let keep = (-gap / USUAL).exp();
-        let gain = 1.0 - (-gap / APART).exp();
+        let keep = (-gap / REPORT_DECAY_SECONDS).exp();
+        let gain = 1.0 - (-gap / MIN_REPORT_GAP_SECONDS).exp();
         self.sum = self.sum * keep + gain * f64::from(others);
         self.weight = self.weight * keep + gain;
         self.others = others;
@@ -86,12 +86,12 @@
     }
 
     /// Returns what others had at the last report.
-    pub(super) const fn others(&self) -> u32 {
+    pub(super) const fn last_others(&self) -> u32 {
         self.others
     }
 
     /// Returns how many of them are left where the last report counts this much.
-    pub(super) fn left(&self, weight: f64) -> u32 {
+    pub(super) fn decayed_others(&self, weight: f64) -> u32 {
         // No greater than what was reported.
         #[expect(
             clippy::cast_possible_truncation,
@@ -103,14 +103,14 @@
     }
 
     /// Returns when the last report was made.
-    pub(super) const fn at(&self) -> Option<Moment> {
+    pub(super) const fn last_at(&self) -> Option<Moment> {
         self.at
     }
 
     /// Returns what the reports come to by now.
-    pub(super) fn usual(&self, now: Moment) -> Usual {
-        let keep = (-self.age(now) / USUAL).exp();
-        Usual {
+    pub(super) fn decayed_mean(&self, now: Moment) -> WeightedMean {
+        let keep = (-self.age(now) / REPORT_DECAY_SECONDS).exp();
+        WeightedMean {
             sum: self.sum * keep,
             weight: self.weight * keep,
         }
@@ -118,17 +118,17 @@
 
     /// Returns what is believed where requests last this many seconds and endpoints
     /// have `mean` requests of others.
-    pub(super) fn believe(&self, mean: f64, lasts: f64, now: Moment) -> Belief {
-        let usual = self.usual(now);
-        let known = usual.weight / (usual.weight + PRIOR);
-        let usual = (usual.sum + PRIOR * mean) / (usual.weight + PRIOR);
-        let left = (-self.age(now) / lasts).exp();
+    pub(super) fn estimate(&self, mean: f64, mean_duration: f64, now: Moment) -> Estimate {
+        let recent = self.decayed_mean(now);
+        let known = recent.weight / (recent.weight + PRIOR_WEIGHT);
+        let mean_others = (recent.sum + PRIOR_WEIGHT * mean) / (recent.weight + PRIOR_WEIGHT);
+        let left = (-self.age(now) / mean_duration).exp();
         // Requests come and end independently: where as many are usual, their number
         // varies by its square root, less what is left of those that were reported.
-        let varies = usual * (1.0 - left * left);
-        Belief {
-            others: f64::from(self.others) * left + usual * (1.0 - left),
-            spread: varies.max(0.0).sqrt(),
+        let variance = mean_others * (1.0 - left * left);
+        Estimate {
+            others: f64::from(self.others) * left + mean_others * (1.0 - left),
+            std_dev: variance.max(0.0).sqrt(),
             known: left + (1.0 - left) * known,
         }
     }
@@ -141,27 +141,31 @@
 
 /// How long requests lasted at an endpoint.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Lasting {
+pub(super) struct DurationStats {
     time: f64,
     squares: f64,
 }
 
-impl Lasting {
+impl DurationStats {
     /// Takes in a request that has ended.
-    pub(super) fn add(&mut self, lasted: Duration) {
-        let lasted = lasted.as_secs_f64();
-        self.time = self.time * KEPT + lasted;
-        self.squares = self.squares * KEPT + lasted * lasted;
+    pub(super) fn add(&mut self, duration: Duration) {
+        let duration = duration.as_secs_f64();
+        self.time = self.time * DURATION_DECAY + duration;
+        self.squares = self.squares * DURATION_DECAY + duration * duration;
     }
 }
 
 /// Returns how long the requests that run at a moment last on average, in seconds.
 /// Long ones are met running for longer, so they count by their length.
-pub(super) fn lasts(all: impl Iterator<Item = Lasting>) -> f64 {
+pub(super) fn mean_duration(all: impl Iterator<Item = DurationStats>) -> f64 {
     let (time, squares) = all.fold((0.0, 0.0), |(time, squares), one| {
         (time + one.time, squares + one.squares)
     });
-    if squares > 0.0 { squares / time } else { LASTS }
+    if squares > 0.0 {
+        squares / time
+    } else {
+        DEFAULT_DURATION_SECONDS
+    }
 }
 
 fn seconds(now: Moment, then: Moment) -> f64 {
--- a/crates/direct/src/book/belief/tests.rs
+++ b/crates/direct/src/book/belief/tests.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use super::{LASTS, Lasting, Reports, Usual, lasts};
+use super::{DEFAULT_DURATION_SECONDS, DurationStats, ReportHistory, WeightedMean, mean_duration};
 
 const fn at(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -12,50 +12,58 @@
 
 #[test]
 fn what_is_usual_outlasts_a_report() {
-    let mut reports = Reports::default();
+    let mut reports = ReportHistory::default();
     for second in 0..20 {
         reports.add(6, at(1_000 * second));
     }
     reports.add(0, at(19_500));
     // At once it is the report, soon after what was usual, and in the end the mean.
-    assert!(near(reports.believe(2.0, 0.06, at(19_500)).others, 0.0));
-    let soon = reports.believe(2.0, 0.06, at(20_000)).others;
+    assert!(near(reports.estimate(2.0, 0.06, at(19_500)).others, 0.0));
+    let soon = reports.estimate(2.0, 0.06, at(20_000)).others;
     assert!((4.0..6.0).contains(&soon), "{soon}");
-    assert!(near(reports.believe(2.0, 0.06, at(90_000)).others, 2.0));
+    assert!(near(reports.estimate(2.0, 0.06, at(90_000)).others, 2.0));
 }
 
 /// A hundred answers come from an endpoint within a tenth of a second, all while the
 /// same long prompt is read there. They are not a hundred reasons to think it slow.
 #[test]
 fn reports_at_the_same_time_count_as_one() {
-    let usual = |count: u64| {
-        let mut reports = Reports::default();
+    let decayed_mean = |count: u64| {
+        let mut reports = ReportHistory::default();
         reports.add(2, at(0));
         for n in 0..count {
             reports.add(9, at(5_000 + n));
         }
-        reports.usual(at(5_100)).mean()
+        reports.decayed_mean(at(5_100)).mean()
     };
-    assert!(usual(100) - usual(1) < 0.6, "{} {}", usual(1), usual(100));
+    assert!(
+        decayed_mean(100) - decayed_mean(1) < 0.6,
+        "{} {}",
+        decayed_mean(1),
+        decayed_mean(100)
+    );
 }
 
 #[test]
 fn of_an_endpoint_without_reports_nothing_is_known() {
-    let belief = Reports::default().believe(4.0, LASTS, at(1_000));
-    assert!(near(belief.others, 4.0) && near(belief.spread, 2.0));
-    assert!(near(belief.known, 0.0));
-    assert!(near(Usual::default().mean(), 0.0));
+    let estimate = ReportHistory::default().estimate(4.0, DEFAULT_DURATION_SECONDS, at(1_000));
+    assert!(near(estimate.others, 4.0) && near(estimate.std_dev, 2.0));
+    assert!(near(estimate.known, 0.0));
+    assert!(near(WeightedMean::default().mean(), 0.0));
 }
 
 #[test]
 fn long_requests_are_met_running_for_longer() {
-    assert!(near(lasts(std::iter::empty()), LASTS));
-    let mut lasting = Lasting::default();
+    assert!(near(
+        mean_duration(std::iter::empty()),
+        DEFAULT_DURATION_SECONDS
+    ));
+    let mut durations = DurationStats::default();
     for _ in 0..50 {
-        lasting.add(at(100));
-        lasting.add(at(1_900));
+        durations.add(at(100));
+        durations.add(at(1_900));
     }
     // Of those met running nineteen of twenty are long.
-    let lasts = lasts([lasting].into_iter());
-    assert!((1.7..1.9).contains(&lasts), "{lasts}");
+    let mean_duration = mean_duration([durations].into_iter());
+    assert!((1.7..1.9).contains(&mean_duration), "{mean_duration}");
 }
--- a/crates/direct/src/book/tests.rs
+++ b/crates/direct/src/book/tests.rs
@@ -5,7 +5,7 @@
 
 use crate::dialect::Part;
 
-use super::{Book, LOADS, Report};
+use super::{EndpointStats, MAX_SHARED_LOADS, Report};
 
 const fn at(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -19,8 +19,8 @@
     }
 }
 
-fn load(book: &Book, now: Duration) -> u32 {
-    tenths(book.look(&[1], now)[0].load)
+fn load(stats: &EndpointStats, now: Duration) -> u32 {
+    tenths(stats.estimate(&[1], now)[0].load)
 }
 
 fn tenths(load: f64) -> u32 {
@@ -35,24 +35,24 @@
 
 #[test]
 fn own_requests_are_not_counted_twice() {
-    let mut book = Book::default();
-    book.sent(1);
-    book.sent(1);
-    book.report(1, report(5), at(0));
-    assert_eq!(load(&book, at(0)), 50);
-    book.ended(1, at(500));
-    assert_eq!(load(&book, at(0)), 40);
+    let mut stats = EndpointStats::default();
+    stats.start_request(1);
+    stats.start_request(1);
+    stats.record_report(1, report(5), at(0));
+    assert_eq!(load(&stats, at(0)), 50);
+    stats.end_request(1, at(500));
+    assert_eq!(load(&stats, at(0)), 40);
 }
 
 /// An endpoint was busy when it last answered and gets nothing since. Taken
 /// for busy for ever, it would idle beside full ones.
 #[test]
 fn an_old_report_gives_way_to_those_of_others() {
-    let mut book = Book::default();
-    book.report(1, report(6), at(0));
+    let mut stats = EndpointStats::default();
+    stats.record_report(1, report(6), at(0));
     let mut believed = |now| {
-        book.report(2, report(2), now);
-        tenths(book.look(&[1, 2], now)[0].load)
+        stats.record_report(2, report(2), now);
+        tenths(stats.estimate(&[1, 2], now)[0].load)
     };
     assert!(believed(at(100)) >= 55);
     let between = believed(at(2_500));
@@ -65,11 +65,11 @@
 /// be read again elsewhere.
 #[test]
 fn endpoints_that_nothing_is_known_of_are_as_the_others() {
-    let mut book = Book::default();
-    book.report(1, report(4), at(0));
-    book.sent(2);
-    let loads: Vec<u32> = book
-        .look(&[1, 2, 3], at(0))
+    let mut stats = EndpointStats::default();
+    stats.record_report(1, report(4), at(0));
+    stats.start_request(2);
+    let loads: Vec<u32> = stats
+        .estimate(&[1, 2, 3], at(0))
         .iter()
         .map(|look| tenths(look.load))
         .collect();
@@ -78,39 +78,39 @@
 
 #[test]
 fn one_refused_connection_closes_an_endpoint_for_a_while() {
-    let mut book = Book::default();
-    book.unreachable(1, at(0));
-    assert_eq!(book.look(&[1], at(0))[0].access, Access::None);
-    book.tick(at(1_100));
-    assert_eq!(book.look(&[1], at(1_100))[0].access, Access::Trial);
+    let mut stats = EndpointStats::default();
+    stats.record_unreachable(1, at(0));
+    assert_eq!(stats.estimate(&[1], at(0))[0].access, Access::None);
+    stats.tick(at(1_100));
+    assert_eq!(stats.estimate(&[1], at(1_100))[0].access, Access::Trial);
 }
 
 #[test]
 fn endpoints_that_are_gone_are_forgotten_with_their_last_request() {
-    let mut book = Book::default();
-    book.sent(1);
-    book.retain(|_| false);
-    assert_eq!(load(&book, at(0)), 10);
-    book.ended(1, at(500));
-    book.retain(|_| false);
-    assert!(book.entries.is_empty());
+    let mut stats = EndpointStats::default();
+    stats.start_request(1);
+    stats.retain_endpoints(|_| false);
+    assert_eq!(load(&stats, at(0)), 10);
+    stats.end_request(1, at(500));
+    stats.retain_endpoints(|_| false);
+    assert!(stats.entries.is_empty());
 }
 
 /// Demand is what came in the last seconds, of each part by itself.
 #[test]
 fn a_part_is_in_demand_for_some_seconds() {
-    let mut book = Book::default();
+    let mut stats = EndpointStats::default();
     let part = |id| Part { id, tokens: 2_000 };
-    let cost = |book: &mut Book, id, secs| {
+    let cost = |stats: &mut EndpointStats, id, secs| {
         let now = Duration::from_secs(secs);
-        book.prompt(1, part(id), (1.0, 1.0), now).cost
+        stats.record_prompt(1, part(id), (1.0, 1.0), now).cost
     };
-    let alone = cost(&mut book, 7, 10);
-    assert!(cost(&mut book, 7, 10) < alone);
-    assert!(cost(&mut book, 7, 11) < alone * 0.7);
-    let other = cost(&mut book, 8, 11);
+    let alone = cost(&mut stats, 7, 10);
+    assert!(cost(&mut stats, 7, 10) < alone);
+    assert!(cost(&mut stats, 7, 11) < alone * 0.7);
+    let other = cost(&mut stats, 8, 11);
     assert!((other - alone).abs() < 0.01, "{other} {alone}");
-    let later = cost(&mut book, 7, 60);
+    let later = cost(&mut stats, 7, 60);
     assert!((later - alone).abs() < 0.01, "{later} {alone}");
 }
 
@@ -120,23 +120,23 @@
 /// its age.
 #[test]
 fn loads_that_others_heard_count_by_their_age() {
-    let mut one = Book::default();
-    let mut other = Book::default();
-    one.report(7, report(9), at(5_000));
-    let loads = one.take_heard(at(5_600));
+    let mut one = EndpointStats::default();
+    let mut other = EndpointStats::default();
+    one.record_report(7, report(9), at(5_000));
+    let loads = one.take_new_loads(at(5_600));
     assert_eq!(loads.len(), 1);
-    assert!(one.take_heard(at(5_600)).is_empty());
+    assert!(one.take_new_loads(at(5_600)).is_empty());
     for load in &loads {
-        other.told(load.endpoint, load.all, since(at(5_600), load.age));
+        other.record_peer_load(load.endpoint, load.requests, since(at(5_600), load.age));
     }
-    let look = other.look(&[7], at(5_700))[0];
+    let look = other.estimate(&[7], at(5_700))[0];
     assert!(look.load >= 9.0, "{look:?}");
-    assert_eq!(look, one.look(&[7], at(5_700))[0]);
+    assert_eq!(look, one.estimate(&[7], at(5_700))[0]);
     // An older one changes nothing, and none is passed on for ever.
-    other.told(7, 1, at(4_000));
-    assert!(other.look(&[7], at(5_700))[0].load >= 9.0);
-    assert_eq!(other.loads(at(6_000), 1).len(), 1);
-    assert!(other.loads(at(9_000), 1).is_empty());
+    other.record_peer_load(7, 1, at(4_000));
+    assert!(other.estimate(&[7], at(5_700))[0].load >= 9.0);
+    assert_eq!(other.recent_loads(at(6_000), 1).len(), 1);
+    assert!(other.recent_loads(at(9_000), 1).is_empty());
 }
 
 /// Of 252 endpoints half are busy by a few long prompts. Told only of these, an
@@ -144,19 +144,19 @@
 #[test]
 fn loads_that_are_told_have_the_mean_of_all() {
     for endpoints in [252, 3_300] {
-        let mut one = Book::default();
+        let mut one = EndpointStats::default();
         for id in 1..=endpoints {
             let running = if id % 2 == 0 { 6 } else { 1 };
-            one.report(id, report(running), at(1_000));
+            one.record_report(id, report(running), at(1_000));
         }
-        let told = one.loads(at(1_200), 7);
-        assert!(told.len() <= LOADS);
-        let sum: u32 = told.iter().map(|load| load.all).sum();
-        let mean = f64::from(sum) / f64::from(u32::try_from(told.len()).unwrap_or(u32::MAX));
+        let sent = one.recent_loads(at(1_200), 7);
+        assert!(sent.len() <= MAX_SHARED_LOADS);
+        let sum: u32 = sent.iter().map(|load| load.requests).sum();
+        let mean = f64::from(sum) / f64::from(u32::try_from(sent.len()).unwrap_or(u32::MAX));
         assert!((3.2..3.8).contains(&mean), "{mean} of {endpoints}");
         // Another time others are told, if it can't be all.
-        let again = one.loads(at(1_200), 8);
-        assert_eq!(told == again, endpoints == 252);
+        let again = one.recent_loads(at(1_200), 8);
+        assert_eq!(sent == again, endpoints == 252);
     }
 }
 
@@ -165,17 +165,17 @@
 #[test]
 fn a_report_counts_for_as_long_as_requests_last() {
     let believed = |lasted: u64| {
-        let mut book = Book::default();
+        let mut stats = EndpointStats::default();
         for id in 1..=9 {
             for second in 0..10 {
-                book.report(id, report(2), at(1_000 * second));
+                stats.record_report(id, report(2), at(1_000 * second));
             }
-            book.sent(id);
-            book.ended(id, at(lasted));
+            stats.start_request(id);
+            stats.end_request(id, at(lasted));
         }
-        book.report(1, report(8), at(10_000));
-        let look = book.look(&[1, 2], at(11_000))[0];
-        (look.load, look.spread)
+        stats.record_report(1, report(8), at(10_000));
+        let look = stats.estimate(&[1, 2], at(11_000))[0];
+        (look.load, look.std_dev)
     };
     let (short, off) = believed(60);
     let (long, little) = believed(10_000);
@@ -188,16 +188,16 @@
 #[test]
 fn an_endpoint_that_got_nothing_has_what_is_left_of_what_was_seen() {
     let load = |idle: Option<u64>| {
-        let mut book = Book::default();
+        let mut stats = EndpointStats::default();
         for id in 1..=4 {
             for second in 0..10 {
-                book.report(id, report(12), at(1_000 * second));
+                stats.record_report(id, report(12), at(1_000 * second));
             }
         }
         if let Some(then) = idle {
-            book.set_idle(1, at(then));
+            stats.set_idle(1, at(then));
         }
-        book.look(&[1, 2, 3, 4], at(idle.unwrap_or(20_000)))[0].load
+        stats.estimate(&[1, 2, 3, 4], at(idle.unwrap_or(20_000)))[0].load
     };
     assert!(load(None) > 10.0);
     // Long after the last report, and a moment after it.
--- a/crates/direct/src/control.rs
+++ b/crates/direct/src/control.rs
@@ -25,7 +25,7 @@
 
 use self::follow::{Heard, Log, Mode, Topic, follow};
 use self::peers::News;
-use crate::evacuation::{Empty, Evacuation, Reading};
+use crate::evacuation::{EvacuatedZones, Evacuation, TopicState};
 use crate::feed::Change;
 use crate::policy::Policy;
 use crate::revoked::{Changes, Revoked};
@@ -123,9 +123,9 @@
     shared: Arc<Shared>,
     lines: Queue,
     policy: Option<Arc<Policy>>,
-    evacuation: Empty,
+    evacuation: EvacuatedZones,
     // What the follower of the operator's topic has read of evacuations.
-    reading: Reading,
+    reading: TopicState,
     // Until when what an evacuated zone's endpoints hold may be fetched.
     fetched: BTreeMap<String, Moment>,
     // When zones were given back.
@@ -151,8 +151,8 @@
             shared,
             lines,
             policy: None,
-            evacuation: Empty::default(),
-            reading: Reading::default(),
+            evacuation: EvacuatedZones::default(),
+            reading: TopicState::default(),
             fetched: BTreeMap::new(),
             returned: BTreeMap::new(),
             revoked: Arc::default(),
@@ -168,13 +168,13 @@
     fn operator(&mut self, heard: Heard<Statement>) {
         let mut newer = false;
         self.era(heard.era, None);
-        self.reading.begin(heard.mode.epoch, heard.era);
+        self.reading.reset_if_new(heard.mode.epoch, heard.era);
         for change in heard.changes {
             newer |= self.statement(change);
         }
         if let Some(offset) = heard.position {
             let era = heard.era;
-            newer |= self.evacuate(self.reading.as_of(Position { era, offset }), "log");
+            newer |= self.evacuate(self.reading.evacuation_at(Position { era, offset }), "log");
         }
         if newer {
             self.publish();
@@ -188,7 +188,7 @@
     fn read(&mut self, era: Era, asked: Moment) {
         let before = self.start;
         let believed = self.start.read(era, asked);
-        self.shared.set_unsettled(!believed);
+        self.shared.set_log_needs_reread(!believed);
         if believed {
             self.confirm(asked, self.reading.version);
         } else if self.start != before {
@@ -218,13 +218,15 @@
         let before = self.era.map(|(before, _)| before);
         if before < Some(era) {
             self.era = Some((era, now));
-            self.shared.tell(false, |board| board.set_era(era));
+            self.shared
+                .update_replica(false, |replica| replica.set_era(era));
             log::info!(era = era, before:? = before; "era of the log");
         }
         let rose = before.is_some_and(|before| before < era);
         if let Some(at) = heard.or(rose.then_some(now)) {
-            self.roster.restored(at);
-            self.shared.tell(false, |board| board.restored(at));
+            self.roster.record_restore(at);
+            self.shared
+                .update_replica(false, |replica| replica.record_restore(at));
         }
     }
 
@@ -254,11 +256,12 @@
     // that changed.
     fn evacuate(&mut self, evacuation: Evacuation, told_by: &str) -> bool {
         let as_of = evacuation.as_of;
-        let Some(changes) = self.evacuation.learn(evacuation, boot_time()) else {
+        let Some(changes) = self.evacuation.apply(evacuation, boot_time()) else {
             return false;
         };
         let own = self.evacuation.state().clone();
-        self.shared.tell(true, |board| board.set_evacuation(own));
+        self.shared
+            .update_replica(true, |replica| replica.set_evacuation(own));
         for zone in &changes.evacuated {
             log::warn!(zone:% = zone, as_of:% = as_of, told_by:% = told_by; "zone evacuated; its endpoints get nothing");
             self.fetch_from(zone);
@@ -269,7 +272,7 @@
         }
         self.shared
             .metrics
-            .evacuated(self.evacuation.zones().count());
+            .record_evacuated_zones(self.evacuation.zones().count());
         !changes.is_empty()
     }
 
@@ -277,7 +280,7 @@
         let now = boot_time();
         self.fetched.remove(zone);
         self.returned.insert(zone.to_owned(), now);
-        let mut book = self.shared.book();
+        let mut book = self.shared.endpoint_stats();
         let registrations = self.roster.registrations();
         for one in registrations.filter(|one| one.endpoint.zone == id::of(zone)) {
             book.set_idle(one.endpoint.id, now);
@@ -291,16 +294,17 @@
             return;
         }
         if self.policy.is_some() {
-            self.shared.confirm(at);
+            self.shared.confirm_policy(at);
         }
         let first = !std::mem::replace(&mut self.read, true);
-        self.shared.tell(first, |board| board.policy_read(at));
+        self.shared
+            .update_replica(first, |replica| replica.confirm_policy(at));
     }
 
     // What a peer told that reads the log.
     fn peer(&mut self, news: News) {
         self.era(news.era, news.restored);
-        self.roster.hear(Origin::Peer(news.life));
+        self.roster.set_origin(Origin::Peer(news.life));
         let mut changed = news.whole && !self.listed;
         let gone = self.gone(&news);
         if let Some(content) = news.policy {
@@ -309,9 +313,9 @@
         if let Some(evacuation) = news.evacuation {
             changed |= self.evacuate(evacuation, "peer");
         }
-        self.roster.reached(news.endpoints_read);
+        self.roster.record_read(news.endpoints_read);
         for registration in news.set {
-            changed |= self.take(registration, news.made, Roster::told);
+            changed |= self.take(registration, news.made, Roster::apply_from_peer);
         }
         for name in gone {
             changed |= self.dismiss(&name);
@@ -321,12 +325,13 @@
             self.publish();
         }
         for evidence in news.evidence {
-            self.shared.suspects().learn(evidence);
+            self.shared.crash_tracker().record(evidence);
         }
-        self.shared
-            .tell(false, |board| board.endpoints_read(news.endpoints_read));
+        self.shared.update_replica(false, |replica| {
+            replica.confirm_endpoints(news.endpoints_read)
+        });
         self.start.told();
-        self.shared.set_unsettled(false);
+        self.shared.set_log_needs_reread(false);
         self.confirm(news.policy_read, news.version);
     }
 
@@ -336,7 +341,7 @@
     fn fetch_from(&mut self, zone: &str) {
         let settings = &self.shared.settings;
         let left = settings.evacuation.saturating_sub(settings.news());
-        if self.shared.age() < settings.news() {
+        if self.shared.policy_age() < settings.news() {
             self.fetched.insert(zone.to_owned(), boot_time() + left);
         }
     }
@@ -357,7 +362,7 @@
         );
         self.shared.metrics.requests().version(policy.version());
         self.shared
-            .tell(true, |board| board.set_policy(policy.content().clone()));
+            .update_replica(true, |replica| replica.set_policy(policy.content().clone()));
         self.policy = Some(Arc::new(policy));
         true
     }
@@ -373,26 +378,31 @@
     }
 
     fn tick(&mut self, now: Moment) {
-        self.shared.book().tick(now);
-        self.shared.metrics.dropped(self.lines.dropped());
-        self.shared.metrics.age(self.shared.age());
+        self.shared.endpoint_stats().tick(now);
+        self.shared
+            .metrics
+            .record_dropped_lines(self.lines.dropped());
+        self.shared
+            .metrics
+            .record_policy_age(self.shared.policy_age());
         if let Some((era, heard)) = self.era {
-            self.shared.metrics.era(era, since(now, heard));
+            self.shared.metrics.record_log_era(era, since(now, heard));
         }
         let spans = self.shared.directory().len();
-        self.shared.metrics.spans(spans);
-        let gone = self.roster.expire(now);
+        self.shared.metrics.record_prompt_spans(spans);
+        let gone = self.roster.remove_expired(now);
         for name in &gone {
             log::info!(endpoint:% = name; "endpoint still missing after the log's return; gone");
-            self.shared.tell(true, |board| board.remove(name));
+            self.shared
+                .update_replica(true, |replica| replica.remove_endpoint(name));
         }
         let mut changed = !gone.is_empty();
         changed |= self.notices(now);
-        for registration in self.roster.take_believed() {
-            changed |= self.take(registration, now, Roster::set);
+        for registration in self.roster.take_unconfirmed() {
+            changed |= self.take(registration, now, Roster::apply);
         }
-        let read = self.shared.confirmed().unwrap_or_default();
-        let returned = self.evacuation.expire(read);
+        let read = self.shared.policy_confirmed_at().unwrap_or_default();
+        let returned = self.evacuation.release_expired(read);
         for zone in &returned {
             log::info!(zone:% = zone; "zone is not evacuated again after the log came back; its endpoints are used again");
             self.give_back(zone);
@@ -406,12 +416,15 @@
     }
 
     fn freshness(&mut self, now: Moment) {
-        let fresh = self.shared.fresh();
+        let fresh = self.shared.is_policy_current();
         if fresh == self.fresh {
             return;
         }
         self.fresh = fresh;
-        let age = self.shared.confirmed().map(|at| since(now, at).as_millis());
+        let age = self
+            .shared
+            .policy_confirmed_at()
+            .map(|at| since(now, at).as_millis());
         if fresh {
             log::info!(age_ms:? = age; "configuration confirmed; keys are acted on");
         } else {
@@ -450,7 +463,7 @@
             let all = self.roster.registrations();
             all.filter(move |one| one.endpoint.standing == standing)
         };
-        let evacuated = |one: &&Registration| self.evacuation.holds(one.endpoint.zone);
+        let evacuated = |one: &&Registration| self.evacuation.contains(one.endpoint.zone);
         let usable = |one: &&Registration| !evacuated(one);
         let fetched = |one: &&Registration| {
             let mut zones = self.fetched.keys();
@@ -462,7 +475,7 @@
             .listed
             .then(|| by_service(of(Standing::Live).filter(usable)));
         let live = endpoints.iter().flatten().map(|(_, of)| of.len()).sum();
-        self.shared.metrics.endpoints(live);
+        self.shared.metrics.record_endpoints(live);
         self.shared.publish(View {
             policy: self.policy.clone(),
             endpoints,
@@ -476,6 +489,8 @@
             .registrations()
             .map(|one| one.endpoint.id)
             .collect();
-        self.shared.book().retain(|id| known.contains(&id));
+        self.shared
+            .endpoint_stats()
+            .retain_endpoints(|id| known.contains(&id));
     }
 }
--- a/crates/direct/src/control/entries.rs
+++ b/crates/direct/src/control/entries.rs
@@ -9,14 +9,14 @@
 use super::follow::Heard;
 use super::peers::News;
 use crate::feed::Change;
-use crate::roster::{Origin, Registration, Removal, Roster, Setting};
+use crate::roster::{Origin, Registration, RemoveResult, Roster, SetResult};
 
 impl Control {
     pub(super) fn endpoints(&mut self, heard: Heard<Registration>) {
         let now = boot_time();
         self.era(heard.era, None);
-        self.roster.hear(Origin::Log(heard.mode.epoch));
-        self.roster.reached(now);
+        self.roster.set_origin(Origin::Log(heard.mode.epoch));
+        self.roster.record_read(now);
         let first = heard.whole && !self.listed;
         let mut changed = first;
         for change in heard.changes {
@@ -28,26 +28,30 @@
         }
         if heard.whole {
             self.shared
-                .tell(first, |board| board.endpoints_read(heard.asked));
+                .update_replica(first, |replica| replica.confirm_endpoints(heard.asked));
         }
     }
 
     fn endpoint(&mut self, change: Change<Registration>, listed: bool, now: Moment) -> bool {
         match change {
-            Change::Set(_, registration) if listed => self.take(registration, now, Roster::listed),
-            Change::Set(_, registration) => self.take(registration, now, Roster::set),
+            Change::Set(_, registration) if listed => {
+                self.take(registration, now, Roster::apply_listed)
+            }
+            Change::Set(_, registration) => self.take(registration, now, Roster::apply),
             Change::Removed(name) => match self.roster.remove(&name, now) {
-                Removal::Gone => {
+                RemoveResult::Removed => {
                     log::info!(endpoint:% = name; "endpoint gone");
-                    self.shared.tell(true, |board| board.remove(&name));
+                    self.shared
+                        .update_replica(true, |replica| replica.remove_endpoint(&name));
                     true
                 }
-                Removal::Kept => {
+                RemoveResult::Retained => {
                     log::info!(endpoint:% = name; "entry lapsed with the log away; endpoint kept");
-                    self.shared.tell(true, |board| board.lapse(&name));
+                    self.shared
+                        .update_replica(true, |replica| replica.mark_expired(&name));
                     false
                 }
-                Removal::Unknown => false,
+                RemoveResult::Unknown => false,
             },
             Change::Unreadable(name, cause) => {
                 log::warn!(entry:% = name, cause:% = cause; "entry names no endpoint");
@@ -61,14 +65,14 @@
         &mut self,
         registration: Registration,
         then: Moment,
-        set: fn(&mut Roster, Registration, Moment) -> Setting,
+        set: fn(&mut Roster, Registration, Moment) -> SetResult,
     ) -> bool {
         let endpoint = registration.endpoint.clone();
         let told = registration.clone();
         let setting = set(&mut self.roster, registration, then);
         match setting {
-            Setting::Same => return false,
-            Setting::Older | Setting::Doubted => {
+            SetResult::Unchanged => return false,
+            SetResult::Older | SetResult::Doubted => {
                 log::info!(
                     endpoint:% = endpoint.name, incarnation = endpoint.incarnation,
                     standing:? = endpoint.standing, setting:? = setting;
@@ -76,9 +80,9 @@
                 );
                 return false;
             }
-            Setting::Returned | Setting::Warming | Setting::Changed => {}
+            SetResult::Restored | SetResult::WarmingAgain | SetResult::Changed => {}
         }
-        if setting == Setting::Returned {
+        if setting == SetResult::Restored {
             self.tell(told);
             log::info!(endpoint:% = endpoint.name; "lapsed entry is back");
             return false;
@@ -91,7 +95,7 @@
     fn tell(&self, registration: Registration) -> Moment {
         let warm_at = self.roster.warm_at(&registration.endpoint.name);
         self.shared
-            .tell(true, |board| board.set(registration, warm_at));
+            .update_replica(true, |replica| replica.set_endpoint(registration, warm_at));
         warm_at
     }
 
@@ -114,10 +118,10 @@
             let mut notices = self.shared.notices();
             (notices.take_leaving(now), notices.paused(now))
         };
-        self.shared.metrics.paused(paused);
+        self.shared.metrics.record_paused_endpoints(paused);
         let mut changed = false;
         for life in leaving {
-            if let Some(registration) = self.roster.leaves(&life, now) {
+            if let Some(registration) = self.roster.mark_leaving(&life, now) {
                 self.changed(registration, "endpoint");
                 changed = true;
             }
@@ -143,10 +147,11 @@
     }
 
     pub(super) fn dismiss(&mut self, name: &str) -> bool {
-        let known = self.roster.dismiss(name, boot_time());
+        let known = self.roster.remove_confirmed(name, boot_time());
         if known {
             log::info!(endpoint:% = name; "endpoint gone");
-            self.shared.tell(true, |board| board.remove(name));
+            self.shared
+                .update_replica(true, |replica| replica.remove_endpoint(name));
         }
         known
     }
--- a/crates/direct/src/control/follow.rs
+++ b/crates/direct/src/control/follow.rs
@@ -12,7 +12,7 @@
 use tokio::sync::{mpsc, watch};
 
 use crate::feed::{Change, Feed, Next};
-use crate::roster::GRACE;
+use crate::roster::EXPIRED_ENTRY_GRACE;
 use crate::shared::Shared;
 use crate::source::{Fault, Source, Tail};
 
@@ -98,7 +98,7 @@
 impl Log {
     fn pace(&self) -> Pace {
         let refresh = self.shared.settings.refresh;
-        match (self.topic, self.shared.is_asked()) {
+        match (self.topic, self.shared.serves_peers()) {
             (Topic::Operator, false) => Pace::Wait(WAIT),
             (Topic::Operator, true) => Pace::Wait(WAIT_FOR_OTHERS),
             (Topic::Endpoints, false) => Pace::Poll(refresh),
@@ -166,12 +166,15 @@
         };
         if now != mode {
             mode = now;
-            feed = Feed::knowing(log.shared.tell(false, |board| board.names()));
+            feed = Feed::knowing(
+                log.shared
+                    .update_replica(false, |replica| replica.endpoint_names()),
+            );
             current = false;
         }
         let pace = log.pace();
         let listing = !feed.is_listed();
-        let wait = if current && !log.shared.is_unsettled() {
+        let wait = if current && !log.shared.log_needs_reread() {
             waiting(pace, lag)
         } else {
             Duration::ZERO
@@ -191,7 +194,7 @@
         }
         let rest = match current {
             true if listing && log.asks_others() => LISTED,
-            true if log.shared.is_unsettled() => HURRY,
+            true if log.shared.log_needs_reread() => HURRY,
             true => rest(pace, lag).min(loss.hurry()),
             false => pause,
         };
@@ -200,7 +203,7 @@
 }
 
 fn longest(log: &Log) -> Duration {
-    if log.asks_others() && !log.shared.is_asked() {
+    if log.asks_others() && !log.shared.serves_peers() {
         LONGEST_OF_MANY
     } else {
         LONGEST
@@ -219,7 +222,9 @@
     // The longest pause between reads now.
     fn hurry(&self) -> Duration {
         let now = boot_time();
-        let recent = self.regained.is_some_and(|at| since(now, at) < GRACE);
+        let recent = self
+            .regained
+            .is_some_and(|at| since(now, at) < EXPIRED_ENTRY_GRACE);
         if recent { HURRY } else { Duration::MAX }
     }
 
@@ -227,14 +232,16 @@
     fn note(&mut self, log: &Log, fault: Option<&Fault>) -> Duration {
         let topic = log.topic.as_str();
         let now = boot_time();
-        log.shared.metrics.log_call(topic, fault.map_or("ok", name));
+        log.shared
+            .metrics
+            .count_log_read(topic, fault.map_or("ok", name));
         let Some(fault) = fault else {
             if let Some(from) = self.since.take() {
                 let lost = since(now, from).as_millis();
                 log::info!(topic:% = topic, away_ms:% = lost, calls = self.failures; "log regained");
             }
             if matches!(log.topic, Topic::Operator) {
-                log.shared.set_lost(false);
+                log.shared.set_log_unavailable(false);
             }
             if self.failures > 0 {
                 self.regained = Some(now);
@@ -243,7 +250,7 @@
             return Duration::ZERO;
         };
         if matches!(log.topic, Topic::Operator) {
-            log.shared.set_lost(true);
+            log.shared.set_log_unavailable(true);
         }
         if self.since.is_none() {
             self.since = Some(now);
--- a/crates/direct/src/control/follow/notes.rs
+++ b/crates/direct/src/control/follow/notes.rs
@@ -28,7 +28,7 @@
     let topic = log.topic.as_str();
     match tail {
         Tail::Expired => {
-            log.shared.metrics.log_listed(topic);
+            log.shared.metrics.count_log_listing(topic);
             log::warn!(topic:% = topic, from = from; "records to read on from aren't there; the topic is listed anew");
         }
         Tail::Records { end, .. } if *end < from => {
@@ -42,7 +42,7 @@
 pub(super) fn ignored(log: &Log, count: u64) {
     if count > 0 {
         let topic = log.topic.as_str();
-        log.shared.metrics.log_ignored(topic, count);
+        log.shared.metrics.count_ignored_records(topic, count);
         log::info!(topic:% = topic, count = count; "records older than what is known were not taken");
     }
 }
--- a/crates/direct/src/control/peers.rs
+++ b/crates/direct/src/control/peers.rs
@@ -96,7 +96,7 @@
     let seeds = shared.settings.others();
     let first = rand::rng().random_range(0..seeds.len().max(1));
     let visits = shared.settings.reads_for_others();
-    let mut lost = shared.lost();
+    let mut lost = shared.log_unavailable();
     let mut asker = Asker {
         connector: Connector::new(connect::Settings {
             connect_timeout: PATIENCE,
@@ -171,7 +171,8 @@
 
     // When the older of both topics was confirmed last.
     fn known(&self) -> Option<Moment> {
-        self.shared.tell(false, |board| board.confirmed())
+        self.shared
+            .update_replica(false, |replica| replica.confirmed_at())
     }
 
     // How long asking a peer may take before the log has to be read.
@@ -219,8 +220,8 @@
 // How long a question may wait by what loads are worth now.
 fn longest(shared: &Shared) -> Duration {
     let now = boot_time();
-    let instances = shared.instances(now);
-    let partial = shared.view().is_partial(now);
+    let instances = shared.instance_count(now);
+    let partial = shared.view().has_reduced_service(now);
     let oftener = instances.filter(|_| partial).map(wait_while_partial);
     oftener.unwrap_or(LONGEST_WAIT)
 }
--- a/crates/direct/src/control/peers/answer.rs
+++ b/crates/direct/src/control/peers/answer.rs
@@ -15,7 +15,7 @@
 use super::age::LONGEST_WAIT;
 use super::passing::{EVIDENCE_PATH, HEARD_PATH, heard, learn, take};
 use super::{MESSAGE_BYTES, PATH, status, whole};
-use crate::board::{Question, Told, Urgency};
+use crate::board::{Update, UpdateRequest, Urgency};
 use crate::shared::Shared;
 
 /// How long news waits for more before it is told: a release or a scale-out
@@ -45,27 +45,27 @@
 }
 
 async fn state(shared: &Shared, body: &[u8], began: Moment) -> Response<Body> {
-    let Ok(question) = rmp_serde::from_slice::<Question>(body) else {
+    let Ok(question) = rmp_serde::from_slice::<UpdateRequest>(body) else {
         return status(StatusCode::BAD_REQUEST);
     };
     let until = Instant::now() + question.wait.min(LONGEST_WAIT);
-    shared.askers().asked(question.own, began);
+    shared.askers().asked(question.peer_address, began);
     take(shared, &question.loads, began);
-    for holding in &question.held {
+    for holding in &question.holdings {
         shared.directory().relay(holding, began);
     }
-    let mut news = shared.news();
+    let mut news = shared.peer_news();
     loop {
         news.mark_unchanged();
-        match shared.tell(false, |board| board.urgency(&question)) {
-            Urgency::Whole => break,
-            Urgency::News => {
+        match shared.update_replica(false, |replica| replica.urgency(&question)) {
+            Urgency::Full => break,
+            Urgency::Incremental => {
                 sleep_until(until.min(Instant::now() + SETTLE)).await;
                 break;
             }
             // One that starts itself has nothing to tell yet. Hundreds that start with
             // it wait for it, rather than that each reads the log.
-            Urgency::None | Urgency::Uninformed => {}
+            Urgency::None | Urgency::NotReady => {}
         }
         if timeout_at(until, news.changed()).await.is_err() {
             break;
@@ -73,8 +73,12 @@
     }
     // The ages are those of now, also if nothing came in the time allowed.
     let now = boot_time();
-    let mut told = shared.tell(false, |board| board.tell(&question, since(now, began), now));
-    told.loads = shared.book().loads(now, rand::rng().random());
+    let mut told = shared.update_replica(false, |replica| {
+        replica.build_update(&question, since(now, began), now)
+    });
+    told.loads = shared
+        .endpoint_stats()
+        .recent_loads(now, rand::rng().random());
     name_instances(shared, &mut told, now);
     match rmp_serde::to_vec(&told) {
         Ok(bytes) => Response::new(whole(bytes)),
@@ -86,9 +90,9 @@
 }
 
 // A standby's own askers are no better informed than it is, so only seeds name any.
-fn name_instances(shared: &Shared, told: &mut Told, now: Moment) {
+fn name_instances(shared: &Shared, told: &mut Update, now: Moment) {
     if shared.settings.reads_for_others() {
-        told.standbys = shared.askers().standbys(told.life, now);
+        told.standbys = shared.askers().standbys(told.incarnation, now);
     }
-    told.instances = shared.instances(now);
+    told.instances = shared.instance_count(now);
 }
--- a/crates/direct/src/control/peers/passing.rs
+++ b/crates/direct/src/control/peers/passing.rs
@@ -19,7 +19,7 @@
 use crate::book::Load;
 use crate::holders::Holding;
 use crate::shared::Shared;
-use crate::suspects::{Evidence, Sighting};
+use crate::suspects::{Evidence, ForwardedEvidence};
 
 pub(super) const EVIDENCE_PATH: &str = "/peer/v2/evidence";
 pub(super) const HEARD_PATH: &str = "/peer/v3/heard";
@@ -42,7 +42,7 @@
     }
     for holding in heard.held {
         if shared.directory().learn(&holding, now) {
-            shared.tell(false, |board| board.held(holding, now));
+            shared.update_replica(false, |replica| replica.add_holding(holding, now));
         }
     }
     status(StatusCode::OK)
@@ -75,11 +75,11 @@
             held: shared.directory().take_untold(now),
         };
         for holding in &heard.held {
-            shared.tell(false, |board| board.held(*holding, now));
+            shared.update_replica(false, |replica| replica.add_holding(*holding, now));
         }
         if shared.uptime() >= STARTS {
             let count = shared.askers().count(now);
-            shared.counted(count, now);
+            shared.set_instance_count(count, now);
         }
         for peer in shared.settings.others() {
             if let Err(refusal) = post(&shared, peer, HEARD_PATH, &heard).await {
@@ -91,13 +91,13 @@
 
 // Takes in what another instance saw, for all that ask this one.
 pub(super) fn learn(shared: &Shared, body: &[u8], now: Moment) -> Response<Body> {
-    let Ok(sightings) = rmp_serde::from_slice::<Vec<Sighting>>(body) else {
+    let Ok(sightings) = rmp_serde::from_slice::<Vec<ForwardedEvidence>>(body) else {
         return status(StatusCode::BAD_REQUEST);
     };
     for sighting in sightings {
-        let evidence = sighting.evidence(now);
-        if shared.suspects().learn(evidence) {
-            shared.tell(true, |board| board.sighted(evidence));
+        let evidence = sighting.to_evidence(now);
+        if shared.crash_tracker().record(evidence) {
+            shared.update_replica(true, |replica| replica.add_evidence(evidence));
         }
     }
     status(StatusCode::OK)
@@ -106,13 +106,13 @@
 /// Passes on what this instance saw of requests that may crash endpoints: to
 /// those that are asked, of which each tells it to whoever asks.
 pub(crate) fn pass_on(shared: &Arc<Shared>) {
-    if shared.suspects().begin_passing() {
+    if shared.crash_tracker().begin_forwarding() {
         let shared = Arc::clone(shared);
         tokio::spawn(async move {
             tokio::time::sleep(GATHER).await;
-            let seen = shared.suspects().take_unsent();
+            let seen = shared.crash_tracker().take_unforwarded();
             for evidence in &seen {
-                shared.tell(true, |board| board.sighted(*evidence));
+                shared.update_replica(true, |replica| replica.add_evidence(*evidence));
             }
             for peer in shared.settings.others() {
                 if let Err(refusal) = hand(&shared, peer, &seen).await {
@@ -125,7 +125,10 @@
 
 async fn hand(shared: &Shared, peer: SocketAddr, seen: &[Evidence]) -> Result<(), Refusal> {
     let now = boot_time();
-    let sightings: Vec<Sighting> = seen.iter().map(|one| Sighting::of(one, now)).collect();
+    let sightings: Vec<ForwardedEvidence> = seen
+        .iter()
+        .map(|one| ForwardedEvidence::from_evidence(one, now))
+        .collect();
     post(shared, peer, EVIDENCE_PATH, &sightings).await
 }
 
@@ -152,8 +155,8 @@
 
 // Takes in loads that another instance passed on at `then`.
 pub(super) fn take(shared: &Shared, loads: &[Load], then: Moment) {
-    let mut book = shared.book();
+    let mut book = shared.endpoint_stats();
     for load in loads {
-        book.told(load.endpoint, load.all, since(then, load.age));
+        book.record_peer_load(load.endpoint, load.requests, since(then, load.age));
     }
 }
--- a/crates/direct/src/control/peers/peer.rs
+++ b/crates/direct/src/control/peers/peer.rs
@@ -14,7 +14,7 @@
 use super::age::{PATIENCE, oldest};
 use super::passing::take;
 use super::{MESSAGE_BYTES, PATH, whole};
-use crate::board::{Question, Told};
+use crate::board::{Update, UpdateRequest};
 use crate::evacuation::Evacuation;
 use crate::policy::Content;
 use crate::roster::Registration;
@@ -86,8 +86,8 @@
 }
 
 impl Known {
-    pub(super) fn take(&mut self, told: &Told) {
-        (self.life, self.stamp) = (told.life, told.stamp);
+    pub(super) fn take(&mut self, told: &Update) {
+        (self.life, self.stamp) = (told.incarnation, told.revision);
         if let Some(evacuation) = &told.evacuation {
             self.evacuation = evacuation.as_of;
         }
@@ -126,7 +126,9 @@
     pub(super) async fn begin(&mut self, wait: Duration) -> Result<Answered, Refusal> {
         for _ in 0..TRIES {
             let told = self.question(wait).await?;
-            let known = self.shared.tell(false, |board| board.endpoints_confirmed());
+            let known = self
+                .shared
+                .update_replica(false, |replica| replica.endpoints_confirmed_at());
             if Some(told.news.endpoints_read) >= known {
                 return Ok(told);
             }
@@ -142,21 +144,24 @@
         let view = self.shared.view();
         let in_force = view.policy.as_ref().map_or(0, |policy| policy.version());
         let digest = if self.told.life == 0 {
-            self.shared.tell(false, |board| board.digest())
+            self.shared
+                .update_replica(false, |replica| replica.endpoint_digest())
         } else {
             0
         };
-        let evacuation = self.shared.tell(false, |board| board.evacuation());
-        let question = Question {
-            life: self.told.life,
-            stamp: self.told.stamp,
+        let evacuation = self
+            .shared
+            .update_replica(false, |replica| replica.evacuation_position());
+        let question = UpdateRequest {
+            incarnation: self.told.life,
+            revision: self.told.stamp,
             digest,
-            own: self.shared.settings.listen.peers,
+            peer_address: self.shared.settings.listen.peers,
             version: self.told.version(in_force),
             evacuation: evacuation.max(self.told.evacuation),
             wait,
-            loads: self.shared.book().take_heard(boot_time()),
-            held: self.shared.directory().take_untold(boot_time()),
+            loads: self.shared.endpoint_stats().take_new_loads(boot_time()),
+            holdings: self.shared.directory().take_untold(boot_time()),
         };
         let asked = boot_time();
         let mut told = timeout(wait + PATIENCE, self.send(&question))
@@ -166,9 +171,9 @@
         let made = asked + told.waited;
         take(self.shared, &told.loads, made);
         if let Some(instances) = told.instances {
-            self.shared.counted(instances, made);
+            self.shared.set_instance_count(instances, made);
         }
-        for holding in &told.held {
+        for holding in &told.holdings {
             self.shared.directory().learn(holding, made);
         }
         Ok(Answered {
@@ -177,7 +182,7 @@
         })
     }
 
-    async fn send(&self, question: &Question) -> Result<Told, Refusal> {
+    async fn send(&self, question: &UpdateRequest) -> Result<Update, Refusal> {
         let body =
             rmp_serde::to_vec(question).map_err(|error| Refusal::Garbled(error.to_string()))?;
         let request = Request::post(PATH)
@@ -206,7 +211,7 @@
 /// # Errors
 ///
 /// Returns [`Refusal::Stale`] if it is older than `oldest`.
-pub(super) fn news(told: Told, asked: Moment, oldest: Duration) -> Result<News, Refusal> {
+pub(super) fn news(told: Update, asked: Moment, oldest: Duration) -> Result<News, Refusal> {
     // The peer made its answer no sooner than it had waited after it was
     // asked. Counted from there, its ages never make anything look younger.
     let made = asked + told.waited;
@@ -217,7 +222,7 @@
         return Err(Refusal::Stale);
     }
     Ok(News {
-        life: told.life,
+        life: told.incarnation,
         era: told.era,
         restored: told.restored.map(|age| since(made, age)),
         made,
@@ -226,14 +231,14 @@
         evacuation: told.evacuation,
         policy_read: since(made, policy_age),
         endpoints_read: since(made, endpoints_age),
-        whole: told.whole,
+        whole: told.full,
         set: told.set,
-        lapsed: told.lapsed,
-        gone: told.gone,
+        lapsed: told.expired,
+        gone: told.removed,
         evidence: told
-            .sightings
+            .evidence
             .iter()
-            .map(|sighting| sighting.evidence(made))
+            .map(|sighting| sighting.to_evidence(made))
             .collect(),
     })
 }
--- a/crates/direct/src/control/peers/tests.rs
+++ b/crates/direct/src/control/peers/tests.rs
@@ -5,7 +5,7 @@
     LEAST_AGE, LONGEST_WAIT, PATIENCE, SPARE, left, oldest, wait, wait_while_partial,
 };
 use super::peer::{Known, Refusal, news};
-use crate::board::{Board, Question};
+use crate::board::{Replica, UpdateRequest};
 use crate::policy::Content;
 use crate::source::Position;
 
@@ -13,10 +13,10 @@
     Duration::from_millis(millis)
 }
 
-fn board(read: u64) -> Board {
-    let mut board = Board::new(7);
-    board.policy_read(at(read));
-    board.endpoints_read(at(read));
+fn board(read: u64) -> Replica {
+    let mut board = Replica::new(7);
+    board.confirm_policy(at(read));
+    board.confirm_endpoints(at(read));
     board
 }
 
@@ -30,16 +30,16 @@
     }
 }
 
-const QUESTION: Question = Question {
-    life: 7,
-    stamp: 0,
+const QUESTION: UpdateRequest = UpdateRequest {
+    incarnation: 7,
+    revision: 0,
     digest: 0,
-    own: None,
+    peer_address: None,
     version: 0,
     evacuation: Position::START,
     wait: at(400),
     loads: Vec::new(),
-    held: Vec::new(),
+    holdings: Vec::new(),
 };
 
 /// The instance that others ask was cut from the log. Those that asked it went
@@ -63,10 +63,10 @@
 fn one_that_reads_a_slow_log_is_not_left_while_there_is_time() {
     assert_eq!(oldest(at(2_000)), LEAST_AGE);
     assert_eq!(oldest(at(4_000)), at(2_200));
-    let told = board(1_000).tell(&QUESTION, at(0), at(3_100));
+    let told = board(1_000).build_update(&QUESTION, at(0), at(3_100));
     let news_then = news(told, at(50), oldest(at(4_000)));
     assert!(news_then.is_ok_and(|news| news.policy_read == Duration::ZERO));
-    let told = board(1_000).tell(&QUESTION, at(0), at(3_300));
+    let told = board(1_000).build_update(&QUESTION, at(0), at(3_300));
     assert!(matches!(
         news(told, at(50), oldest(at(4_000))),
         Err(Refusal::Stale)
@@ -86,11 +86,11 @@
 #[test]
 fn what_is_old_at_the_peer_is_not_taken() {
     let oldest = oldest(at(2_000));
-    let told = board(1_000).tell(&QUESTION, at(0), at(1_800));
+    let told = board(1_000).build_update(&QUESTION, at(0), at(1_800));
     assert!(news(told, at(50), oldest).is_ok_and(|news| news.endpoints_read == Duration::ZERO));
-    let told = board(1_000).tell(&QUESTION, at(0), at(2_300));
+    let told = board(1_000).build_update(&QUESTION, at(0), at(2_300));
     assert!(matches!(news(told, at(50), oldest), Err(Refusal::Stale)));
-    let told = Board::new(7).tell(&QUESTION, at(0), at(2_000));
+    let told = Replica::new(7).build_update(&QUESTION, at(0), at(2_000));
     assert!(matches!(news(told, at(50), oldest), Err(Refusal::Stale)));
 }
 
@@ -102,14 +102,14 @@
     let mut seed = board(1_000);
     seed.set_policy(content(15));
     let mut known = Known::default();
-    let ask = |known: &Known, seed: &Board| {
-        let question = Question {
-            life: known.life,
-            stamp: known.stamp,
+    let ask = |known: &Known, seed: &Replica| {
+        let question = UpdateRequest {
+            incarnation: known.life,
+            revision: known.stamp,
             version: known.version(0),
             ..QUESTION
         };
-        seed.tell(&question, at(0), at(1_100))
+        seed.build_update(&question, at(0), at(1_100))
     };
     let told = ask(&known, &seed);
     assert!(told.policy.is_some());
@@ -127,7 +127,7 @@
 /// live on by as much; it counts from when it was asked for, and waited there.
 #[test]
 fn a_slow_answer_makes_nothing_younger() {
-    let told = board(1_000).tell(&QUESTION, at(300), at(1_500));
+    let told = board(1_000).build_update(&QUESTION, at(300), at(1_500));
     let news = news(told, at(9_000), at(1_200)).ok();
     assert_eq!(news.map(|news| news.policy_read), Some(at(8_800)));
 }
--- a/crates/direct/src/evacuation.rs
+++ b/crates/direct/src/evacuation.rs
@@ -22,7 +22,7 @@
 
 /// How long the operator has to write again an evacuation that the log lost: twice what
 /// endpoints take for their entries.
-const REWRITTEN: Duration = Duration::from_secs(4);
+const REWRITE_GRACE: Duration = Duration::from_secs(4);
 
 /// The evacuated zones as of a position of the operator's topic.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -61,7 +61,7 @@
     ///
     /// A newer one that changes nothing has to be passed on all the same: others may
     /// know what was in between.
-    pub fn learn(&mut self, other: Self) -> Option<Changes> {
+    pub fn apply(&mut self, other: Self) -> Option<Changes> {
         if other.as_of <= self.as_of {
             return None;
         }
@@ -79,34 +79,38 @@
 
 /// The zones that an instance keeps empty.
 #[derive(Clone, Debug, Default)]
-pub struct Empty {
+pub struct EvacuatedZones {
     state: Evacuation,
     // Those that only an earlier era names, and until when they are kept.
-    kept: BTreeMap<String, Moment>,
+    retained: BTreeMap<String, Moment>,
 }
 
-impl Empty {
+impl EvacuatedZones {
     /// Takes in another state; returns what it changes, or `None` if it is not newer.
-    pub fn learn(&mut self, other: Evacuation, now: Moment) -> Option<Changes> {
+    pub fn apply(&mut self, other: Evacuation, now: Moment) -> Option<Changes> {
         let before = self.state.clone();
-        let mut changes = self.state.learn(other)?;
+        let mut changes = self.state.apply(other)?;
         if before.as_of.era < self.state.as_of.era {
-            let until = now + REWRITTEN;
-            self.kept.values_mut().for_each(|kept| *kept = until);
+            let until = now + REWRITE_GRACE;
+            self.retained
+                .values_mut()
+                .for_each(|retained| *retained = until);
             let lost = changes.returned.drain(..);
-            self.kept.extend(lost.map(|zone| (zone, until)));
+            self.retained.extend(lost.map(|zone| (zone, until)));
         }
-        let kept = &mut self.kept;
-        changes.evacuated.retain(|zone| kept.remove(zone).is_none());
+        let retained = &mut self.retained;
+        changes
+            .evacuated
+            .retain(|zone| retained.remove(zone).is_none());
         Some(changes)
     }
 
     /// Gives back zones that were kept for long enough, by a read of the operator's topic
     /// sent at `read`; returns them. With the log away nobody writes anything again.
-    pub fn expire(&mut self, read: Moment) -> Vec<String> {
-        let over = self.kept.iter().filter(|(_, until)| read >= **until);
+    pub fn release_expired(&mut self, read: Moment) -> Vec<String> {
+        let over = self.retained.iter().filter(|(_, until)| read >= **until);
         let over: Vec<String> = over.map(|(zone, _)| zone.clone()).collect();
-        self.kept.retain(|_, until| read < *until);
+        self.retained.retain(|_, until| read < *until);
         over
     }
 
@@ -118,12 +122,12 @@
 
     /// Returns the names of the zones.
     pub fn zones(&self) -> impl Iterator<Item = &String> {
-        self.state.zones.iter().chain(self.kept.keys())
+        self.state.zones.iter().chain(self.retained.keys())
     }
 
     /// Returns whether a zone is to be empty.
     #[must_use]
-    pub fn holds(&self, zone: ZoneId) -> bool {
+    pub fn contains(&self, zone: ZoneId) -> bool {
         self.zones().any(|name| id::of(name) == zone)
     }
 }
@@ -131,7 +135,7 @@
 /// What one follower of the operator's topic has read: the version, and the evacuated
 /// zones by the key of the record that says so.
 #[derive(Debug, Default)]
-pub struct Reading {
+pub struct TopicState {
     epoch: u64,
     era: Era,
     /// The version of the configuration; 0 if none was read.
@@ -139,10 +143,10 @@
     zones: BTreeMap<String, String>,
 }
 
-impl Reading {
+impl TopicState {
     /// Forgets what was read in another epoch or era: a follower that reads on after
     /// it asked peers, or in another era, lists the topic anew.
-    pub fn begin(&mut self, epoch: u64, era: Era) {
+    pub fn reset_if_new(&mut self, epoch: u64, era: Era) {
         if (epoch, era) != (self.epoch, self.era) {
             *self = Self {
                 epoch,
@@ -164,7 +168,7 @@
 
     /// Returns the state with all records before `as_of` read.
     #[must_use]
-    pub fn as_of(&self, as_of: Position) -> Evacuation {
+    pub fn evacuation_at(&self, as_of: Position) -> Evacuation {
         Evacuation {
             as_of,
             zones: self.zones.values().cloned().collect(),
--- a/crates/direct/src/evacuation/tests.rs
+++ b/crates/direct/src/evacuation/tests.rs
@@ -5,8 +5,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::{Empty, Evacuation, REWRITTEN, Reading};
-use crate::board::{Board, Question};
+use super::{EvacuatedZones, Evacuation, REWRITE_GRACE, TopicState};
+use crate::board::{Replica, UpdateRequest};
 use crate::feed::{Change, Feed, Next};
 use crate::source::{Page, Position, Record, Reply, Tail, Value};
 
@@ -29,12 +29,12 @@
 #[test]
 fn changes_name_what_came_and_went() {
     let mut own = Evacuation::NONE;
-    let changes = own.learn(state(3, &["otaru", "kushiro"])).expect("newer");
+    let changes = own.apply(state(3, &["otaru", "kushiro"])).expect("newer");
     assert_eq!(changes.evacuated, ["kushiro", "otaru"]);
-    let changes = own.learn(state(5, &["sapporo", "otaru"])).expect("newer");
+    let changes = own.apply(state(5, &["sapporo", "otaru"])).expect("newer");
     assert_eq!(changes.evacuated, ["sapporo"]);
     assert_eq!(changes.returned, ["kushiro"]);
-    let changes = own.learn(state(9, &["sapporo", "otaru"])).expect("newer");
+    let changes = own.apply(state(9, &["sapporo", "otaru"])).expect("newer");
     assert!(changes.is_empty());
     assert_eq!(own.as_of, at(9));
 }
@@ -43,8 +43,8 @@
 #[test]
 fn an_older_state_changes_nothing() {
     let mut own = state(7, &["otaru"]);
-    assert_eq!(own.learn(state(6, &[])), None);
-    assert_eq!(own.learn(state(7, &["kushiro"])), None);
+    assert_eq!(own.apply(state(6, &[])), None);
+    assert_eq!(own.apply(state(7, &["kushiro"])), None);
     assert_eq!(own, state(7, &["otaru"]));
 }
 
@@ -52,13 +52,13 @@
 /// a peer was asked.
 #[test]
 fn a_reading_begins_anew_with_each_epoch() {
-    let mut reading = Reading::default();
+    let mut reading = TopicState::default();
     reading.set("k".to_owned(), "otaru".to_owned());
-    reading.begin(1, 1);
-    assert_eq!(reading.as_of(at(4)), state(4, &[]));
+    reading.reset_if_new(1, 1);
+    assert_eq!(reading.evacuation_at(at(4)), state(4, &[]));
     reading.set("k".to_owned(), "otaru".to_owned());
-    reading.begin(1, 1);
-    assert_eq!(reading.as_of(at(5)), state(5, &["otaru"]));
+    reading.reset_if_new(1, 1);
+    assert_eq!(reading.evacuation_at(at(5)), state(5, &["otaru"]));
 }
 
 const fn first_era<A>(body: A) -> Reply<A> {
@@ -69,7 +69,7 @@
 #[derive(Default)]
 struct Log {
     records: Vec<Record<String>>,
-    kept_from: u64,
+    first_retained: u64,
 }
 
 impl Log {
@@ -110,7 +110,7 @@
             value,
         });
         if rng.random_bool(0.1) {
-            self.kept_from = self.end();
+            self.first_retained = self.end();
         }
     }
 
@@ -124,7 +124,7 @@
 
     // At most two records, so that readers are behind.
     fn read(&self, from: u64) -> Tail<String> {
-        if from < self.kept_from {
+        if from < self.first_retained {
             return Tail::Expired;
         }
         let from = usize::try_from(from).expect("a short log");
@@ -139,10 +139,10 @@
 
 // An instance, and how it takes in what it hears.
 struct Instance {
-    board: Board,
+    replica: Replica,
     known: Evacuation,
     feed: Feed,
-    reading: Reading,
+    reading: TopicState,
     epoch: u64,
     learn: fn(&mut Evacuation, Evacuation),
 }
@@ -150,26 +150,26 @@
 impl Instance {
     fn start(life: u64, learn: fn(&mut Evacuation, Evacuation)) -> Self {
         Self {
-            board: Board::new(life),
+            replica: Replica::new(life),
             known: Evacuation::NONE,
             feed: Feed::default(),
-            reading: Reading::default(),
+            reading: TopicState::default(),
             epoch: 0,
             learn,
         }
     }
 
-    fn take(&mut self, other: Evacuation) {
+    fn apply(&mut self, other: Evacuation) {
         (self.learn)(&mut self.known, other);
-        self.board.set_evacuation(self.known.clone());
+        self.replica.set_evacuation(self.known.clone());
     }
 
-    fn reads(&mut self, log: &Log) {
+    fn read_log(&mut self, log: &Log) {
         let changes = match self.feed.next() {
             Next::List(_) => self.feed.listed(first_era(log.list())),
             Next::Read(from) => self.feed.read(first_era(log.read(from))),
         };
-        self.reading.begin(self.epoch, 1);
+        self.reading.reset_if_new(self.epoch, 1);
         for change in changes {
             match change {
                 Change::Set(key, zone) => self.reading.set(key, zone),
@@ -178,27 +178,27 @@
             }
         }
         if let Some(position) = self.feed.position() {
-            self.take(self.reading.as_of(at(position)));
+            self.apply(self.reading.evacuation_at(at(position)));
         }
     }
 
     // Goes back to the log after it asked peers.
-    fn goes_back(&mut self) {
+    fn return_to_log(&mut self) {
         self.feed = Feed::default();
         self.epoch += 1;
     }
 
-    fn question(&self) -> Question {
-        Question {
-            life: 0,
-            stamp: 0,
+    fn request(&self) -> UpdateRequest {
+        UpdateRequest {
+            incarnation: 0,
+            revision: 0,
             digest: 0,
-            own: None,
+            peer_address: None,
             version: 0,
             evacuation: self.known.as_of,
             wait: Duration::ZERO,
             loads: Vec::new(),
-            held: Vec::new(),
+            holdings: Vec::new(),
         }
     }
 }
@@ -207,38 +207,39 @@
 // the log, answers of peers come late, twice or never. Returns whether every
 // instance knew the truth as of its offset, never an older one, and all knew the
 // newest once each had read to the end.
-fn play(seed: u64, learn: fn(&mut Evacuation, Evacuation)) -> bool {
+fn run_schedule(seed: u64, learn: fn(&mut Evacuation, Evacuation)) -> bool {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut log = Log::default();
     let mut instances: Vec<_> = (1..=4).map(|life| Instance::start(life, learn)).collect();
-    let mut under_way: Vec<(usize, Evacuation)> = Vec::new();
+    let mut in_transit: Vec<(usize, Evacuation)> = Vec::new();
     for _ in 0..80 {
         let at = rng.random_range(0..instances.len());
         let before = instances[at].known.as_of;
         let mut restarted = false;
         match rng.random_range(0..12) {
             0..=1 => log.write(&mut rng),
-            2..=5 => instances[at].reads(&log),
+            2..=5 => instances[at].read_log(&log),
             6..=7 => {
                 let peer = rng.random_range(0..instances.len());
-                let question = instances[at].question();
-                let told = instances[peer]
-                    .board
-                    .tell(&question, Duration::ZERO, Duration::ZERO);
-                under_way.extend(told.evacuation.map(|evacuation| (at, evacuation)));
+                let request = instances[at].request();
+                let update =
+                    instances[peer]
+                        .replica
+                        .build_update(&request, Duration::ZERO, Duration::ZERO);
+                in_transit.extend(update.evacuation.map(|evacuation| (at, evacuation)));
             }
-            8..=9 if !under_way.is_empty() => {
-                let next = rng.random_range(0..under_way.len());
-                let (to, evacuation) = under_way[next].clone();
-                instances[to].take(evacuation);
+            8..=9 if !in_transit.is_empty() => {
+                let next = rng.random_range(0..in_transit.len());
+                let (to, evacuation) = in_transit[next].clone();
+                instances[to].apply(evacuation);
                 if rng.random_bool(0.7) {
-                    under_way.remove(next);
+                    in_transit.remove(next);
                 }
             }
-            10 => instances[at].goes_back(),
+            10 => instances[at].return_to_log(),
             11 => {
                 instances[at] = Instance::start(rng.random(), learn);
-                under_way.retain(|(to, _)| *to != at);
+                in_transit.retain(|(to, _)| *to != at);
                 restarted = true;
             }
             _ => {}
@@ -252,14 +253,14 @@
     instances.iter_mut().all(|one| {
         // Lost history, a list, and two records at a time.
         for _ in 0..60 {
-            one.reads(&log);
+            one.read_log(&log);
         }
         one.known.zones == log.zones(log.end())
     })
 }
 
-fn newer(own: &mut Evacuation, other: Evacuation) {
-    own.learn(other);
+fn apply_newer(own: &mut Evacuation, other: Evacuation) {
+    own.apply(other);
 }
 
 /// Guards against a zone that is used while evacuated, or stays empty for good,
@@ -267,7 +268,7 @@
 #[test]
 fn every_instance_knows_the_zones_as_of_its_offset() {
     for seed in 0..SEEDS {
-        assert!(play(seed, newer), "seed {seed}");
+        assert!(run_schedule(seed, apply_newer), "seed {seed}");
     }
 }
 
@@ -275,7 +276,7 @@
 #[test]
 fn schedules_break_an_instance_that_takes_older_states() {
     let last = |own: &mut Evacuation, other: Evacuation| *own = other;
-    let broken = (0..100).filter(|seed| !play(*seed, last)).count();
+    let broken = (0..100).filter(|seed| !run_schedule(*seed, last)).count();
     assert!(broken > 0);
 }
 
@@ -288,38 +289,38 @@
 
 #[test]
 fn a_zone_is_held_by_its_name() {
-    let mut own = Empty::default();
-    own.learn(state(3, &["otaru", "kushiro"]), Duration::ZERO);
-    assert!(own.holds(id::of("otaru")) && !own.holds(id::of("sapporo")));
+    let mut own = EvacuatedZones::default();
+    own.apply(state(3, &["otaru", "kushiro"]), Duration::ZERO);
+    assert!(own.contains(id::of("otaru")) && !own.contains(id::of("sapporo")));
 }
 
 /// Guards against states that are taken for older by the offsets of another era.
 #[test]
 fn a_state_of_a_later_era_is_newer_whatever_its_offset() {
-    let mut own = Empty::default();
-    own.learn(in_era(1, 90, &[]), Duration::ZERO);
-    let changes = own.learn(in_era(2, 4, &["otaru"]), Duration::ZERO);
+    let mut own = EvacuatedZones::default();
+    own.apply(in_era(1, 90, &[]), Duration::ZERO);
+    let changes = own.apply(in_era(2, 4, &["otaru"]), Duration::ZERO);
     assert_eq!(changes.expect("newer").evacuated, ["otaru"]);
-    assert_eq!(own.learn(in_era(1, 95, &[]), Duration::ZERO), None);
-    assert!(own.holds(id::of("otaru")));
+    assert_eq!(own.apply(in_era(1, 95, &[]), Duration::ZERO), None);
+    assert!(own.contains(id::of("otaru")));
 }
 
 /// Guards against a zone that is used since the log lost its evacuation, and against
 /// one that stays empty since it is not evacuated any more.
 #[test]
 fn a_zone_that_a_later_era_lacks_is_kept_for_a_while() {
-    let mut own = Empty::default();
-    own.learn(in_era(1, 9, &["otaru", "kushiro"]), Duration::ZERO);
-    let changes = own.learn(in_era(2, 3, &[]), Duration::ZERO);
+    let mut own = EvacuatedZones::default();
+    own.apply(in_era(1, 9, &["otaru", "kushiro"]), Duration::ZERO);
+    let changes = own.apply(in_era(2, 3, &[]), Duration::ZERO);
     assert!(changes.expect("newer").is_empty());
-    let changes = own.learn(in_era(2, 4, &["otaru"]), REWRITTEN / 2);
+    let changes = own.apply(in_era(2, 4, &["otaru"]), REWRITE_GRACE / 2);
     assert!(changes.expect("newer").is_empty());
-    assert_eq!(own.expire(REWRITTEN / 2), [""; 0]);
-    assert!(own.holds(id::of("otaru")) && own.holds(id::of("kushiro")));
-    assert_eq!(own.expire(REWRITTEN), ["kushiro"]);
-    assert!(own.holds(id::of("otaru")) && !own.holds(id::of("kushiro")));
+    assert_eq!(own.release_expired(REWRITE_GRACE / 2), [""; 0]);
+    assert!(own.contains(id::of("otaru")) && own.contains(id::of("kushiro")));
+    assert_eq!(own.release_expired(REWRITE_GRACE), ["kushiro"]);
+    assert!(own.contains(id::of("otaru")) && !own.contains(id::of("kushiro")));
     // What the operator takes back in the same era is given back at once.
-    let changes = own.learn(in_era(2, 6, &[]), REWRITTEN).expect("newer");
+    let changes = own.apply(in_era(2, 6, &[]), REWRITE_GRACE).expect("newer");
     assert_eq!(changes.returned, ["otaru"]);
 }
 
@@ -327,10 +328,10 @@
 /// could write.
 #[test]
 fn a_zone_is_kept_for_as_long_anew_by_each_era() {
-    let mut own = Empty::default();
-    own.learn(in_era(1, 9, &["otaru"]), Duration::ZERO);
-    own.learn(in_era(2, 3, &[]), Duration::ZERO);
-    own.learn(in_era(3, 2, &[]), REWRITTEN / 2);
-    assert_eq!(own.expire(REWRITTEN), [""; 0]);
-    assert_eq!(own.expire(REWRITTEN * 3 / 2), ["otaru"]);
+    let mut own = EvacuatedZones::default();
+    own.apply(in_era(1, 9, &["otaru"]), Duration::ZERO);
+    own.apply(in_era(2, 3, &[]), Duration::ZERO);
+    own.apply(in_era(3, 2, &[]), REWRITE_GRACE / 2);
+    assert_eq!(own.release_expired(REWRITE_GRACE), [""; 0]);
+    assert_eq!(own.release_expired(REWRITE_GRACE * 3 / 2), ["otaru"]);
 }
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -46,4 +46,4 @@
 pub mod suspects;
 pub mod ways;
 
-pub use running::{Error, Running, Stopped, start};
+pub use running::{Error, Running, ShutdownResult, start};
--- a/crates/direct/src/metrics.rs
+++ b/crates/direct/src/metrics.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use godwitpost_process::metrics::{Labels, Metrics as Requests};
+use godwitpost_process::metrics::{Labels, Metrics as RequestMetrics};
 use godwitpost_types::id::Era;
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Gauge, Meter};
@@ -12,7 +12,7 @@
 
 /// What an instance has to do with the endpoints of one service.
 #[derive(Clone, Debug)]
-pub(crate) struct Usage {
+pub(crate) struct ServiceUsage {
     /// The service's name.
     pub(crate) service: String,
     /// This instance's requests there.
@@ -27,12 +27,12 @@
 
 /// The services as they were when somebody last asked for metrics. A gauge
 /// that is set keeps its labels for ever; these go with their services.
-type Usages = Arc<Mutex<Vec<Usage>>>;
+type SharedUsage = Arc<Mutex<Vec<ServiceUsage>>>;
 
 /// The instruments.
 #[derive(Debug)]
 pub(crate) struct Metrics {
-    requests: Requests,
+    requests: RequestMetrics,
     refusals: Counter<u64>,
     repeats: Counter<u64>,
     resumed: Counter<u64>,
@@ -50,18 +50,21 @@
     age: Gauge<u64>,
     spans: Gauge<u64>,
     dropped: Gauge<u64>,
-    usages: Usages,
+    usages: SharedUsage,
 }
 
 impl Metrics {
     pub(crate) fn new(name: &str) -> Self {
-        let requests = Requests::new(name);
+        let requests = RequestMetrics::new(name);
         let meter = requests.meter();
-        let counter = |name: &'static str, text: &'static str| {
-            meter.u64_counter(name).with_description(text).build()
+        let counter = |name: &'static str, description: &'static str| {
+            meter
+                .u64_counter(name)
+                .with_description(description)
+                .build()
         };
-        let gauge = |name: &'static str, text: &'static str| {
-            meter.u64_gauge(name).with_description(text).build()
+        let gauge = |name: &'static str, description: &'static str| {
+            meter.u64_gauge(name).with_description(description).build()
         };
         Self {
             refusals: counter(
@@ -117,13 +120,13 @@
                 "Milliseconds since the configuration was last confirmed",
             ),
             dropped: gauge("godwitpost.log_lines_dropped", "Log lines dropped so far"),
-            usages: usages(&meter),
+            usages: service_gauges(&meter),
             requests,
         }
     }
 
     /// Returns the instruments of each request.
-    pub(crate) const fn requests(&self) -> &Requests {
+    pub(crate) const fn requests(&self) -> &RequestMetrics {
         &self.requests
     }
 
@@ -131,36 +134,36 @@
         self.requests.labels(workspace, class)
     }
 
-    pub(crate) fn refused(&self, reason: Reason) {
+    pub(crate) fn count_refusal(&self, reason: Reason) {
         self.refusals
             .add(1, &[KeyValue::new("reason", reason.as_str())]);
     }
 
-    pub(crate) fn repeat(&self, allowed: bool) {
+    pub(crate) fn count_repeat(&self, allowed: bool) {
         self.repeats.add(1, &[KeyValue::new("allowed", allowed)]);
     }
 
-    pub(crate) fn resumed(&self) {
+    pub(crate) fn count_resumed_stream(&self) {
         self.resumed.add(1, &[]);
     }
 
-    pub(crate) fn source(&self, basis: &'static str) {
+    pub(crate) fn count_prompt_source(&self, basis: &'static str) {
         self.sources.add(1, &[KeyValue::new("basis", basis)]);
     }
 
-    pub(crate) fn share(&self, taken: bool) {
+    pub(crate) fn count_warming_share(&self, taken: bool) {
         self.shares.add(1, &[KeyValue::new("taken", taken)]);
     }
 
-    pub(crate) fn notice(&self, says: &'static str) {
-        self.notices.add(1, &[KeyValue::new("says", says)]);
+    pub(crate) fn count_endpoint_notice(&self, notice: &'static str) {
+        self.notices.add(1, &[KeyValue::new("says", notice)]);
     }
 
-    pub(crate) fn spans(&self, count: usize) {
+    pub(crate) fn record_prompt_spans(&self, count: usize) {
         self.spans.record(count as u64, &[]);
     }
 
-    pub(crate) fn log_call(&self, topic: &'static str, outcome: &'static str) {
+    pub(crate) fn count_log_read(&self, topic: &'static str, outcome: &'static str) {
         let set = [
             KeyValue::new("topic", topic),
             KeyValue::new("outcome", outcome),
@@ -168,41 +171,41 @@
         self.calls.add(1, &set);
     }
 
-    pub(crate) fn log_listed(&self, topic: &'static str) {
+    pub(crate) fn count_log_listing(&self, topic: &'static str) {
         self.listed.add(1, &[KeyValue::new("topic", topic)]);
     }
 
-    pub(crate) fn log_ignored(&self, topic: &'static str, count: u64) {
+    pub(crate) fn count_ignored_records(&self, topic: &'static str, count: u64) {
         self.ignored.add(count, &[KeyValue::new("topic", topic)]);
     }
 
-    pub(crate) fn era(&self, era: Era, age: Duration) {
+    pub(crate) fn record_log_era(&self, era: Era, age: Duration) {
         self.era.record(era, &[]);
         self.era_age.record(millis(age), &[]);
     }
 
-    pub(crate) fn endpoints(&self, count: usize) {
+    pub(crate) fn record_endpoints(&self, count: usize) {
         self.endpoints.record(count as u64, &[]);
     }
 
-    pub(crate) fn evacuated(&self, zones: usize) {
+    pub(crate) fn record_evacuated_zones(&self, zones: usize) {
         self.evacuated.record(zones as u64, &[]);
     }
 
-    pub(crate) fn paused(&self, endpoints: usize) {
+    pub(crate) fn record_paused_endpoints(&self, endpoints: usize) {
         self.paused.record(endpoints as u64, &[]);
     }
 
-    pub(crate) fn age(&self, age: Duration) {
+    pub(crate) fn record_policy_age(&self, age: Duration) {
         self.age.record(millis(age), &[]);
     }
 
-    pub(crate) fn dropped(&self, lines: u64) {
+    pub(crate) fn record_dropped_lines(&self, lines: u64) {
         self.dropped.record(lines, &[]);
     }
 
     /// Replaces what the services' gauges show.
-    pub(crate) fn measured(&self, usages: Vec<Usage>) {
+    pub(crate) fn set_service_usage(&self, usages: Vec<ServiceUsage>) {
         *self.usages.lock().unwrap_or_else(PoisonError::into_inner) = usages;
     }
 }
@@ -212,13 +215,13 @@
 }
 
 // The gauges of each service.
-fn usages(meter: &Meter) -> Usages {
-    let usages = Usages::default();
-    let gauge = |name: &'static str, text: &'static str, value: fn(&Usage) -> f64| {
+fn service_gauges(meter: &Meter) -> SharedUsage {
+    let usages = SharedUsage::default();
+    let gauge = |name: &'static str, description: &'static str, value: fn(&ServiceUsage) -> f64| {
         let shown = Arc::clone(&usages);
         meter
             .f64_observable_gauge(name)
-            .with_description(text)
+            .with_description(description)
             .with_callback(move |to| {
                 for usage in &*shown.lock().unwrap_or_else(PoisonError::into_inner) {
                     let service = KeyValue::new("service", usage.service.clone());
--- a/crates/direct/src/notices.rs
+++ b/crates/direct/src/notices.rs
@@ -16,7 +16,7 @@
 use godwitpost_types::clock::{Moment, since};
 use godwitpost_types::id::EndpointId;
 
-use crate::roster::Life;
+use crate::roster::EndpointIncarnation;
 
 /// How long an endpoint counts as leaving here; the roster has taken it in by then.
 const KEPT: Duration = Duration::from_mins(1);
@@ -56,12 +56,17 @@
     // Refusals in a row that named no time.
     refusals: BTreeMap<EndpointId, u32>,
     // Lives that the roster has not been told of.
-    untold: Vec<Life>,
+    untold: Vec<EndpointIncarnation>,
 }
 
 impl Notices {
     /// Takes in that an endpoint says that it is leaving; returns whether that is news.
-    pub fn leaves(&mut self, endpoint: EndpointId, life: &Life, now: Moment) -> bool {
+    pub fn leaves(
+        &mut self,
+        endpoint: EndpointId,
+        life: &EndpointIncarnation,
+        now: Moment,
+    ) -> bool {
         let news = self.leaving.insert(endpoint, now).is_none();
         if news {
             self.untold.push(life.clone());
@@ -123,7 +128,7 @@
 
     /// Returns the lives that are leaving and that this was not yet asked for, and
     /// forgets what was heard long ago.
-    pub fn take_leaving(&mut self, now: Moment) -> Vec<Life> {
+    pub fn take_leaving(&mut self, now: Moment) -> Vec<EndpointIncarnation> {
         self.leaving.retain(|_, at| since(now, *at) < KEPT);
         self.pauses.retain(|_, until| since(now, *until) < KEPT);
         let pauses = &self.pauses;
--- a/crates/direct/src/notices/tests.rs
+++ b/crates/direct/src/notices/tests.rs
@@ -1,14 +1,14 @@
 use std::time::Duration;
 
 use super::{DOUBLINGS, LONGEST, Notice, Notices};
-use crate::roster::Life;
+use crate::roster::EndpointIncarnation;
 
 const fn at(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
 }
 
-fn life() -> Life {
-    Life {
+fn life() -> EndpointIncarnation {
+    EndpointIncarnation {
         name: "e1".to_owned(),
         incarnation: 7,
     }
--- a/crates/direct/src/relay.rs
+++ b/crates/direct/src/relay.rs
@@ -50,7 +50,7 @@
         Ok(response) => response,
         Err(refused) => refuse(&shared, &refused),
     };
-    if shared.draining() {
+    if shared.is_draining() {
         // The balancer sends no new connections; what comes on this one is to
         // go to another instance.
         let close = HeaderValue::from_static("close");
@@ -120,12 +120,12 @@
 // An instance that is not informed by then has lost the log, and refuses at once.
 async fn start_up(shared: &Shared, facts: &Facts) {
     let left = STARTS.saturating_sub(shared.uptime());
-    if left.is_zero() || shared.informed() {
+    if left.is_zero() || shared.can_route() {
         return;
     }
     let patience = facts.patience.unwrap_or(STARTS) / OF_PATIENCE;
-    let mut beliefs = shared.beliefs();
-    let informed = async { while !shared.informed() && beliefs.changed().await.is_ok() {} };
+    let mut beliefs = shared.view_changes();
+    let informed = async { while !shared.can_route() && beliefs.changed().await.is_ok() {} };
     if timeout(left.min(patience), informed).await.is_err() {
         log::info!(request:% = job::shown(&facts.attempt); "not informed within the start");
     }
@@ -158,7 +158,7 @@
             return Err(Reason::Malformed);
         }
     };
-    if !job.admission(|admission: &mut Admission| admission.hold(bytes.len())) {
+    if !job.admission(|admission: &mut Admission| admission.reserve_body(bytes.len())) {
         return Err(Reason::Overloaded);
     }
     job.set_body(bytes);
@@ -167,7 +167,7 @@
 
 fn refuse(shared: &Shared, refused: &Refused) -> Response<Body> {
     let reason = refused.reason;
-    shared.metrics.refused(reason);
+    shared.metrics.count_refusal(reason);
     match &refused.who {
         Who::Job(job) => job.refused(reason),
         Who::Head { id, revoked_in } => unresolved(shared, reason, id.as_deref(), *revoked_in),
@@ -211,7 +211,7 @@
     log::warn!(
         request:% = id.unwrap_or("(none)"), reason:% = reason.as_str(),
         outcome:% = reason.outcome(), status = status, version = version,
-        confirmed_ms = shared.age().as_millis(), revoked_in:? = revoked_in;
+        confirmed_ms = shared.policy_age().as_millis(), revoked_in:? = revoked_in;
         "request refused"
     );
 }
--- a/crates/direct/src/relay/answer.rs
+++ b/crates/direct/src/relay/answer.rs
@@ -62,7 +62,7 @@
     }
     let now = godwitpost_client::clock::boot_time();
     let allowed = job.shared.budget().take(job.service, now);
-    job.shared.metrics.repeat(allowed);
+    job.shared.metrics.count_repeat(allowed);
     if !allowed {
         return Err(Reason::Broken);
     }
--- a/crates/direct/src/relay/choose.rs
+++ b/crates/direct/src/relay/choose.rs
@@ -42,7 +42,7 @@
     let shared = Arc::clone(&job.shared);
     // In this order: a version published in between is then confirmed at least
     // as well as is believed.
-    let fresh = shared.fresh();
+    let fresh = shared.is_policy_current();
     let view = shared.view();
     job.renew(&view, fresh)?;
     if let Some(left) = job.held() {
@@ -51,7 +51,7 @@
     if job.left() <= RETURN {
         return Err(job.attempts.late());
     }
-    let registrations = view.of(job.service);
+    let registrations = view.usable(job.service);
     let split = split(job, registrations);
     let candidates = candidates(job, &view, &split.usable);
     let rest = rest(job, &view, &split);
@@ -84,7 +84,7 @@
 /// endpoint wants it: it is then in vain to come back before one does.
 pub(super) fn paused(job: &Job) -> Option<Reason> {
     let view = job.shared.view();
-    let split = split(job, view.of(job.service));
+    let split = split(job, view.usable(job.service));
     let all = split.usable.is_empty();
     split
         .back
@@ -108,9 +108,9 @@
     let Some(ramp) = view.ramp(job.service, endpoint.id, now) else {
         return true;
     };
-    let instances = job.shared.instances(now);
+    let instances = job.shared.instance_count(now);
     let taken = job.shared.shares().take(endpoint.id, ramp, instances, now);
-    job.shared.metrics.share(taken);
+    job.shared.metrics.count_warming_share(taken);
     log::info!(
         request:% = job.id(), endpoint:% = endpoint.name, instances:? = instances, taken = taken;
         "share of an endpoint that is warming up"
@@ -129,7 +129,7 @@
     let may_run = |one: &Arc<Registration>| job.may_run_in(one.endpoint.zone);
     if view.evacuated(job.service).iter().any(may_run) {
         Reason::Evacuated
-    } else if view.of(job.service).is_empty() || view.of(job.service).iter().any(may_run) {
+    } else if view.usable(job.service).is_empty() || view.usable(job.service).iter().any(may_run) {
         Reason::NoEndpoint
     } else {
         Reason::NoHome
@@ -142,10 +142,10 @@
     let all = candidates.iter().map(|one| one.load).sum();
     let id = job.apart().unwrap_or(part.id);
     let part = Part { id, ..part };
-    let mut book = job.shared.book();
-    let own = candidates.iter().map(|one| book.own(one.endpoint));
+    let mut book = job.shared.endpoint_stats();
+    let own = candidates.iter().map(|one| book.own_requests(one.endpoint));
     let own = f64::from(own.sum::<u32>());
-    Some(book.prompt(job.service, part, (own, all), boot_time()))
+    Some(book.record_prompt(job.service, part, (own, all), boot_time()))
 }
 
 /// The endpoints of a request's service by what they may get of it. Those that are leaving
@@ -201,10 +201,16 @@
     }
     let now = boot_time();
     let evacuated: Vec<EndpointId> = evacuated.iter().map(|one| one.endpoint.id).collect();
-    let book = job.shared.book();
-    let used = book.look(&others, now).into_iter().map(|look| look.load);
+    let book = job.shared.endpoint_stats();
+    let used = book
+        .estimate(&others, now)
+        .into_iter()
+        .map(|look| look.load);
     // Nothing comes to these any more, so they have no more than what was seen there.
-    let left = book.look(&evacuated, now).into_iter().map(|look| look.seen);
+    let left = book
+        .estimate(&evacuated, now)
+        .into_iter()
+        .map(|look| look.observed_load);
     Rest {
         count: u32::try_from(others.len() + evacuated.len()).unwrap_or(u32::MAX),
         load: used.chain(left).sum(),
@@ -215,11 +221,11 @@
     let zone = job.shared.settings.zone_id();
     let ids: Vec<EndpointId> = registrations.iter().map(|one| one.endpoint.id).collect();
     let now = boot_time();
-    let looks = job.shared.book().look(&ids, now);
-    let ways = job.shared.ways();
+    let looks = job.shared.endpoint_stats().estimate(&ids, now);
+    let ways = job.shared.paths();
     let notices = job.shared.notices();
     let shares = job.shared.shares();
-    let instances = job.shared.instances(now);
+    let instances = job.shared.instance_count(now);
     let access = |id: EndpointId, seen: Access| match notices.of(id, now) {
         Some(Notice::Resuming) if seen == Access::Full => Access::Trial,
         _ => seen,
@@ -238,9 +244,9 @@
         .map(|(one, look)| Candidate {
             endpoint: one.endpoint.id,
             load: look.load,
-            spread: look.spread,
-            own: look.own,
-            seen: look.seen,
+            spread: look.std_dev,
+            own: look.own_requests,
+            seen: look.observed_load,
             known: look.known,
             slots: one.slots,
             near: one.endpoint.zone == zone,
--- a/crates/direct/src/relay/crash.rs
+++ b/crates/direct/src/relay/crash.rs
@@ -17,7 +17,7 @@
 
 use crate::control::peers::pass_on;
 use crate::shared::Shared;
-use crate::suspects::{Evidence, Fate};
+use crate::suspects::{Evidence, Observed};
 
 /// How long the refusal of a connection may take; a machine that lives sends
 /// it within a round trip.
@@ -40,15 +40,15 @@
         return;
     }
     // What the next request would have found out.
-    shared.endpoint_down(broken.endpoint, broken.address);
-    let mut suspects = shared.suspects();
-    suspects.saw(Evidence {
+    shared.mark_endpoint_down(broken.endpoint, broken.address);
+    let mut suspects = shared.crash_tracker();
+    suspects.record_local(Evidence {
         digest: broken.digest,
-        fate: Fate::Crashed(broken.endpoint),
-        sent: broken.sent,
-        at,
+        observed: Observed::Crashed(broken.endpoint),
+        sent_at: broken.sent,
+        observed_at: at,
     });
-    let chain = suspects.chain(&broken.digest);
+    let chain = suspects.chain_length(&broken.digest);
     drop(suspects);
     log::warn!(
         request:% = broken.request, endpoint:% = broken.name, chain = chain;
@@ -59,11 +59,11 @@
 
 /// Notes that a request was answered, if that says anything of it.
 pub(super) fn answered(shared: &Arc<Shared>, digest: BodyDigest, sent: Moment) {
-    shared.suspects().saw(Evidence {
+    shared.crash_tracker().record_local(Evidence {
         digest,
-        fate: Fate::Answered,
-        sent,
-        at: boot_time(),
+        observed: Observed::Answered,
+        sent_at: sent,
+        observed_at: boot_time(),
     });
     pass_on(shared);
 }
--- a/crates/direct/src/relay/job.rs
+++ b/crates/direct/src/relay/job.rs
@@ -94,7 +94,7 @@
             mut headers,
             ..
         } = head;
-        let fresh = shared.fresh();
+        let fresh = shared.is_policy_current();
         let view = shared.view();
         let policy = view.policy.as_ref().ok_or(Reason::Starting)?;
         check(&headers, policy.limits())?;
@@ -176,18 +176,18 @@
     /// Returns for how long it is still held back since endpoints ended each
     /// time that they ran it.
     pub(super) fn held(&self) -> Option<Duration> {
-        let suspects = self.shared.suspects();
+        let suspects = self.shared.crash_tracker();
         if suspects.is_empty() {
             return None;
         }
-        suspects.held(&self.digest(), boot_time())
+        suspects.remaining_hold(&self.digest(), boot_time())
     }
 
     /// Returns what it is placed by if it may be one that crashes endpoints:
     /// others that share its prompt's parts must not be where it is.
     pub(super) fn apart(&self) -> Option<u64> {
-        let suspects = self.shared.suspects();
-        if suspects.is_empty() || suspects.chain(&self.digest()) < APART {
+        let suspects = self.shared.crash_tracker();
+        if suspects.is_empty() || suspects.chain_length(&self.digest()) < APART {
             return None;
         }
         let half = self.digest().first_chunk().copied();
@@ -293,7 +293,7 @@
         godwitpost_process::metrics::Metrics::end(&self.labels, took);
         let level = match end {
             End::Whole => {
-                if !self.shared.suspects().is_empty() {
+                if !self.shared.crash_tracker().is_empty() {
                     crash::answered(&self.shared, self.digest(), self.arrived);
                 }
                 return;
--- a/crates/direct/src/relay/send.rs
+++ b/crates/direct/src/relay/send.rs
@@ -22,7 +22,7 @@
 use super::crash::{Broken, look};
 use super::source::{self, Source};
 use crate::attempt::{Ending, Next, Verdict, judge};
-use crate::book::Pulse;
+use crate::book::Liveness;
 use crate::dialect::{Answer, Outgoing};
 use crate::refusal::Reason;
 use crate::roster::Registration;
@@ -56,12 +56,14 @@
     shared: Arc<Shared>,
     registration: Arc<Registration>,
     sent: Moment,
-    pulse: Pulse,
+    pulse: Liveness,
 }
 
 impl Flight {
     fn new(shared: &Arc<Shared>, registration: &Arc<Registration>) -> Self {
-        let pulse = shared.book().sent(registration.endpoint.id);
+        let pulse = shared
+            .endpoint_stats()
+            .start_request(registration.endpoint.id);
         Self {
             pulse,
             shared: Arc::clone(shared),
@@ -85,18 +87,20 @@
     /// Notes that the endpoint broke off an answer.
     pub(crate) fn broke(&self) {
         let now = boot_time();
-        self.shared.book().seen(self.endpoint(), Event::Bad(now));
+        self.shared
+            .endpoint_stats()
+            .record_health_event(self.endpoint(), Event::Bad(now));
     }
 
     /// Notes that something came from the endpoint.
     pub(crate) fn heard(&self) {
-        self.pulse.beat(boot_time());
+        self.pulse.record(boot_time());
     }
 
     /// Notes that an answer was held up on its way from the endpoint.
     pub(crate) fn held_up(&self) {
         let zone = self.registration.endpoint.zone;
-        if self.shared.ways().held_up(zone, boot_time()) {
+        if self.shared.paths().held_up(zone, boot_time()) {
             log::warn!(endpoint:% = self.name(); "the way to its availability zone is left for a while");
         }
     }
@@ -109,12 +113,13 @@
     /// would be read again elsewhere. A dark machine is silent on all its connections.
     pub(crate) fn dark(&self) {
         let recent = since(boot_time(), RECENT);
-        if self.pulse.since(self.sent.max(recent)) {
+        if self.pulse.alive_since(self.sent.max(recent)) {
             log::info!(endpoint:% = self.name(); "a packet was lost; the endpoint answers others");
             self.held_up();
             return;
         }
-        self.shared.endpoint_down(self.endpoint(), self.address());
+        self.shared
+            .mark_endpoint_down(self.endpoint(), self.address());
     }
 
     /// Looks whether the endpoint ended with a request of this id and digest,
@@ -135,7 +140,9 @@
 impl Drop for Flight {
     fn drop(&mut self) {
         let lasted = since(boot_time(), self.sent);
-        self.shared.book().ended(self.endpoint(), lasted);
+        self.shared
+            .endpoint_stats()
+            .end_request(self.endpoint(), lasted);
     }
 }
 
@@ -204,7 +211,7 @@
         Next::Again { repeat: false } => Ok(()),
         Next::Again { repeat: true } => {
             let allowed = job.shared.budget().take(job.service, boot_time());
-            job.shared.metrics.repeat(allowed);
+            job.shared.metrics.count_repeat(allowed);
             if allowed {
                 Ok(())
             } else {
@@ -224,7 +231,7 @@
         request:% = job.id(), route:% = job.route.name, endpoint:% = registration.endpoint.name,
         choice:% = chosen.choice.as_str(), load:% = chosen.load, part:? = job.facts.shared().map(|part| part.id),
         source:% = shown(chosen.source.as_ref()), version = job.version,
-        confirmed_ms:% = job.shared.age().as_millis(),
+        confirmed_ms:% = job.shared.policy_age().as_millis(),
         left_ms:% = job.left().as_millis(), wait_ms:% = wait.as_millis();
         "request sent"
     );
@@ -314,7 +321,7 @@
 // Learns from an answer what it says of its endpoint.
 fn note(job: &Job, flight: &Flight, status: StatusCode, answer: &Answer) {
     let now = boot_time();
-    flight.pulse.beat(now);
+    flight.pulse.record(now);
     let id = &job.facts.attempt;
     if answer.is_crossed(id) {
         return;
@@ -322,23 +329,23 @@
     if answer.is_own(status, id) {
         take_notices(job, flight, status, answer, now);
     }
-    let mut book = job.shared.book();
+    let mut book = job.shared.endpoint_stats();
     if status == StatusCode::MISDIRECTED_REQUEST {
         // Somebody else has the address.
-        book.unreachable(flight.endpoint(), now);
+        book.record_unreachable(flight.endpoint(), now);
         return;
     }
     if let Some(report) = answer.report {
-        book.report(flight.endpoint(), report, now);
+        book.record_report(flight.endpoint(), report, now);
     }
-    book.seen(flight.endpoint(), Event::Good(now));
+    book.record_health_event(flight.endpoint(), Event::Good(now));
 }
 
 // Takes in what an endpoint says of itself beside its load.
 fn take_notices(job: &Job, flight: &Flight, status: StatusCode, answer: &Answer, now: Moment) {
     if answer.standing == Some(Standing::Leaving) {
-        job.shared.metrics.notice("leaving");
-        let life = flight.registration.life();
+        job.shared.metrics.count_endpoint_notice("leaving");
+        let life = flight.registration.endpoint_incarnation();
         if job.shared.notices().leaves(flight.endpoint(), &life, now) {
             log::info!(
                 request:% = job.id(), endpoint:% = flight.name(), incarnation = life.incarnation;
@@ -348,14 +355,14 @@
     }
     let endpoint = flight.endpoint();
     if let Some(pause) = answer.retry_after {
-        job.shared.metrics.notice("retry-after");
+        job.shared.metrics.count_endpoint_notice("retry-after");
         job.shared.notices().pause(endpoint, pause, now);
         log::warn!(
             request:% = job.id(), endpoint:% = flight.name(), pause_ms = pause.as_millis();
             "the answer asks for no requests for a while"
         );
     } else if answer.not_run && turns_away(status) {
-        job.shared.metrics.notice("refused");
+        job.shared.metrics.count_endpoint_notice("refused");
         let pause = job.shared.notices().refused(endpoint, now);
         log::info!(
             request:% = job.id(), endpoint:% = flight.name(), pause_ms = pause.as_millis();
--- a/crates/direct/src/relay/source.rs
+++ b/crates/direct/src/relay/source.rs
@@ -73,7 +73,7 @@
         .map(|one| one.endpoint.id)
         .chain(paused.iter().map(|one| one.endpoint.id));
     let others: Vec<EndpointId> = {
-        let book = job.shared.book();
+        let book = job.shared.endpoint_stats();
         let sound = |endpoint: &EndpointId| book.access(*endpoint) == Access::Full;
         live.chain(leaving.filter(sound))
             .filter(|endpoint| !before.contains(endpoint))
@@ -92,7 +92,7 @@
     let directory = job.shared.directory();
     let pick = pick(&directory, prompt, target.endpoint.id, others, draw, now);
     drop(directory);
-    job.shared.metrics.source(pick.as_str());
+    job.shared.metrics.count_prompt_source(pick.as_str());
     let from = match pick {
         Pick::From { endpoint, .. } => view.holder(job.service, endpoint).map(Arc::clone),
         Pick::Held | Pick::Nobody => None,
--- a/crates/direct/src/roster.rs
+++ b/crates/direct/src/roster.rs
@@ -32,25 +32,25 @@
 /// renew theirs within two seconds of it; that return is noticed up to 0.6 s
 /// late, and an endpoint that really left must be left alone three seconds
 /// after it.
-pub const GRACE: Duration = Duration::from_millis(2_200);
+pub const EXPIRED_ENTRY_GRACE: Duration = Duration::from_millis(2_200);
 
 /// Heartbeats for which the log has to be away for entries to lapse: they
 /// lapse after three, of which the last may just not have been sent.
-const BEATS: u32 = 2;
+const MIN_ABSENCE_HEARTBEATS: u32 = 2;
 
 /// Heartbeats after a log came back from a copy in which the copy may hold entries of
 /// endpoints that are gone: three until those lapse, and one until that is heard of.
-const DOUBTED_BEATS: u32 = 4;
+const UNCONFIRMED_HEARTBEATS: u32 = 4;
 
 /// How long an endpoint that is gone is remembered: more than a copy of the log is old.
-const REMEMBERED: Duration = Duration::from_mins(1);
+const ENDED_RETENTION: Duration = Duration::from_mins(1);
 
 /// How long it is remembered that a life was leaving, since anything was last said of it:
 /// more than endpoints take to leave.
-const LEAVING_REMEMBERED: Duration = Duration::from_mins(10);
+const LEAVING_RETENTION: Duration = Duration::from_mins(10);
 
 /// The life of an endpoint that doesn't say which one it is in.
-const UNNAMED: Incarnation = 0;
+const NO_INCARNATION: Incarnation = 0;
 
 /// The endpoints known, and how the log has been reached.
 #[derive(Debug)]
@@ -59,22 +59,22 @@
     entries: BTreeMap<String, Entry>,
     // When the log was last read, and since when it could be again after an
     // absence in which entries may have lapsed.
-    read: Option<Moment>,
-    back: Option<Moment>,
+    last_read: Option<Moment>,
+    recovered_at: Option<Moment>,
     // When it was heard that the log came back from a copy.
-    restored: Option<Moment>,
+    restored_at: Option<Moment>,
     // Entries that may be of endpoints that are gone.
-    doubted: BTreeMap<String, Registration>,
+    unconfirmed: BTreeMap<String, Registration>,
     origin: Option<Origin>,
     // Lives that ended lately, and when.
-    gone: BTreeMap<String, (Incarnation, Moment)>,
+    ended: BTreeMap<String, (Incarnation, Moment)>,
     // Lives that are leaving, and when anything was last said of them.
     leaving: BTreeMap<String, (Incarnation, Moment)>,
 }
 
 /// One life of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Life {
+pub struct EndpointIncarnation {
     /// The endpoint's name.
     pub name: String,
     /// Which of its lives.
@@ -95,23 +95,24 @@
 impl Registration {
     /// Returns the life that it is of.
     #[must_use]
-    pub fn life(&self) -> Life {
-        Life {
+    pub fn endpoint_incarnation(&self) -> EndpointIncarnation {
+        EndpointIncarnation {
             name: self.endpoint.name.clone(),
             incarnation: self.endpoint.incarnation,
         }
     }
 
     // Whether it says the same but for its warming up.
-    fn same(&self, other: &Self) -> bool {
+    fn same_except_warming(&self, other: &Self) -> bool {
         self.endpoint == other.endpoint && self.slots == other.slots
     }
 
     // Whether it was said before the other by an endpoint of the same name.
-    fn precedes(&self, other: &Self) -> bool {
+    fn is_older_than(&self, other: &Self) -> bool {
         let (own, other) = (&self.endpoint, &other.endpoint);
-        let takes_back = own.standing == Standing::Live && other.standing == Standing::Leaving;
-        own.incarnation < other.incarnation || (own.incarnation == other.incarnation && takes_back)
+        let undoes_leaving = own.standing == Standing::Live && other.standing == Standing::Leaving;
+        own.incarnation < other.incarnation
+            || (own.incarnation == other.incarnation && undoes_leaving)
     }
 }
 
@@ -120,7 +121,7 @@
     registration: Registration,
     // When it will have warmed up.
     warm_at: Moment,
-    lapsed: bool,
+    expired: bool,
 }
 
 /// Whose word on entries is taken.
@@ -134,13 +135,13 @@
 
 /// What an entry that was set says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Setting {
+pub enum SetResult {
     /// Nothing but that its endpoint lives.
-    Same,
+    Unchanged,
     /// The same as before it lapsed.
-    Returned,
+    Restored,
     /// That its endpoint is warming up again, and else the same.
-    Warming,
+    WarmingAgain,
     /// Something new.
     Changed,
     /// Something older than what is known: it is not taken.
@@ -151,11 +152,11 @@
 
 /// What became of an entry that the log removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Removal {
+pub enum RemoveResult {
     /// It is gone.
-    Gone,
+    Removed,
     /// It may have lapsed only; it is kept for a while.
-    Kept,
+    Retained,
     /// It was not known.
     Unknown,
 }
@@ -167,101 +168,114 @@
         Self {
             heartbeat,
             entries: BTreeMap::new(),
-            read: None,
-            back: None,
-            restored: None,
-            doubted: BTreeMap::new(),
+            last_read: None,
+            recovered_at: None,
+            restored_at: None,
+            unconfirmed: BTreeMap::new(),
             origin: None,
-            gone: BTreeMap::new(),
+            ended: BTreeMap::new(),
             leaving: BTreeMap::new(),
         }
     }
 
     /// Takes in that the log was read.
-    pub fn reached(&mut self, now: Moment) {
-        let away = self.read.map(|read| since(now, read));
+    pub fn record_read(&mut self, now: Moment) {
+        let away = self.last_read.map(|read| since(now, read));
         // Endpoints whose entries lapsed had no time to write while it was away again.
-        let lapsed = self.entries.values().any(|entry| entry.lapsed);
-        let beats = if lapsed { 1 } else { BEATS };
-        if away.is_some_and(|away| away >= self.heartbeat * beats) {
-            self.back = Some(now);
+        let expired = self.entries.values().any(|entry| entry.expired);
+        let heartbeats = if expired { 1 } else { MIN_ABSENCE_HEARTBEATS };
+        if away.is_some_and(|away| away >= self.heartbeat * heartbeats) {
+            self.recovered_at = Some(now);
         }
-        self.read = Some(now);
+        self.last_read = Some(now);
     }
 
     /// Takes in who tells from now on. Whoever that is doesn't say again what another
     /// one would have said of entries that are doubted: they have to be told anew.
-    pub fn hear(&mut self, origin: Origin) {
+    pub fn set_origin(&mut self, origin: Origin) {
         if self.origin.replace(origin) != Some(origin) {
-            self.doubted.clear();
+            self.unconfirmed.clear();
         }
     }
 
     /// Takes in when it was heard that the log came back from a copy, which may lack
     /// the newest entries.
-    pub fn restored(&mut self, at: Moment) {
-        self.back = self.back.max(Some(at));
-        self.restored = self.restored.max(Some(at));
+    pub fn record_restore(&mut self, at: Moment) {
+        self.recovered_at = self.recovered_at.max(Some(at));
+        self.restored_at = self.restored_at.max(Some(at));
     }
 
     /// Takes in an entry that a list of the log holds; returns what it says.
-    pub fn listed(&mut self, registration: Registration, then: Moment) -> Setting {
+    pub fn apply_listed(&mut self, registration: Registration, received_at: Moment) -> SetResult {
         let known = self.entries.contains_key(&registration.endpoint.name);
-        self.set_unless(!known, registration, then)
+        self.apply_unless(!known, registration, received_at)
     }
 
     /// Takes in an entry that a peer told; returns what it says.
-    pub fn told(&mut self, registration: Registration, then: Moment) -> Setting {
+    pub fn apply_from_peer(
+        &mut self,
+        registration: Registration,
+        received_at: Moment,
+    ) -> SetResult {
         let endpoint = &registration.endpoint;
-        let gone = self.gone.get(&endpoint.name);
+        let gone = self.ended.get(&endpoint.name);
         let gone = gone.is_some_and(|(life, _)| *life == endpoint.incarnation);
-        self.set_unless(gone, registration, then)
+        self.apply_unless(gone, registration, received_at)
     }
 
-    fn set_unless(&mut self, doubted: bool, registration: Registration, then: Moment) -> Setting {
-        if doubted && self.doubts(then) {
+    fn apply_unless(
+        &mut self,
+        unconfirmed: bool,
+        registration: Registration,
+        received_at: Moment,
+    ) -> SetResult {
+        if unconfirmed && self.may_be_stale(received_at) {
             let name = registration.endpoint.name.clone();
-            self.doubted.insert(name, registration);
-            return Setting::Doubted;
+            self.unconfirmed.insert(name, registration);
+            return SetResult::Doubted;
         }
-        self.set(registration, then)
+        self.apply(registration, received_at)
     }
 
     // Whether the copy that the log came back from may hold entries that lapse yet.
-    fn doubts(&self, now: Moment) -> bool {
-        let time = self.heartbeat * DOUBTED_BEATS;
-        self.restored.is_some_and(|at| now < at + time)
+    fn may_be_stale(&self, now: Moment) -> bool {
+        let time = self.heartbeat * UNCONFIRMED_HEARTBEATS;
+        self.restored_at.is_some_and(|at| now < at + time)
     }
 
     /// Returns the entries that nobody has removed while they were doubted, to be taken
     /// in now.
-    pub fn take_believed(&mut self) -> Vec<Registration> {
+    pub fn take_unconfirmed(&mut self) -> Vec<Registration> {
         // Nothing lapses for who can't read the log.
-        if self.read.is_none_or(|read| self.doubts(read)) {
+        if self.last_read.is_none_or(|read| self.may_be_stale(read)) {
             return Vec::new();
         }
-        std::mem::take(&mut self.doubted).into_values().collect()
+        std::mem::take(&mut self.unconfirmed)
+            .into_values()
+            .collect()
     }
 
     /// Takes in an entry that was told at `then`; returns what it says beside its
     /// heartbeat.
-    pub fn set(&mut self, registration: Registration, then: Moment) -> Setting {
+    pub fn apply(&mut self, registration: Registration, received_at: Moment) -> SetResult {
         let name = registration.endpoint.name.clone();
-        self.doubted.remove(&name);
+        self.unconfirmed.remove(&name);
         if registration.endpoint.standing == Standing::Leaving {
-            self.remember_leaving(&registration.life(), then);
-        } else if self.was_leaving(&registration.life(), then) {
-            return Setting::Older;
+            self.record_leaving(&registration.endpoint_incarnation(), received_at);
+        } else if self.is_known_leaving(&registration.endpoint_incarnation(), received_at) {
+            return SetResult::Older;
         }
-        self.gone.remove(&name);
+        self.ended.remove(&name);
         let entry = Entry {
-            warm_at: then + registration.warming,
+            warm_at: received_at + registration.warming,
             registration,
-            lapsed: false,
+            expired: false,
         };
         match self.entries.get_mut(&name) {
-            Some(known) if entry.registration.precedes(&known.registration) => Setting::Older,
-            Some(known) if known.registration.same(&entry.registration) => {
+            Some(known) if entry.registration.is_older_than(&known.registration) => {
+                SetResult::Older
+            }
+            Some(known) if known.registration.same_except_warming(&entry.registration) => {
                 let again = entry.registration.warming > Duration::ZERO
                     && entry.warm_at > known.warm_at + self.heartbeat;
                 // Each entry is older than it looks, so the earliest is right.
@@ -270,30 +284,34 @@
                 } else {
                     known.warm_at.min(entry.warm_at)
                 };
-                let lapsed = std::mem::take(&mut known.lapsed);
+                let expired = std::mem::take(&mut known.expired);
                 if again {
-                    Setting::Warming
-                } else if lapsed {
-                    Setting::Returned
+                    SetResult::WarmingAgain
+                } else if expired {
+                    SetResult::Restored
                 } else {
-                    Setting::Same
+                    SetResult::Unchanged
                 }
             }
             Some(known) => {
                 *known = entry;
-                Setting::Changed
+                SetResult::Changed
             }
             None => {
                 self.entries.insert(name, entry);
-                Setting::Changed
+                SetResult::Changed
             }
         }
     }
 
     /// Takes in that an endpoint says itself that it is leaving; returns what its entry
     /// says now if that is news.
-    pub fn leaves(&mut self, life: &Life, now: Moment) -> Option<Registration> {
-        self.remember_leaving(life, now);
+    pub fn mark_leaving(
+        &mut self,
+        life: &EndpointIncarnation,
+        now: Moment,
+    ) -> Option<Registration> {
+        self.record_leaving(life, now);
         let entry = self.entries.get_mut(&life.name)?;
         let endpoint = &mut entry.registration.endpoint;
         if endpoint.incarnation != life.incarnation || endpoint.standing == Standing::Leaving {
@@ -303,15 +321,15 @@
         Some(entry.registration.clone())
     }
 
-    fn remember_leaving(&mut self, life: &Life, now: Moment) {
+    fn record_leaving(&mut self, life: &EndpointIncarnation, now: Moment) {
         self.leaving
-            .retain(|_, (_, at)| since(now, *at) < LEAVING_REMEMBERED);
+            .retain(|_, (_, at)| since(now, *at) < LEAVING_RETENTION);
         let known = self.leaving.entry(life.name.clone()).or_default();
         *known = (life.incarnation.max(known.0), now);
     }
 
     // Whether a life was leaving, or an earlier one than one that was.
-    fn was_leaving(&mut self, life: &Life, now: Moment) -> bool {
+    fn is_known_leaving(&mut self, life: &EndpointIncarnation, now: Moment) -> bool {
         let Some((leaving, at)) = self.leaving.get_mut(&life.name) else {
             return false;
         };
@@ -325,28 +343,31 @@
     }
 
     /// Takes in that an entry was removed.
-    pub fn remove(&mut self, name: &str, now: Moment) -> Removal {
-        let recent = self.back.is_some_and(|back| since(now, back) < GRACE);
-        self.doubted.remove(name);
+    pub fn remove(&mut self, name: &str, now: Moment) -> RemoveResult {
+        let recent = self
+            .recovered_at
+            .is_some_and(|back| since(now, back) < EXPIRED_ENTRY_GRACE);
+        self.unconfirmed.remove(name);
         let Some(entry) = self.entries.get_mut(name) else {
-            return Removal::Unknown;
+            return RemoveResult::Unknown;
         };
         if recent && entry.registration.endpoint.standing == Standing::Live {
-            entry.lapsed = true;
-            return Removal::Kept;
+            entry.expired = true;
+            return RemoveResult::Retained;
         }
-        self.end(name, now);
-        Removal::Gone
+        self.remove_entry(name, now);
+        RemoveResult::Removed
     }
 
     // Drops an entry, and remembers the life that ended.
-    fn end(&mut self, name: &str, now: Moment) {
+    fn remove_entry(&mut self, name: &str, now: Moment) {
         if let Some(entry) = self.entries.remove(name) {
-            self.gone.retain(|_, (_, at)| since(now, *at) < REMEMBERED);
+            self.ended
+                .retain(|_, (_, at)| since(now, *at) < ENDED_RETENTION);
             let life = entry.registration.endpoint.incarnation;
-            self.gone.insert(name.to_owned(), (life, now));
+            self.ended.insert(name.to_owned(), (life, now));
             // One that names no life can't be told from the next of its name.
-            if life == UNNAMED {
+            if life == NO_INCARNATION {
                 self.leaving.remove(name);
             }
         }
@@ -354,31 +375,33 @@
 
     /// Drops an entry that a peer, who weighed it, says is gone; returns
     /// whether it was known.
-    pub fn dismiss(&mut self, name: &str, now: Moment) -> bool {
-        self.doubted.remove(name);
+    pub fn remove_confirmed(&mut self, name: &str, now: Moment) -> bool {
+        self.unconfirmed.remove(name);
         let known = self.entries.contains_key(name);
-        self.end(name, now);
+        self.remove_entry(name, now);
         known
     }
 
     /// Drops lapsed entries whose time is over, by the last read of the log: with that
     /// away no endpoint can write. Returns their names.
-    pub fn expire(&mut self, now: Moment) -> Vec<String> {
-        let read = self.read.unwrap_or_default();
-        let over = self.back.is_none_or(|back| read >= back + GRACE);
+    pub fn remove_expired(&mut self, now: Moment) -> Vec<String> {
+        let read = self.last_read.unwrap_or_default();
+        let over = self
+            .recovered_at
+            .is_none_or(|back| read >= back + EXPIRED_ENTRY_GRACE);
         if !over {
             return Vec::new();
         }
-        let gone: Vec<String> = self
+        let ended: Vec<String> = self
             .entries
             .iter()
-            .filter(|(_, entry)| entry.lapsed)
+            .filter(|(_, entry)| entry.expired)
             .map(|(name, _)| name.clone())
             .collect();
-        for name in &gone {
-            self.end(name, now);
+        for name in &ended {
+            self.remove_entry(name, now);
         }
-        gone
+        ended
     }
 
     /// Returns when each endpoint will have warmed up, of those that have not by `now`.
--- a/crates/direct/src/roster/tests.rs
+++ b/crates/direct/src/roster/tests.rs
@@ -4,7 +4,7 @@
 use godwitpost_types::endpoint::{Endpoint, Standing};
 use godwitpost_types::id;
 
-use super::{Origin, Registration, Removal, Roster, Setting};
+use super::{Origin, Registration, RemoveResult, Roster, SetResult};
 
 const HEARTBEAT: Duration = Duration::from_millis(1_200);
 
@@ -44,20 +44,20 @@
 #[test]
 fn entries_that_lapsed_with_the_log_away_are_kept_until_they_are_back() {
     let mut roster = Roster::new(HEARTBEAT);
-    roster.reached(at(0));
-    roster.set(endpoint("a", Standing::Live), at(0));
-    roster.set(endpoint("b", Standing::Live), at(0));
-    roster.reached(at(6_000));
-    assert_eq!(roster.remove("a", at(6_000)), Removal::Kept);
-    assert_eq!(roster.remove("b", at(6_100)), Removal::Kept);
+    roster.record_read(at(0));
+    roster.apply(endpoint("a", Standing::Live), at(0));
+    roster.apply(endpoint("b", Standing::Live), at(0));
+    roster.record_read(at(6_000));
+    assert_eq!(roster.remove("a", at(6_000)), RemoveResult::Retained);
+    assert_eq!(roster.remove("b", at(6_100)), RemoveResult::Retained);
     assert_eq!(names(&roster), ["a", "b"]);
-    roster.reached(at(7_000));
-    let back = roster.set(endpoint("a", Standing::Live), at(0));
-    assert_eq!(back, Setting::Returned);
-    roster.reached(at(8_000));
-    assert_eq!(roster.expire(at(8_000)), [""; 0]);
-    roster.reached(at(8_300));
-    assert_eq!(roster.expire(at(8_300)), ["b"]);
+    roster.record_read(at(7_000));
+    let back = roster.apply(endpoint("a", Standing::Live), at(0));
+    assert_eq!(back, SetResult::Restored);
+    roster.record_read(at(8_000));
+    assert_eq!(roster.remove_expired(at(8_000)), [""; 0]);
+    roster.record_read(at(8_300));
+    assert_eq!(roster.remove_expired(at(8_300)), ["b"]);
     assert_eq!(names(&roster), ["a"]);
 }
 
@@ -66,32 +66,32 @@
 #[test]
 fn an_entry_removed_while_the_log_is_well_is_gone_at_once() {
     let mut roster = Roster::new(HEARTBEAT);
-    roster.reached(at(0));
-    roster.set(endpoint("a", Standing::Live), at(0));
-    roster.reached(at(1_000));
-    assert_eq!(roster.remove("a", at(1_000)), Removal::Gone);
+    roster.record_read(at(0));
+    roster.apply(endpoint("a", Standing::Live), at(0));
+    roster.record_read(at(1_000));
+    assert_eq!(roster.remove("a", at(1_000)), RemoveResult::Removed);
     // One lost poll is no absence in which an entry could lapse.
-    roster.set(endpoint("a", Standing::Live), at(0));
-    roster.reached(at(3_100));
-    assert_eq!(roster.remove("a", at(3_100)), Removal::Gone);
+    roster.apply(endpoint("a", Standing::Live), at(0));
+    roster.record_read(at(3_100));
+    assert_eq!(roster.remove("a", at(3_100)), RemoveResult::Removed);
 }
 
 #[test]
 fn an_endpoint_that_was_leaving_is_never_kept() {
     let mut roster = Roster::new(HEARTBEAT);
-    roster.reached(at(0));
-    roster.set(endpoint("a", Standing::Leaving), at(0));
-    roster.reached(at(9_000));
-    assert_eq!(roster.remove("a", at(9_000)), Removal::Gone);
+    roster.record_read(at(0));
+    roster.apply(endpoint("a", Standing::Leaving), at(0));
+    roster.record_read(at(9_000));
+    assert_eq!(roster.remove("a", at(9_000)), RemoveResult::Removed);
 }
 
 #[test]
 fn a_mere_heartbeat_changes_nothing() {
     let mut roster = Roster::new(HEARTBEAT);
-    let mut set = |standing| roster.set(endpoint("a", standing), at(0));
-    assert_eq!(set(Standing::Live), Setting::Changed);
-    assert_eq!(set(Standing::Live), Setting::Same);
-    assert_eq!(set(Standing::Leaving), Setting::Changed);
+    let mut set = |standing| roster.apply(endpoint("a", standing), at(0));
+    assert_eq!(set(Standing::Live), SetResult::Changed);
+    assert_eq!(set(Standing::Live), SetResult::Unchanged);
+    assert_eq!(set(Standing::Leaving), SetResult::Changed);
 }
 
 fn warming(millis: u64) -> Registration {
@@ -106,10 +106,13 @@
 #[test]
 fn an_endpoint_that_warms_up_is_told_once() {
     let mut roster = Roster::new(HEARTBEAT);
-    assert_eq!(roster.set(warming(3_000), at(100)), Setting::Changed);
-    assert_eq!(roster.set(warming(1_800), at(1_400)), Setting::Same);
+    assert_eq!(roster.apply(warming(3_000), at(100)), SetResult::Changed);
+    assert_eq!(
+        roster.apply(warming(1_800), at(1_400)),
+        SetResult::Unchanged
+    );
     assert_eq!(roster.warm_at("a"), at(3_100));
-    assert_eq!(roster.set(warming(600), at(2_300)), Setting::Same);
+    assert_eq!(roster.apply(warming(600), at(2_300)), SetResult::Unchanged);
     // The entry was read later than it was written, so the earliest is right.
     assert_eq!(roster.warm_at("a"), at(2_900));
     assert_eq!(roster.warming(at(2_800)).count(), 1);
@@ -121,25 +124,31 @@
 #[test]
 fn an_endpoint_that_warms_up_again_is_told_again() {
     let mut roster = Roster::new(HEARTBEAT);
-    roster.set(warming(3_000), at(100));
-    roster.set(warming(0), at(4_000));
-    assert_eq!(roster.set(warming(2_500), at(9_000)), Setting::Warming);
+    roster.apply(warming(3_000), at(100));
+    roster.apply(warming(0), at(4_000));
+    assert_eq!(
+        roster.apply(warming(2_500), at(9_000)),
+        SetResult::WarmingAgain
+    );
     assert_eq!(roster.warm_at("a"), at(11_500));
-    assert_eq!(roster.set(warming(1_300), at(10_300)), Setting::Same);
+    assert_eq!(
+        roster.apply(warming(1_300), at(10_300)),
+        SetResult::Unchanged
+    );
 }
 
 /// Guards against an endpoint that is used again by an older word of its own.
 #[test]
 fn who_is_leaving_does_not_come_back_in_the_same_life() {
     let mut roster = Roster::new(HEARTBEAT);
-    roster.set(endpoint("a", Standing::Leaving), at(0));
-    let older = roster.set(endpoint("a", Standing::Live), at(100));
-    assert_eq!(older, Setting::Older);
+    roster.apply(endpoint("a", Standing::Leaving), at(0));
+    let older = roster.apply(endpoint("a", Standing::Live), at(100));
+    assert_eq!(older, SetResult::Older);
     let mut next = endpoint("a", Standing::Live);
     next.endpoint.incarnation = 2;
-    assert_eq!(roster.set(next, at(200)), Setting::Changed);
-    let older = roster.set(endpoint("a", Standing::Leaving), at(300));
-    assert_eq!(older, Setting::Older);
+    assert_eq!(roster.apply(next, at(200)), SetResult::Changed);
+    let older = roster.apply(endpoint("a", Standing::Leaving), at(300));
+    assert_eq!(older, SetResult::Older);
     let known = roster.registrations().next().expect("an endpoint");
     assert_eq!(known.endpoint.standing, Standing::Live);
 }
@@ -149,20 +158,20 @@
 fn entries_that_a_restored_log_lacks_are_kept_until_they_are_back() {
     let mut roster = Roster::new(HEARTBEAT);
     for millis in [0, 500, 1_000] {
-        roster.reached(at(millis));
+        roster.record_read(at(millis));
     }
-    roster.set(endpoint("a", Standing::Live), at(1_000));
-    roster.set(endpoint("b", Standing::Live), at(1_000));
-    roster.restored(at(1_500));
-    assert_eq!(roster.remove("a", at(1_500)), Removal::Kept);
-    assert_eq!(roster.remove("b", at(1_500)), Removal::Kept);
-    roster.set(endpoint("a", Standing::Live), at(2_500));
+    roster.apply(endpoint("a", Standing::Live), at(1_000));
+    roster.apply(endpoint("b", Standing::Live), at(1_000));
+    roster.record_restore(at(1_500));
+    assert_eq!(roster.remove("a", at(1_500)), RemoveResult::Retained);
+    assert_eq!(roster.remove("b", at(1_500)), RemoveResult::Retained);
+    roster.apply(endpoint("a", Standing::Live), at(2_500));
     for millis in [1_600, 2_500, 3_300, 3_600] {
-        roster.reached(at(millis));
-        assert_eq!(roster.expire(at(millis)), [""; 0]);
+        roster.record_read(at(millis));
+        assert_eq!(roster.remove_expired(at(millis)), [""; 0]);
     }
-    roster.reached(at(3_700));
-    assert_eq!(roster.expire(at(3_700)), ["b"]);
+    roster.record_read(at(3_700));
+    assert_eq!(roster.remove_expired(at(3_700)), ["b"]);
 }
 
 /// Guards against an endpoint that is gone and still in the copy that the log came back
@@ -171,19 +180,28 @@
 fn an_unknown_entry_of_a_restored_log_waits_until_it_is_written_again() {
     let live = |name| endpoint(name, Standing::Live);
     let mut roster = Roster::new(HEARTBEAT);
-    roster.restored(at(1_000));
+    roster.record_restore(at(1_000));
     for name in ["gone", "lives", "silent"] {
-        assert_eq!(roster.listed(live(name), at(1_100)), Setting::Doubted);
+        assert_eq!(
+            roster.apply_listed(live(name), at(1_100)),
+            SetResult::Doubted
+        );
     }
     assert_eq!(names(&roster), [""; 0]);
-    assert_eq!(roster.set(live("lives"), at(1_500)), Setting::Changed);
-    assert_eq!(roster.listed(live("lives"), at(1_600)), Setting::Same);
-    assert_eq!(roster.remove("gone", at(4_600)), Removal::Unknown);
-    roster.reached(at(5_700));
-    assert_eq!(roster.take_believed(), []);
-    roster.reached(at(5_800));
-    assert_eq!(roster.take_believed(), [live("silent")]);
-    assert_eq!(roster.listed(live("later"), at(5_800)), Setting::Changed);
+    assert_eq!(roster.apply(live("lives"), at(1_500)), SetResult::Changed);
+    assert_eq!(
+        roster.apply_listed(live("lives"), at(1_600)),
+        SetResult::Unchanged
+    );
+    assert_eq!(roster.remove("gone", at(4_600)), RemoveResult::Unknown);
+    roster.record_read(at(5_700));
+    assert_eq!(roster.take_unconfirmed(), []);
+    roster.record_read(at(5_800));
+    assert_eq!(roster.take_unconfirmed(), [live("silent")]);
+    assert_eq!(
+        roster.apply_listed(live("later"), at(5_800)),
+        SetResult::Changed
+    );
 }
 
 /// Guards against an endpoint that was seen to be gone here, by the word of a peer that
@@ -192,22 +210,31 @@
 fn a_peer_does_not_bring_back_who_was_seen_to_be_gone() {
     let live = |name| endpoint(name, Standing::Live);
     let mut roster = Roster::new(HEARTBEAT);
-    roster.set(live("a"), at(0));
-    assert!(roster.dismiss("a", at(500)));
-    roster.restored(at(1_000));
-    assert_eq!(roster.told(live("a"), at(1_100)), Setting::Doubted);
-    assert_eq!(roster.told(live("b"), at(1_100)), Setting::Changed);
+    roster.apply(live("a"), at(0));
+    assert!(roster.remove_confirmed("a", at(500)));
+    roster.record_restore(at(1_000));
+    assert_eq!(
+        roster.apply_from_peer(live("a"), at(1_100)),
+        SetResult::Doubted
+    );
+    assert_eq!(
+        roster.apply_from_peer(live("b"), at(1_100)),
+        SetResult::Changed
+    );
     let mut next = live("a");
     next.endpoint.incarnation = 2;
-    assert_eq!(roster.told(next, at(1_200)), Setting::Changed);
+    assert_eq!(roster.apply_from_peer(next, at(1_200)), SetResult::Changed);
     // One that came back is known, whatever it says next.
-    assert_eq!(roster.set(live("c"), at(1_200)), Setting::Changed);
-    assert!(roster.dismiss("c", at(1_200)));
-    assert_eq!(roster.set(live("c"), at(1_300)), Setting::Changed);
+    assert_eq!(roster.apply(live("c"), at(1_200)), SetResult::Changed);
+    assert!(roster.remove_confirmed("c", at(1_200)));
+    assert_eq!(roster.apply(live("c"), at(1_300)), SetResult::Changed);
     let leaving = endpoint("c", Standing::Leaving);
-    assert_eq!(roster.told(leaving, at(1_400)), Setting::Changed);
-    roster.reached(at(9_000));
-    assert_eq!(roster.take_believed(), []);
+    assert_eq!(
+        roster.apply_from_peer(leaving, at(1_400)),
+        SetResult::Changed
+    );
+    roster.record_read(at(9_000));
+    assert_eq!(roster.take_unconfirmed(), []);
 }
 
 /// Guards against a doubted endpoint whose end is said to nobody who asks another one by
@@ -216,13 +243,13 @@
 fn entries_are_doubted_for_as_long_as_the_same_one_tells() {
     let live = || endpoint("a", Standing::Live);
     let mut roster = Roster::new(HEARTBEAT);
-    roster.hear(Origin::Log(1));
-    roster.restored(at(0));
-    roster.listed(live(), at(100));
-    roster.hear(Origin::Log(1));
-    roster.hear(Origin::Peer(7));
-    roster.reached(at(9_000));
-    assert_eq!(roster.take_believed(), []);
+    roster.set_origin(Origin::Log(1));
+    roster.record_restore(at(0));
+    roster.apply_listed(live(), at(100));
+    roster.set_origin(Origin::Log(1));
+    roster.set_origin(Origin::Peer(7));
+    roster.record_read(at(9_000));
+    assert_eq!(roster.take_unconfirmed(), []);
 }
 
 /// Guards against an instance that sends to nobody since the log went away again before
@@ -230,22 +257,22 @@
 #[test]
 fn lapsed_entries_are_kept_while_the_log_is_away_again() {
     let mut roster = Roster::new(HEARTBEAT);
-    roster.reached(at(0));
-    roster.set(endpoint("a", Standing::Live), at(0));
-    roster.reached(at(3_000));
-    assert_eq!(roster.remove("a", at(3_000)), Removal::Kept);
-    assert_eq!(roster.expire(at(6_000)), [""; 0]);
+    roster.record_read(at(0));
+    roster.apply(endpoint("a", Standing::Live), at(0));
+    roster.record_read(at(3_000));
+    assert_eq!(roster.remove("a", at(3_000)), RemoveResult::Retained);
+    assert_eq!(roster.remove_expired(at(6_000)), [""; 0]);
     // Back again, it has as long as before.
-    roster.reached(at(6_000));
-    assert_eq!(roster.expire(at(6_000)), [""; 0]);
+    roster.record_read(at(6_000));
+    assert_eq!(roster.remove_expired(at(6_000)), [""; 0]);
     for millis in [7_100, 8_100, 8_200] {
-        roster.reached(at(millis));
+        roster.record_read(at(millis));
     }
-    assert_eq!(roster.expire(at(8_200)), ["a"]);
+    assert_eq!(roster.remove_expired(at(8_200)), ["a"]);
 }
 
-fn life(incarnation: u64) -> super::Life {
-    super::Life {
+fn life(incarnation: u64) -> super::EndpointIncarnation {
+    super::EndpointIncarnation {
         name: "a".to_owned(),
         incarnation,
     }
@@ -262,21 +289,21 @@
 #[test]
 fn an_endpoint_that_said_that_it_leaves_stays_so_for_its_life() {
     let mut roster = Roster::new(HEARTBEAT);
-    roster.reached(at(0));
-    roster.set(of_life(2, Standing::Live), at(0));
-    let told = roster.leaves(&life(2), at(1_000)).expect("news");
+    roster.record_read(at(0));
+    roster.apply(of_life(2, Standing::Live), at(0));
+    let told = roster.mark_leaving(&life(2), at(1_000)).expect("news");
     assert_eq!(told.endpoint.standing, Standing::Leaving);
-    assert_eq!(roster.leaves(&life(2), at(1_100)), None);
+    assert_eq!(roster.mark_leaving(&life(2), at(1_100)), None);
     let live = || of_life(2, Standing::Live);
-    assert_eq!(roster.set(live(), at(1_200)), Setting::Older);
-    roster.reached(at(12_000));
-    assert_eq!(roster.remove("a", at(12_000)), Removal::Gone);
-    assert_eq!(roster.set(live(), at(12_500)), Setting::Older);
-    assert_eq!(roster.listed(live(), at(12_600)), Setting::Older);
-    assert_eq!(roster.told(live(), at(12_700)), Setting::Older);
+    assert_eq!(roster.apply(live(), at(1_200)), SetResult::Older);
+    roster.record_read(at(12_000));
+    assert_eq!(roster.remove("a", at(12_000)), RemoveResult::Removed);
+    assert_eq!(roster.apply(live(), at(12_500)), SetResult::Older);
+    assert_eq!(roster.apply_listed(live(), at(12_600)), SetResult::Older);
+    assert_eq!(roster.apply_from_peer(live(), at(12_700)), SetResult::Older);
     assert_eq!(
-        roster.set(of_life(1, Standing::Live), at(13_000)),
-        Setting::Older
+        roster.apply(of_life(1, Standing::Live), at(13_000)),
+        SetResult::Older
     );
     assert_eq!(names(&roster), [""; 0]);
 }
@@ -285,13 +312,13 @@
 #[test]
 fn a_later_life_of_one_that_was_leaving_is_used() {
     let mut roster = Roster::new(HEARTBEAT);
-    roster.reached(at(0));
-    roster.set(of_life(2, Standing::Live), at(0));
-    assert!(roster.leaves(&life(2), at(1_000)).is_some());
+    roster.record_read(at(0));
+    roster.apply(of_life(2, Standing::Live), at(0));
+    assert!(roster.mark_leaving(&life(2), at(1_000)).is_some());
     let later = of_life(3, Standing::Live);
-    assert_eq!(roster.set(later, at(2_000)), Setting::Changed);
+    assert_eq!(roster.apply(later, at(2_000)), SetResult::Changed);
     // A late word of the life before says nothing of this one.
-    assert_eq!(roster.leaves(&life(2), at(2_100)), None);
+    assert_eq!(roster.mark_leaving(&life(2), at(2_100)), None);
     let registration = roster.registrations().next().expect("an entry");
     assert_eq!(registration.endpoint.standing, Standing::Live);
 }
@@ -299,12 +326,12 @@
 #[test]
 fn leaving_that_only_an_entry_told_outlasts_its_removal() {
     let mut roster = Roster::new(HEARTBEAT);
-    roster.reached(at(0));
-    roster.set(of_life(2, Standing::Leaving), at(0));
-    roster.reached(at(1_000));
-    assert_eq!(roster.remove("a", at(1_000)), Removal::Gone);
+    roster.record_read(at(0));
+    roster.apply(of_life(2, Standing::Leaving), at(0));
+    roster.record_read(at(1_000));
+    assert_eq!(roster.remove("a", at(1_000)), RemoveResult::Removed);
     let live = of_life(2, Standing::Live);
-    assert_eq!(roster.set(live, at(1_500)), Setting::Older);
+    assert_eq!(roster.apply(live, at(1_500)), SetResult::Older);
 }
 
 /// Guards against an endpoint that names no life of its own and is left out for ever
@@ -312,31 +339,31 @@
 #[test]
 fn without_a_life_leaving_ends_with_the_entry() {
     let mut roster = Roster::new(HEARTBEAT);
-    roster.reached(at(0));
-    roster.set(of_life(0, Standing::Live), at(0));
-    assert!(roster.leaves(&life(0), at(1_000)).is_some());
+    roster.record_read(at(0));
+    roster.apply(of_life(0, Standing::Live), at(0));
+    assert!(roster.mark_leaving(&life(0), at(1_000)).is_some());
     let live = || of_life(0, Standing::Live);
-    assert_eq!(roster.set(live(), at(1_100)), Setting::Older);
-    roster.reached(at(2_000));
-    assert_eq!(roster.remove("a", at(2_000)), Removal::Gone);
-    assert_eq!(roster.set(live(), at(2_100)), Setting::Changed);
+    assert_eq!(roster.apply(live(), at(1_100)), SetResult::Older);
+    roster.record_read(at(2_000));
+    assert_eq!(roster.remove("a", at(2_000)), RemoveResult::Removed);
+    assert_eq!(roster.apply(live(), at(2_100)), SetResult::Changed);
 }
 
 #[test]
 fn leaving_is_remembered_for_as_long_as_anything_is_said_of_that_life() {
     let mut roster = Roster::new(HEARTBEAT);
-    assert_eq!(roster.leaves(&life(2), at(0)), None);
+    assert_eq!(roster.mark_leaving(&life(2), at(0)), None);
     let minutes = |count: u64| at(count * 60_000);
     for minute in [9, 18, 27] {
         let live = of_life(2, Standing::Live);
-        assert_eq!(roster.set(live, minutes(minute)), Setting::Older);
+        assert_eq!(roster.apply(live, minutes(minute)), SetResult::Older);
     }
     // Others that leave clear away what was last spoken of long ago.
-    let other = super::Life {
+    let other = super::EndpointIncarnation {
         name: "b".to_owned(),
         incarnation: 1,
     };
-    assert_eq!(roster.leaves(&other, minutes(40)), None);
+    assert_eq!(roster.mark_leaving(&other, minutes(40)), None);
     let live = of_life(2, Standing::Live);
-    assert_eq!(roster.set(live, minutes(40)), Setting::Changed);
+    assert_eq!(roster.apply(live, minutes(40)), SetResult::Changed);
 }
--- a/crates/direct/src/running.rs
+++ b/crates/direct/src/running.rs
@@ -24,11 +24,11 @@
 use crate::shared::Shared;
 
 /// How often a shutdown looks at what is in flight.
-const TICK: Duration = Duration::from_millis(20);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What is kept back of the time that a graceful shutdown may take: whoever
 /// kills the process then must find it gone.
-const RESERVE: Duration = Duration::from_millis(300);
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(300);
 
 /// Why an instance could not start.
 #[derive(Debug, displaydoc::Display)]
@@ -43,11 +43,11 @@
 
 /// How a graceful shutdown ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stopped {
+pub enum ShutdownResult {
     /// Nothing was in flight any more.
-    Whole,
+    Drained,
     /// The time was over with requests in flight.
-    Cut {
+    TimedOut {
         /// How many were cut.
         requests: usize,
     },
@@ -86,15 +86,19 @@
     let shared = Arc::new(Shared::new(settings, dialect));
     let (closing, closed) = watch::channel(false);
     let (traffic, ended) = watch::channel(false);
-    let ports = listen(
+    let ports = serve_ports(
         Arc::clone(&shared),
         [callers, ready, metrics],
         closed,
         ended.clone(),
     );
-    thread("traffic", runtime(threads)?, ports)?;
+    spawn_thread("traffic", build_runtime(threads)?, ports)?;
     let control = control::run(Arc::clone(&shared), sources, lines, peers, ended.clone());
-    thread("control", runtime(1)?, until(control, ended))?;
+    spawn_thread(
+        "control",
+        build_runtime(1)?,
+        run_until_ended(control, ended),
+    )?;
     Ok(Running {
         shared,
         closing,
@@ -105,7 +109,7 @@
     })
 }
 
-fn runtime(threads: usize) -> Result<Runtime, Error> {
+fn build_runtime(threads: usize) -> Result<Runtime, Error> {
     let mut builder = if threads == 1 {
         Builder::new_current_thread()
     } else {
@@ -119,7 +123,7 @@
         .map_err(Error::Threads)
 }
 
-fn thread(
+fn spawn_thread(
     name: &str,
     runtime: Runtime,
     task: impl Future<Output = ()> + Send + 'static,
@@ -132,14 +136,14 @@
 }
 
 // Runs a task until the instance ends.
-async fn until(task: impl Future<Output = ()>, mut ended: watch::Receiver<bool>) {
+async fn run_until_ended(task: impl Future<Output = ()>, mut ended: watch::Receiver<bool>) {
     tokio::select! {
         () = task => {}
         _ = ended.wait_for(|ended| *ended) => {}
     }
 }
 
-async fn listen(
+async fn serve_ports(
     shared: Arc<Shared>,
     [callers, ready_port, metrics]: [Port; 3],
     closed: watch::Receiver<bool>,
@@ -154,7 +158,7 @@
     tokio::spawn(run(ready_port, serve::limits(), ended.clone(), answer));
     let answer = move |request| ready(serve::metrics(&shared, &request));
     tokio::spawn(run(metrics, serve::limits(), ended.clone(), answer));
-    until(std::future::pending(), ended).await;
+    run_until_ended(std::future::pending(), ended).await;
 }
 
 impl Running {
@@ -181,21 +185,21 @@
     ///
     /// A second signal, which `hurry` tells of, changes nothing: a request in
     /// flight is not worth less for it, and the platform kills when it wants.
-    pub async fn stop(mut self) -> Stopped {
+    pub async fn stop(mut self) -> ShutdownResult {
         let limits = Limits {
             lag: self.shared.settings.balancer_lag,
-            hard: self.shared.settings.grace.saturating_sub(RESERVE),
+            hard: self.shared.settings.grace.saturating_sub(SHUTDOWN_MARGIN),
             second: Duration::ZERO,
         };
         let mut drain = Drain::new(limits);
         drain.signal(boot_time());
-        self.shared.drain();
-        let stopped = self.drained(&mut drain).await;
+        self.shared.start_drain();
+        let stopped = self.wait_for_drain(&mut drain).await;
         self.traffic.take();
         stopped
     }
 
-    async fn drained(&self, drain: &mut Drain) -> Stopped {
+    async fn wait_for_drain(&self, drain: &mut Drain) -> ShutdownResult {
         loop {
             match drain.tick(boot_time(), self.shared.in_flight()) {
                 Next::Close { .. } => {
@@ -203,10 +207,10 @@
                     drain.handed_over();
                 }
                 Next::Serve | Next::Announce { .. } | Next::Wait { .. } => {}
-                Next::Exit { cut: 0 } => return Stopped::Whole,
-                Next::Exit { cut } => return Stopped::Cut { requests: cut },
+                Next::Exit { cut: 0 } => return ShutdownResult::Drained,
+                Next::Exit { cut } => return ShutdownResult::TimedOut { requests: cut },
             }
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/direct/src/serve.rs
+++ b/crates/direct/src/serve.rs
@@ -55,7 +55,7 @@
     if request.uri().path() != shared.settings.ready_path {
         return text(StatusCode::NOT_FOUND, String::new());
     }
-    if shared.ready() {
+    if shared.is_ready() {
         text(StatusCode::OK, "ready\n".to_owned())
     } else {
         text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n".to_owned())
@@ -65,7 +65,7 @@
 /// Answers with the metrics.
 pub(crate) fn metrics(shared: &Arc<Shared>, request: &Request<Incoming>) -> Response<Body> {
     if request.uri().path() == "/metrics" {
-        shared.measure();
+        shared.update_service_gauges();
         text(StatusCode::OK, shared.metrics.requests().text())
     } else {
         text(StatusCode::NOT_FOUND, "see /metrics\n".to_owned())
--- a/crates/direct/src/shared.rs
+++ b/crates/direct/src/shared.rs
@@ -17,13 +17,13 @@
 use rand::RngExt;
 use tokio::sync::watch;
 
-use crate::board::Board;
-use crate::book::Book;
+use crate::board::Replica;
+use crate::book::EndpointStats;
 use crate::budget::Budget;
 use crate::dialect::Dialect;
 use crate::holders::Directory;
 use crate::lease::Lease;
-use crate::metrics::{Metrics, Usage};
+use crate::metrics::{Metrics, ServiceUsage};
 use crate::notices::Notices;
 use crate::policy::{Policy, Ramp, Service};
 use crate::ramp::{Count, Shares};
@@ -31,37 +31,37 @@
 use crate::roster::Registration;
 use crate::settings::Settings;
 use crate::standby::Askers;
-use crate::suspects::Suspects;
+use crate::suspects::CrashTracker;
 use crate::ways::Ways;
 
 /// How long opening a connection to an endpoint may take. Endpoints are 2 ms
 /// away and there and back; a dark one costs a request this much of its time.
 /// A lost packet is sent again only after a second, so waiting longer gains
 /// nothing.
-const CONNECT: Duration = Duration::from_millis(250);
+const ENDPOINT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// How long a request may stay unconfirmed by its endpoint's machine before
 /// the connection counts as broken. A lost packet is sent again after 200 ms and
 /// then 400 ms, so two in a row are borne; on a machine that went dark, orders
 /// wait no longer than their callers do, which is 600 ms and more.
-const UNCONFIRMED: Duration = Duration::from_millis(650);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(650);
 
 /// How long a connection stays usable without a request, unless its endpoint
 /// names a time. Common servers close after 5 s to 75 s.
-const IDLE: Duration = Duration::from_secs(4);
+const MAX_CONNECTION_IDLE: Duration = Duration::from_secs(4);
 
 /// Bytes of memory that one request in flight takes: two connections with
 /// their buffers, and the state between them.
-const REQUEST_BYTES: usize = 96 << 10;
+const BYTES_PER_REQUEST: usize = 96 << 10;
 
 /// The part of the memory that requests in flight may fill.
-const OF_MEMORY: usize = 2;
+const REQUEST_MEMORY_DIVISOR: usize = 2;
 
 /// The part of the memory that callers' bodies may fill.
-const BODIES: usize = 4;
+const BODY_MEMORY_DIVISOR: usize = 4;
 
 /// One of how many endpoints of a service are a good part of it.
-const GOOD_PART: usize = 10;
+const REDUCED_SERVICE_DIVISOR: usize = 10;
 
 /// Endpoints by service.
 pub(crate) type Services = BTreeMap<ServiceId, Vec<Arc<Registration>>>;
@@ -87,7 +87,7 @@
 
 impl View {
     /// Returns the endpoints of a service that may get new work.
-    pub(crate) fn of(&self, service: ServiceId) -> &[Arc<Registration>] {
+    pub(crate) fn usable(&self, service: ServiceId) -> &[Arc<Registration>] {
         self.endpoints
             .as_ref()
             .and_then(|endpoints| endpoints.get(&service))
@@ -107,22 +107,22 @@
 
     /// Returns whether a good part of any service takes nothing or little: it is in
     /// evacuated zones, or warming up.
-    pub(crate) fn is_partial(&self, now: Moment) -> bool {
+    pub(crate) fn has_reduced_service(&self, now: Moment) -> bool {
         let warms = |one: &&Arc<Registration>| {
             let warm_at = self.warm_at.get(&one.endpoint.id);
             warm_at.is_some_and(|warm_at| now < *warm_at)
         };
-        let partial = |service: &ServiceId| {
-            let used = self.of(*service);
+        let is_reduced = |service: &ServiceId| {
+            let used = self.usable(*service);
             let evacuated = self.evacuated(*service).len();
             let out = evacuated + used.iter().filter(warms).count();
-            out > 0 && out * GOOD_PART >= evacuated + used.len()
+            out > 0 && out * REDUCED_SERVICE_DIVISOR >= evacuated + used.len()
         };
         self.endpoints
             .iter()
             .flatten()
-            .any(|(service, _)| partial(service))
-            || self.evacuated.keys().any(partial)
+            .any(|(service, _)| is_reduced(service))
+            || self.evacuated.keys().any(is_reduced)
     }
 
     /// Returns the endpoints of a service that are being left.
@@ -132,7 +132,7 @@
 
     /// Returns the endpoints of a service that may hold what they were sent.
     pub(crate) fn holders(&self, service: ServiceId) -> impl Iterator<Item = &Arc<Registration>> {
-        self.of(service).iter().chain(self.leaving(service))
+        self.usable(service).iter().chain(self.leaving(service))
     }
 
     /// Returns one of them by its id.
@@ -164,25 +164,25 @@
     lease: Lease,
     // Nanoseconds on the boot clock at which the read was sent that last
     // confirmed the configuration; 0 if none did.
-    confirmed: AtomicU64,
+    policy_confirmed_nanos: AtomicU64,
     // Moves when the view changes or is confirmed.
-    beliefs: watch::Sender<()>,
+    view_changes: watch::Sender<()>,
     // When the process started.
-    began: Moment,
-    board: Mutex<Board>,
+    started_at: Moment,
+    replica: Mutex<Replica>,
     // Moves when the board has news for peers.
-    news: watch::Sender<u64>,
+    peer_news: watch::Sender<u64>,
     // Whether the log can't be read.
-    lost: watch::Sender<bool>,
+    log_unavailable: watch::Sender<bool>,
     // Whether the log has to be read again before it is relied on.
-    unsettled: AtomicBool,
-    book: Mutex<Book>,
+    log_needs_reread: AtomicBool,
+    endpoint_stats: Mutex<EndpointStats>,
     notices: Mutex<Notices>,
     directory: Mutex<Directory>,
     budget: Mutex<Budget>,
     askers: Mutex<Askers>,
-    suspects: Mutex<Suspects>,
-    ways: Mutex<Ways>,
+    crash_tracker: Mutex<CrashTracker>,
+    paths: Mutex<Ways>,
     shares: Mutex<Shares>,
     count: Mutex<Count>,
     in_flight: AtomicUsize,
@@ -193,9 +193,9 @@
 impl Shared {
     pub(crate) fn new(settings: Settings, dialect: Dialect) -> Self {
         let connector = Connector::new(connect::Settings {
-            connect_timeout: CONNECT,
-            idle_for: IDLE,
-            unconfirmed: Some(UNCONFIRMED),
+            connect_timeout: ENDPOINT_CONNECT_TIMEOUT,
+            idle_for: MAX_CONNECTION_IDLE,
+            unconfirmed: Some(UNACKNOWLEDGED_TIMEOUT),
             ..connect::Settings::default()
         });
         Self {
@@ -206,19 +206,19 @@
             dialect,
             connector,
             view: ArcSwap::default(),
-            confirmed: AtomicU64::new(0),
-            beliefs: watch::channel(()).0,
-            began: boot_time(),
-            board: Mutex::new(Board::new(rand::rng().random_range(1..=u64::MAX))),
-            news: watch::channel(0).0,
-            lost: watch::channel(false).0,
-            unsettled: AtomicBool::new(false),
-            book: Mutex::default(),
+            policy_confirmed_nanos: AtomicU64::new(0),
+            view_changes: watch::channel(()).0,
+            started_at: boot_time(),
+            replica: Mutex::new(Replica::new(rand::rng().random_range(1..=u64::MAX))),
+            peer_news: watch::channel(0).0,
+            log_unavailable: watch::channel(false).0,
+            log_needs_reread: AtomicBool::new(false),
+            endpoint_stats: Mutex::default(),
             notices: Mutex::default(),
             directory: Mutex::default(),
             askers: Mutex::default(),
-            suspects: Mutex::default(),
-            ways: Mutex::default(),
+            crash_tracker: Mutex::default(),
+            paths: Mutex::default(),
             shares: Mutex::new(Shares::new(rand::rng().random())),
             count: Mutex::default(),
             in_flight: AtomicUsize::new(0),
@@ -235,20 +235,21 @@
     /// Replaces the view in force.
     pub(crate) fn publish(&self, view: View) {
         self.view.store(Arc::new(view));
-        self.beliefs.send_replace(());
+        self.view_changes.send_replace(());
     }
 
     /// Notes that a read sent at `asked` confirmed the configuration that is
     /// published already.
-    pub(crate) fn confirm(&self, asked: Moment) {
-        let nanos = u64::try_from(asked.as_nanos()).unwrap_or(u64::MAX);
-        self.confirmed.fetch_max(nanos, Ordering::Release);
-        self.beliefs.send_replace(());
+    pub(crate) fn confirm_policy(&self, read_sent_at: Moment) {
+        let nanos = u64::try_from(read_sent_at.as_nanos()).unwrap_or(u64::MAX);
+        self.policy_confirmed_nanos
+            .fetch_max(nanos, Ordering::Release);
+        self.view_changes.send_replace(());
     }
 
     /// Returns when the configuration was last confirmed.
-    pub(crate) fn confirmed(&self) -> Option<Moment> {
-        match self.confirmed.load(Ordering::Acquire) {
+    pub(crate) fn policy_confirmed_at(&self) -> Option<Moment> {
+        match self.policy_confirmed_nanos.load(Ordering::Acquire) {
             0 => None,
             nanos => Some(Duration::from_nanos(nanos)),
         }
@@ -256,78 +257,84 @@
 
     /// Returns how long ago the configuration was last confirmed; since the
     /// machine's start if it never was.
-    pub(crate) fn age(&self) -> Duration {
-        since(boot_time(), self.confirmed().unwrap_or_default())
+    pub(crate) fn policy_age(&self) -> Duration {
+        since(boot_time(), self.policy_confirmed_at().unwrap_or_default())
     }
 
     /// Returns whether keys may be acted on now.
-    pub(crate) fn fresh(&self) -> bool {
-        self.lease.holds(self.confirmed(), boot_time())
+    pub(crate) fn is_policy_current(&self) -> bool {
+        self.lease.holds(self.policy_confirmed_at(), boot_time())
     }
 
     /// Returns whether callers should be sent here.
-    pub(crate) fn ready(&self) -> bool {
-        self.informed() && !self.draining()
+    pub(crate) fn is_ready(&self) -> bool {
+        self.can_route() && !self.is_draining()
     }
 
     /// Returns whether requests can be resolved and sent somewhere.
-    pub(crate) fn informed(&self) -> bool {
+    pub(crate) fn can_route(&self) -> bool {
         let view = self.view();
-        view.policy.is_some() && view.endpoints.is_some() && self.fresh()
+        view.policy.is_some() && view.endpoints.is_some() && self.is_policy_current()
     }
 
     /// Returns how long ago the process started.
     pub(crate) fn uptime(&self) -> Duration {
-        since(boot_time(), self.began)
+        since(boot_time(), self.started_at)
     }
 
     /// Returns what moves when the view changes or is confirmed.
-    pub(crate) fn beliefs(&self) -> watch::Receiver<()> {
-        self.beliefs.subscribe()
+    pub(crate) fn view_changes(&self) -> watch::Receiver<()> {
+        self.view_changes.subscribe()
     }
 
     /// Changes what peers are told; tells those that wait if it is news.
-    pub(crate) fn tell<T>(&self, news: bool, change: impl FnOnce(&mut Board) -> T) -> T {
-        let told = change(&mut self.board.lock().unwrap_or_else(PoisonError::into_inner));
-        if news {
-            self.news
+    pub(crate) fn update_replica<T>(
+        &self,
+        notify: bool,
+        change: impl FnOnce(&mut Replica) -> T,
+    ) -> T {
+        let result = change(&mut self.replica.lock().unwrap_or_else(PoisonError::into_inner));
+        if notify {
+            self.peer_news
                 .send_modify(|count| *count = count.wrapping_add(1));
         }
-        told
+        result
     }
 
     /// Notes whether the log can be read.
-    pub(crate) fn set_lost(&self, lost: bool) {
-        self.lost.send_if_modified(|known| {
-            let changed = *known != lost;
-            *known = lost;
+    pub(crate) fn set_log_unavailable(&self, unavailable: bool) {
+        self.log_unavailable.send_if_modified(|known| {
+            let changed = *known != unavailable;
+            *known = unavailable;
             changed
         });
     }
 
     /// Notes whether the log has to be read again before it is relied on.
-    pub(crate) fn set_unsettled(&self, unsettled: bool) {
-        self.unsettled.store(unsettled, Ordering::Relaxed);
+    pub(crate) fn set_log_needs_reread(&self, needs_reread: bool) {
+        self.log_needs_reread.store(needs_reread, Ordering::Relaxed);
     }
 
     /// Returns whether the log has to be read again before it is relied on.
-    pub(crate) fn is_unsettled(&self) -> bool {
-        self.unsettled.load(Ordering::Relaxed)
+    pub(crate) fn log_needs_reread(&self) -> bool {
+        self.log_needs_reread.load(Ordering::Relaxed)
     }
 
     /// Returns what tells whether the log can't be read.
-    pub(crate) fn lost(&self) -> watch::Receiver<bool> {
-        self.lost.subscribe()
+    pub(crate) fn log_unavailable(&self) -> watch::Receiver<bool> {
+        self.log_unavailable.subscribe()
     }
 
     /// Returns what moves when there is news for peers.
-    pub(crate) fn news(&self) -> watch::Receiver<u64> {
-        self.news.subscribe()
+    pub(crate) fn peer_news(&self) -> watch::Receiver<u64> {
+        self.peer_news.subscribe()
     }
 
-    pub(crate) fn book(&self) -> MutexGuard<'_, Book> {
+    pub(crate) fn endpoint_stats(&self) -> MutexGuard<'_, EndpointStats> {
         // No code that holds the lock can panic half-way through a change.
-        self.book.lock().unwrap_or_else(PoisonError::into_inner)
+        self.endpoint_stats
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns what endpoints said of themselves in their answers.
@@ -346,16 +353,18 @@
     }
 
     /// Returns whether others ask this instance instead of the log now, or are to.
-    pub(crate) fn is_asked(&self) -> bool {
+    pub(crate) fn serves_peers(&self) -> bool {
         self.settings.reads_for_others() || self.askers().any(boot_time())
     }
 
-    pub(crate) fn suspects(&self) -> MutexGuard<'_, Suspects> {
-        self.suspects.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn crash_tracker(&self) -> MutexGuard<'_, CrashTracker> {
+        self.crash_tracker
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn ways(&self) -> MutexGuard<'_, Ways> {
-        self.ways.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn paths(&self) -> MutexGuard<'_, Ways> {
+        self.paths.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns what was sent to endpoints that are warming up.
@@ -364,14 +373,14 @@
     }
 
     /// Takes in how many instances there are.
-    pub(crate) fn counted(&self, instances: u32, now: Moment) {
+    pub(crate) fn set_instance_count(&self, instances: u32, now: Moment) {
         let mut count = self.count.lock().unwrap_or_else(PoisonError::into_inner);
         count.learn(instances, now);
     }
 
     /// Returns how many instances there are, if that is known. One that nobody can
     /// ask or be asked by is alone.
-    pub(crate) fn instances(&self, now: Moment) -> Option<u32> {
+    pub(crate) fn instance_count(&self, now: Moment) -> Option<u32> {
         if self.settings.listen.peers.is_none() {
             return Some(1);
         }
@@ -386,33 +395,42 @@
     /// Notes that nobody is at an endpoint's address, or that its machine gives
     /// no sign of life. Its other connections are as dead, so none of them is
     /// used again.
-    pub(crate) fn endpoint_down(&self, endpoint: EndpointId, address: SocketAddr) {
+    pub(crate) fn mark_endpoint_down(&self, endpoint: EndpointId, address: SocketAddr) {
         self.connector.forget(address);
-        self.book().unreachable(endpoint, boot_time());
+        self.endpoint_stats()
+            .record_unreachable(endpoint, boot_time());
     }
 
     /// Brings the gauges of the services up to date.
-    pub(crate) fn measure(&self) {
+    pub(crate) fn update_service_gauges(&self) {
         let view = self.view();
         let policy = view.policy.iter();
         let services = policy.flat_map(|policy| &policy.content().services);
-        let usage = |(id, service): (&ServiceId, &Service)| self.usage(*id, service, &view);
-        self.metrics.measured(services.map(usage).collect());
+        let usage = |(id, service): (&ServiceId, &Service)| self.service_usage(*id, service, &view);
+        self.metrics
+            .set_service_usage(services.map(usage).collect());
     }
 
-    fn usage(&self, id: ServiceId, service: &Service, view: &View) -> Usage {
+    fn service_usage(&self, id: ServiceId, service: &Service, view: &View) -> ServiceUsage {
         let now = boot_time();
-        let of = view.of(id);
+        let of = view.usable(id);
         let ids: Vec<EndpointId> = of.iter().map(|one| one.endpoint.id).collect();
-        let book = self.book();
-        let own = ids.iter().map(|id| f64::from(book.own(*id))).sum();
-        let load = book.look(&ids, now).iter().map(|look| look.load).sum();
-        drop(book);
+        let endpoint_stats = self.endpoint_stats();
+        let own = ids
+            .iter()
+            .map(|id| f64::from(endpoint_stats.own_requests(*id)))
+            .sum();
+        let load = endpoint_stats
+            .estimate(&ids, now)
+            .iter()
+            .map(|look| look.load)
+            .sum();
+        drop(endpoint_stats);
         let idle = of
             .iter()
             .map(|one| self.connector.idle(one.endpoint.address));
         let idle = u32::try_from(idle.sum::<usize>()).unwrap_or(u32::MAX);
-        Usage {
+        ServiceUsage {
             service: service.name.clone(),
             in_flight: own,
             load,
@@ -421,11 +439,11 @@
         }
     }
 
-    pub(crate) fn draining(&self) -> bool {
+    pub(crate) fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Relaxed)
     }
 
-    pub(crate) fn drain(&self) {
+    pub(crate) fn start_drain(&self) {
         self.draining.store(true, Ordering::Relaxed);
     }
 
@@ -435,13 +453,13 @@
 
     /// Takes room for one request; `None` if there is none.
     pub(crate) fn admit(self: &Arc<Self>) -> Option<Admission> {
-        let most = self.settings.memory / OF_MEMORY / REQUEST_BYTES;
+        let limit = self.settings.memory / REQUEST_MEMORY_DIVISOR / BYTES_PER_REQUEST;
         let before = self.in_flight.fetch_add(1, Ordering::Relaxed);
         let admission = Admission {
             shared: Arc::clone(self),
             bytes: 0,
         };
-        (before < most).then_some(admission)
+        (before < limit).then_some(admission)
     }
 }
 
@@ -454,11 +472,11 @@
 
 impl Admission {
     /// Takes room for a body; returns whether there was enough.
-    pub(crate) fn hold(&mut self, bytes: usize) -> bool {
-        let most = self.shared.settings.memory / BODIES;
+    pub(crate) fn reserve_body(&mut self, bytes: usize) -> bool {
+        let limit = self.shared.settings.memory / BODY_MEMORY_DIVISOR;
         let before = self.shared.body_bytes.fetch_add(bytes, Ordering::Relaxed);
         self.bytes += bytes;
-        before.saturating_add(bytes) <= most
+        before.saturating_add(bytes) <= limit
     }
 }
 
--- a/crates/direct/src/shared/tests.rs
+++ b/crates/direct/src/shared/tests.rs
@@ -41,15 +41,15 @@
 
 #[test]
 fn a_service_is_partial_while_a_good_part_takes_nothing() {
-    assert!(!view(20, 0, 0).is_partial(NOW));
-    assert!(view(15, 5, 0).is_partial(NOW));
-    assert!(view(0, 4, 0).is_partial(NOW));
-    assert!(!View::default().is_partial(NOW));
+    assert!(!view(20, 0, 0).has_reduced_service(NOW));
+    assert!(view(15, 5, 0).has_reduced_service(NOW));
+    assert!(view(0, 4, 0).has_reduced_service(NOW));
+    assert!(!View::default().has_reduced_service(NOW));
 }
 
 #[test]
 fn one_endpoint_that_starts_makes_no_service_partial() {
-    assert!(!view(20, 0, 1).is_partial(NOW));
-    assert!(view(20, 0, 5).is_partial(NOW));
-    assert!(!view(20, 0, 5).is_partial(NOW * 3));
+    assert!(!view(20, 0, 1).has_reduced_service(NOW));
+    assert!(view(20, 0, 5).has_reduced_service(NOW));
+    assert!(!view(20, 0, 5).has_reduced_service(NOW * 3));
 }
--- a/crates/direct/src/stream.rs
+++ b/crates/direct/src/stream.rs
@@ -177,7 +177,7 @@
             job.ended(End::Broken);
             return Some(Box::new(Broken::Cut));
         };
-        job.shared().metrics.resumed();
+        job.shared().metrics.count_resumed_stream();
         self.state = State::Asking(Box::pin(async move {
             let sent = dispatch(&mut job, after).await;
             (job, sent)
@@ -199,7 +199,7 @@
         let service = job.service();
         let now = godwitpost_client::clock::boot_time();
         let allowed = job.shared().budget().take(service, now);
-        job.shared().metrics.repeat(allowed);
+        job.shared().metrics.count_repeat(allowed);
         if !allowed {
             return Err(Reason::Refused);
         }
--- a/crates/direct/tests/herd/main.rs
+++ b/crates/direct/tests/herd/main.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use godwitpost_decide::health::Access;
-use godwitpost_direct::book::{Book, Report};
+use godwitpost_direct::book::{EndpointStats, Report};
 use godwitpost_direct::place::{Candidate, Pick, Rest, pick};
 use godwitpost_types::clock::since;
 use rand::{RngExt, SeedableRng};
@@ -58,8 +58,8 @@
 struct World {
     size: Size,
     rng: ChaCha8Rng,
-    books: Vec<Book>,
-    hub: Book,
+    books: Vec<EndpointStats>,
+    hub: EndpointStats,
     // Requests that each endpoint runs or holds, and when its slots are free.
     loads: Vec<u32>,
     free: Vec<Vec<Duration>>,
@@ -77,8 +77,10 @@
         let mut world = Self {
             size,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            books: (0..size.instances).map(|_| Book::default()).collect(),
-            hub: Book::default(),
+            books: (0..size.instances)
+                .map(|_| EndpointStats::default())
+                .collect(),
+            hub: EndpointStats::default(),
             loads: vec![0; endpoints],
             free: vec![vec![Duration::ZERO; SLOTS as usize]; endpoints],
             queue: BinaryHeap::new(),
@@ -112,7 +114,7 @@
 
     fn candidates(&self, instance: usize, now: Duration) -> Vec<Candidate> {
         let ids: Vec<u64> = (1..=self.size.endpoints).collect();
-        let looks = self.books[instance].look(&ids, now);
+        let looks = self.books[instance].estimate(&ids, now);
         let zone = |endpoint: u64| endpoint % 6;
         let own = zone(instance as u64);
         ids.iter()
@@ -120,9 +122,9 @@
             .map(|(id, look)| Candidate {
                 endpoint: *id,
                 load: look.load,
-                spread: look.spread,
-                own: look.own,
-                seen: look.seen,
+                spread: look.std_dev,
+                own: look.own_requests,
+                seen: look.observed_load,
                 known: look.known,
                 slots: SLOTS,
                 near: zone(*id) == own,
@@ -145,7 +147,7 @@
         else {
             panic!("no room at any endpoint");
         };
-        self.books[instance].sent(endpoint);
+        self.books[instance].start_request(endpoint);
         let work = self.exponential(WORK);
         let index = Self::index(endpoint);
         let met = self.loads[index];
@@ -174,18 +176,19 @@
         };
         *load -= 1;
         let book = &mut self.books[instance];
-        book.report(endpoint, report, now);
-        book.ended(endpoint, since(now, sent));
+        book.record_report(endpoint, report, now);
+        book.end_request(endpoint, since(now, sent));
     }
 
     // An instance tells what it heard to the one that is asked, and is told.
     fn told(&mut self, instance: usize, now: Duration) {
         let book = &mut self.books[instance];
-        for load in book.take_heard(now) {
-            self.hub.told(load.endpoint, load.all, since(now, load.age));
+        for load in book.take_new_loads(now) {
+            self.hub
+                .record_peer_load(load.endpoint, load.requests, since(now, load.age));
         }
-        for load in self.hub.loads(now, instance as u64) {
-            book.told(load.endpoint, load.all, since(now, load.age));
+        for load in self.hub.recent_loads(now, instance as u64) {
+            book.record_peer_load(load.endpoint, load.requests, since(now, load.age));
         }
         self.push(now + secs(TOLD), Event::Told { instance });
     }
--- a/crates/direct/tests/instance/shutdown.rs
+++ b/crates/direct/tests/instance/shutdown.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use godwitpost_direct::Stopped;
+use godwitpost_direct::ShutdownResult;
 
 use crate::endpoint::{Endpoint, Step, answer, says};
 use crate::fleet::{Fleet, request, rest, until};
@@ -32,7 +32,7 @@
         whole.starts_with("HTTP/1.1 200") && whole.ends_with("done"),
         "{whole}"
     );
-    assert_eq!(stopping.await.expect("it stops"), Stopped::Whole);
+    assert_eq!(stopping.await.expect("it stops"), ShutdownResult::Drained);
 }
 
 /// The balancer's list lags: callers still come for a while after the word to
@@ -54,5 +54,5 @@
     let whole = rest(&mut late).await;
     assert!(whole.starts_with("HTTP/1.1 200"), "{whole}");
     assert!(whole.contains("connection: close"), "{whole}");
-    assert_eq!(stopping.await.expect("it stops"), Stopped::Whole);
+    assert_eq!(stopping.await.expect("it stops"), ShutdownResult::Drained);
 }
--- a/crates/direct/tests/notices/instance.rs
+++ b/crates/direct/tests/notices/instance.rs
@@ -45,24 +45,24 @@
 
     /// Reads what the log holds.
     pub(crate) fn read(&mut self, endpoints: &[Endpoint], now: Moment) {
-        self.roster.reached(now);
+        self.roster.record_read(now);
         for endpoint in endpoints {
             match endpoint.entry {
                 Some((life, standing)) => {
                     let registration = endpoint.registration(life, standing);
-                    self.roster.set(registration, now);
+                    self.roster.apply(registration, now);
                 }
                 None => {
                     self.roster.remove(&endpoint.name, now);
                 }
             }
         }
-        self.roster.expire(now);
+        self.roster.remove_expired(now);
     }
 
     pub(crate) fn tick(&mut self, now: Moment) {
         for life in self.notices.take_leaving(now) {
-            self.roster.leaves(&life, now);
+            self.roster.mark_leaving(&life, now);
         }
     }
 
@@ -121,7 +121,7 @@
         }
         let noted = self.noted(to);
         if leaving && !self.lacks(Guard::Leaving) {
-            let life = to.life();
+            let life = to.endpoint_incarnation();
             self.notices.leaves(noted, &life, now);
         }
         match reply {
