--- a/crates/direct/tests/restores/instance.rs
+++ b/crates/direct/tests/restores/instance.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use godwitpost_direct::board::{Board, Question, Told};
-use godwitpost_direct::evacuation::{Empty, Evacuation, Reading};
+use godwitpost_direct::board::{Replica, Update, UpdateRequest};
+use godwitpost_direct::evacuation::{EvacuatedZones, Evacuation, TopicState};
 use godwitpost_direct::feed::{Change, Feed, Next};
 use godwitpost_direct::lease::Lease;
 use godwitpost_direct::policy::Content;
-use godwitpost_direct::roster::{Origin, Registration, Removal, Roster, Setting};
+use godwitpost_direct::roster::{Origin, Registration, RemoveResult, Roster, SetResult};
 use godwitpost_direct::source::{Page, Position, Reply, Tail};
 use godwitpost_direct::startup::Start;
 use godwitpost_types::clock::{Moment, since};
@@ -44,11 +44,11 @@
 pub(crate) struct Instance {
     life: u64,
     without: Option<Guard>,
-    pub(crate) board: Board,
+    pub(crate) board: Replica,
     pub(crate) version: Version,
-    pub(crate) empty: Empty,
+    pub(crate) empty: EvacuatedZones,
     pub(crate) roster: Roster,
-    reading: Reading,
+    reading: TopicState,
     start: Start,
     confirmed: Moment,
     era: Option<Era>,
@@ -70,11 +70,11 @@
         Self {
             life,
             without,
-            board: Board::new(life),
+            board: Replica::new(life),
             version: 0,
-            empty: Empty::default(),
+            empty: EvacuatedZones::default(),
             roster: Roster::new(HEARTBEAT),
-            reading: Reading::default(),
+            reading: TopicState::default(),
             start: Start::default(),
             confirmed: Duration::ZERO,
             era: None,
@@ -101,8 +101,8 @@
     pub(crate) fn goes_to_log(&mut self) {
         self.direct = true;
         self.epoch += 1;
-        self.words = Feed::knowing(self.board.names());
-        self.entries = Feed::knowing(self.board.names());
+        self.words = Feed::knowing(self.board.endpoint_names());
+        self.entries = Feed::knowing(self.board.endpoint_names());
     }
 
     /// Asks peers from now on.
@@ -122,8 +122,8 @@
         if let Some(at) = heard.or(rose.then_some(now))
             && !self.lacks(Guard::Lapses)
         {
-            self.roster.restored(at);
-            self.board.restored(at);
+            self.roster.record_restore(at);
+            self.board.record_restore(at);
         }
     }
 
@@ -134,13 +134,13 @@
         };
         let era = self.words.era();
         self.era(era, None, now);
-        self.reading.begin(self.epoch, era);
+        self.reading.reset_if_new(self.epoch, era);
         for change in changes {
             self.word(change);
         }
         if let Some(offset) = self.words.position() {
             let era = if self.lacks(Guard::Positions) { 0 } else { era };
-            self.evacuate(self.reading.as_of(Position { era, offset }), now);
+            self.evacuate(self.reading.evacuation_at(Position { era, offset }), now);
         }
         let starts = self.start.read(era, asked) || self.lacks(Guard::Starts);
         if whole && starts && self.reading.version >= self.version {
@@ -150,7 +150,7 @@
 
     fn confirm(&mut self, at: Moment) {
         self.confirmed = self.confirmed.max(at);
-        self.board.policy_read(at);
+        self.board.confirm_policy(at);
     }
 
     fn word(&mut self, change: Change<Word>) {
@@ -176,9 +176,9 @@
     }
 
     fn evacuate(&mut self, evacuation: Evacuation, now: Moment) {
-        self.empty.learn(evacuation, now);
+        self.empty.apply(evacuation, now);
         if self.lacks(Guard::Zones) {
-            self.empty.expire(Duration::MAX);
+            self.empty.release_expired(Duration::MAX);
         }
         self.board.set_evacuation(self.empty.state().clone());
     }
@@ -189,27 +189,27 @@
             return;
         };
         self.era(self.entries.era(), None, now);
-        self.roster.hear(Origin::Log(self.epoch));
-        self.roster.reached(now);
+        self.roster.set_origin(Origin::Log(self.epoch));
+        self.roster.record_read(now);
         let set = if listed && !self.lacks(Guard::Lists) {
-            Roster::listed
+            Roster::apply_listed
         } else {
-            Roster::set
+            Roster::apply
         };
         for change in changes {
             match change {
                 Change::Set(_, registration) => self.entry(registration, now, set),
                 Change::Removed(name) => match self.roster.remove(&name, now) {
-                    Removal::Gone => self.gone(&name),
-                    Removal::Kept => self.board.lapse(&name),
-                    Removal::Unknown => {}
+                    RemoveResult::Removed => self.gone(&name),
+                    RemoveResult::Retained => self.board.mark_expired(&name),
+                    RemoveResult::Unknown => {}
                 },
                 Change::Unreadable(..) => {}
             }
         }
         self.listed |= whole;
         if whole {
-            self.board.endpoints_read(asked);
+            self.board.confirm_endpoints(asked);
         }
     }
 
@@ -217,73 +217,80 @@
         &mut self,
         registration: Registration,
         now: Moment,
-        set: fn(&mut Roster, Registration, Moment) -> Setting,
+        set: fn(&mut Roster, Registration, Moment) -> SetResult,
     ) {
         let told = registration.clone();
         let setting = set(&mut self.roster, registration, now);
-        if matches!(setting, Setting::Same | Setting::Older | Setting::Doubted) {
+        if matches!(
+            setting,
+            SetResult::Unchanged | SetResult::Older | SetResult::Doubted
+        ) {
             return;
         }
         if told.endpoint.standing == Standing::Leaving {
             self.left.insert(told.endpoint.name.clone());
         }
-        self.board.set(told, now);
+        self.board.set_endpoint(told, now);
     }
 
     fn gone(&mut self, name: &str) {
-        self.board.remove(name);
+        self.board.remove_endpoint(name);
     }
 
     /// Drops what has lapsed or was kept for long enough.
     pub(crate) fn tick(&mut self, now: Moment) {
-        for name in self.roster.expire(now) {
+        for name in self.roster.remove_expired(now) {
             self.gone(&name);
         }
-        for registration in self.roster.take_believed() {
-            self.entry(registration, now, Roster::set);
+        for registration in self.roster.take_unconfirmed() {
+            self.entry(registration, now, Roster::apply);
         }
-        self.empty.expire(self.confirmed);
+        self.empty.release_expired(self.confirmed);
     }
 
     /// Returns what it asks a peer.
-    pub(crate) fn question(&self, peer: &Self) -> Question {
+    pub(crate) fn question(&self, peer: &Self) -> UpdateRequest {
         let (life, stamp) = self
             .asked
             .filter(|(life, _)| *life == peer.life)
             .unwrap_or_default();
-        Question {
-            life,
-            stamp,
-            digest: if life == 0 { self.board.digest() } else { 0 },
-            own: None,
+        UpdateRequest {
+            incarnation: life,
+            revision: stamp,
+            digest: if life == 0 {
+                self.board.endpoint_digest()
+            } else {
+                0
+            },
+            peer_address: None,
             version: self.version,
-            evacuation: self.board.evacuation(),
+            evacuation: self.board.evacuation_position(),
             wait: Duration::ZERO,
             loads: Vec::new(),
-            held: Vec::new(),
+            holdings: Vec::new(),
         }
     }
 
     /// Takes in what a peer told at `made`; returns whether it is of use.
-    pub(crate) fn told(&mut self, told: Told, made: Moment, now: Moment) -> bool {
+    pub(crate) fn told(&mut self, told: Update, made: Moment, now: Moment) -> bool {
         let (Some(policy_age), Some(endpoints_age)) = (told.policy_age, told.endpoints_age) else {
             return false;
         };
         let read = since(made, endpoints_age);
-        let begins = self.asked.is_none_or(|(life, _)| life != told.life);
-        let older = begins && Some(read) < self.board.endpoints_confirmed();
+        let begins = self.asked.is_none_or(|(life, _)| life != told.incarnation);
+        let older = begins && Some(read) < self.board.endpoints_confirmed_at();
         if policy_age.max(endpoints_age) > STALE || older {
             return false;
         }
-        self.asked = Some((told.life, told.stamp));
+        self.asked = Some((told.incarnation, told.revision));
         let heard = told.restored.map(|age| since(made, age));
         self.era(told.era, heard, now);
-        self.roster.hear(Origin::Peer(told.life));
+        self.roster.set_origin(Origin::Peer(told.incarnation));
         let gone = self.gone_by(&told);
         let told_by_peer = if self.lacks(Guard::Lists) {
-            Roster::set
+            Roster::apply
         } else {
-            Roster::told
+            Roster::apply_from_peer
         };
         if let Some(content) = told.policy {
             self.policy(content.version);
@@ -291,17 +298,17 @@
         if let Some(evacuation) = told.evacuation {
             self.evacuate(evacuation, now);
         }
-        self.roster.reached(read);
+        self.roster.record_read(read);
         for registration in told.set {
             self.entry(registration, made, told_by_peer);
         }
         for name in gone {
-            if self.roster.dismiss(&name, now) {
+            if self.roster.remove_confirmed(&name, now) {
                 self.gone(&name);
             }
         }
-        self.listed |= told.whole;
-        self.board.endpoints_read(read);
+        self.listed |= told.full;
+        self.board.confirm_endpoints(read);
         self.start.told();
         if told.version >= self.version {
             self.confirm(since(made, policy_age));
@@ -309,12 +316,12 @@
         true
     }
 
-    fn gone_by(&self, told: &Told) -> Vec<String> {
-        if !told.whole {
-            return told.gone.clone();
+    fn gone_by(&self, told: &Update) -> Vec<String> {
+        if !told.full {
+            return told.removed.clone();
         }
         let set = told.set.iter().map(|one| one.endpoint.name.as_str());
-        let there: BTreeSet<&str> = set.chain(told.lapsed.iter().map(String::as_str)).collect();
+        let there: BTreeSet<&str> = set.chain(told.expired.iter().map(String::as_str)).collect();
         self.roster
             .registrations()
             .map(|one| one.endpoint.name.clone())
@@ -336,7 +343,7 @@
 
     /// Returns whether it keeps a zone empty.
     pub(crate) fn keeps_empty(&self, zone: &str) -> bool {
-        self.empty.holds(id::of(zone))
+        self.empty.contains(id::of(zone))
     }
 }
 
--- a/crates/direct/tests/restores/world.rs
+++ b/crates/direct/tests/restores/world.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use godwitpost_direct::board::Told;
+use godwitpost_direct::board::Update;
 use godwitpost_direct::roster::Registration;
 use godwitpost_types::clock::Moment;
 use godwitpost_types::endpoint::Standing;
@@ -60,7 +60,7 @@
 enum Arrival {
     Words(Answer<Word>),
     Entries(Answer<Registration>),
-    Told(Box<Told>),
+    Update(Box<Update>),
 }
 
 /// A call under way.
@@ -261,8 +261,8 @@
         let peer = peers.choose(&mut self.rng).expect("another one");
         let peer = &self.instances[peer];
         let question = self.instances[at].question(peer);
-        let told = peer.board.tell(&question, Duration::ZERO, self.now);
-        self.call(at, pause, Arrival::Told(Box::new(told)));
+        let told = peer.board.build_update(&question, Duration::ZERO, self.now);
+        self.call(at, pause, Arrival::Update(Box::new(told)));
     }
 
     // It arrives before the next one is sent.
@@ -298,7 +298,7 @@
         match call.arrival {
             Arrival::Words(answer) => instance.words(answer, call.asked, self.now),
             Arrival::Entries(answer) => instance.entries(answer, call.asked, self.now),
-            Arrival::Told(told) => {
+            Arrival::Update(told) => {
                 let first = self.now < self.started[call.instance] + ASKS_FIRST;
                 if !instance.told(*told, call.made, self.now) && !first {
                     instance.goes_to_log();
