--- a/crates/bench/src/direct/cost.rs
+++ b/crates/bench/src/direct/cost.rs
@@ -6,7 +6,7 @@
 use godwitpost_decide::health::Access;
 use godwitpost_direct::book::{EndpointStats, Report};
 use godwitpost_direct::dialect::Part;
-use godwitpost_direct::place::{Candidate, Pick, Prefix, Rest, pick};
+use godwitpost_direct::place::{Affinity, Candidate, Pick, Unavailable, pick};
 use godwitpost_types::hash;
 
 use super::{ALLOWED, Size};
@@ -55,21 +55,27 @@
         .map(|(id, look)| Candidate {
             endpoint: *id,
             load: look.load,
-            spread: look.std_dev,
-            own: look.own_requests,
-            seen: look.observed_load,
-            known: look.known,
+            load_stddev: look.std_dev,
+            own_requests: look.own_requests,
+            observed_load: look.observed_load,
+            known_fraction: look.known,
             slots: size.slots,
-            near: true,
-            clear: true,
+            same_zone: true,
+            path_clear: true,
             access: Access::Full,
-            bar: None,
+            exclusion: None,
         })
         .collect();
     let part = Part {
         id: n,
         tokens: 2_000,
     };
-    let prefix = Prefix::new(part, 2_000.0, 0.0, 1.0);
-    pick(&candidates, Rest::default(), Some(prefix), ALLOWED, n) != Pick::None
+    let prefix = Affinity::new(part, 2_000.0, 0.0, 1.0);
+    pick(
+        &candidates,
+        Unavailable::default(),
+        Some(prefix),
+        ALLOWED,
+        n,
+    ) != Pick::None
 }
--- a/crates/bench/src/direct/instance.rs
+++ b/crates/bench/src/direct/instance.rs
@@ -4,7 +4,7 @@
 use godwitpost_direct::book::{EndpointStats, LoadEstimate};
 use godwitpost_direct::dialect::Part;
 use godwitpost_direct::holders::Directory;
-use godwitpost_direct::place::{Candidate, Choice, Pick, Prefix, Rest, pick};
+use godwitpost_direct::place::{Affinity, Candidate, Choice, Pick, Unavailable, pick};
 use godwitpost_types::clock::Moment;
 use godwitpost_types::id::EndpointId;
 
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Outlook {
     pub(super) candidates: Vec<Candidate>,
-    pub(super) rest: Rest,
+    pub(super) rest: Unavailable,
 }
 
 /// An instance.
@@ -48,30 +48,30 @@
             Candidate {
                 endpoint: *id,
                 load,
-                spread: look.std_dev,
-                own: look.own_requests,
-                seen: look.observed_load,
-                known,
+                load_stddev: look.std_dev,
+                own_requests: look.own_requests,
+                observed_load: look.observed_load,
+                known_fraction: known,
                 slots,
-                near: true,
-                clear: true,
+                same_zone: true,
+                path_clear: true,
                 access: Access::Full,
-                bar: None,
+                exclusion: None,
             }
         };
         Outlook {
             candidates: ids.iter().zip(looks).map(candidate).collect(),
-            rest: Rest::default(),
+            rest: Unavailable::default(),
         }
     }
 
     /// Returns what endpoints have to which nothing is sent.
-    pub(super) fn rest(&self, ids: &[EndpointId], form: Form, now: Moment) -> Rest {
+    pub(super) fn rest(&self, ids: &[EndpointId], form: Form, now: Moment) -> Unavailable {
         if form == Form::Usable {
-            return Rest::default();
+            return Unavailable::default();
         }
         let looks = self.book.estimate(ids, now);
-        Rest {
+        Unavailable {
             count: u32::try_from(ids.len()).unwrap_or(u32::MAX),
             load: looks.iter().map(|look| look.observed_load).sum(),
         }
@@ -92,8 +92,8 @@
     ) -> (EndpointId, Choice) {
         let Outlook { candidates, rest } = outlook;
         let prefix = match form {
-            Form::OneLength => Prefix::new(part, f64::from(part.tokens), 0.0, 1.0),
-            Form::NoDemand => Prefix::new(part, USUAL, 0.0, 1.0),
+            Form::OneLength => Affinity::new(part, f64::from(part.tokens), 0.0, 1.0),
+            Form::NoDemand => Affinity::new(part, USUAL, 0.0, 1.0),
             _ => {
                 let all = candidates.iter().map(|one| one.load).sum();
                 let own = candidates
--- a/crates/bench/src/direct/loss.rs
+++ b/crates/bench/src/direct/loss.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use godwitpost_direct::dialect::Part;
-use godwitpost_direct::ways::{Pace, Ways};
+use godwitpost_direct::paths::{Paths, StallDetector};
 use godwitpost_types::clock::{Moment, since};
 use godwitpost_types::hash;
 use godwitpost_types::id::EndpointId;
@@ -65,7 +65,7 @@
 struct Stream {
     instance: usize,
     endpoint: usize,
-    pace: Pace,
+    stall_detector: StallDetector,
     last: Moment,
     late: bool,
     began: Moment,
@@ -74,7 +74,7 @@
 struct World {
     heeded: bool,
     rng: ChaCha8Rng,
-    instances: Vec<(Instance, Ways)>,
+    instances: Vec<(Instance, Paths)>,
     ids: Vec<EndpointId>,
     loads: Vec<u32>,
     streams: Vec<Stream>,
@@ -143,11 +143,11 @@
             tokens: 3_000,
         };
         let draw = self.rng.random();
-        let (one, ways) = &mut self.instances[instance];
+        let (one, paths) = &mut self.instances[instance];
         let mut outlook = one.outlook(&self.ids, SLOTS, Form::Whole, now);
         for (n, candidate) in outlook.candidates.iter_mut().enumerate() {
-            candidate.near = n / ENDPOINTS == instance / INSTANCES;
-            candidate.clear = !self.heeded || ways.clear((n / ENDPOINTS) as u64, now);
+            candidate.same_zone = n / ENDPOINTS == instance / INSTANCES;
+            candidate.path_clear = !self.heeded || paths.is_clear((n / ENDPOINTS) as u64, now);
         }
         let (id, _) = one.place(&outlook, part, Form::Whole, now, draw);
         let endpoint = self.ids.iter().position(|known| *known == id);
@@ -165,7 +165,7 @@
         self.streams.push(Stream {
             instance,
             endpoint,
-            pace: Pace::default(),
+            stall_detector: StallDetector::default(),
             last: now,
             late: false,
             began: now,
@@ -185,11 +185,11 @@
     fn delivery(&mut self, stream: usize, made: Moment, now: Moment) {
         let one = &mut self.streams[stream];
         one.late |= since(now, made) > DELAY;
-        let shows = one.pace.event(since(now, one.last));
+        let shows = one.stall_detector.observe_event(since(now, one.last));
         one.last = now;
         if shows {
             let zone = (one.endpoint / ENDPOINTS) as u64;
-            self.instances[one.instance].1.held_up(zone, now);
+            self.instances[one.instance].1.record_stall(zone, now);
         }
     }
 
--- a/crates/bench/src/direct/memory.rs
+++ b/crates/bench/src/direct/memory.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use godwitpost_direct::book::Report;
-use godwitpost_direct::dialect::{Part, Span};
-use godwitpost_direct::fetch::{Others, Pick, Prompt, pick};
+use godwitpost_direct::dialect::{Part, Prefix};
+use godwitpost_direct::fetch::{Prompt, Selection, SourceCandidates, select_source};
 use godwitpost_types::clock::{Moment, since};
 use godwitpost_types::hash;
 use godwitpost_types::id::{EndpointId, SpanId};
@@ -106,13 +106,13 @@
     }
 
     // The tokens of the longest beginning that it holds.
-    fn holds(&self, spans: &[Span], now: Moment) -> u32 {
-        let held = |span: &&Span| self.held.get(&span.id).is_some_and(|(_, at, _)| *at <= now);
+    fn holds(&self, spans: &[Prefix], now: Moment) -> u32 {
+        let held = |span: &&Prefix| self.held.get(&span.id).is_some_and(|(_, at, _)| *at <= now);
         let longest = spans.iter().take_while(held).last();
         longest.map_or(0, |span| span.tokens)
     }
 
-    fn keep(&mut self, spans: &[Span], at: Moment) {
+    fn keep(&mut self, spans: &[Prefix], at: Moment) {
         let mut before = 0;
         for span in spans {
             let entry = self.held.entry(span.id).or_insert((0, at, at));
@@ -157,7 +157,7 @@
     engines: Vec<Engine>,
     // Engines that take nothing new, and still hold what they read.
     draining: Vec<Engine>,
-    prompts: BTreeMap<u64, Vec<Span>>,
+    prompts: BTreeMap<u64, Vec<Prefix>>,
     queue: BinaryHeap<Reverse<(Moment, u64, Event)>>,
     count: u64,
     firsts: Vec<f64>,
@@ -271,11 +271,11 @@
         let second = self.rng.random_range(0..self.size.parts as u64);
         let first = hash::score(second % firsts, 100 + kind as u64);
         let id = hash::score(second, 200 + kind as u64);
-        let whole = Span {
+        let whole = Prefix {
             id: hash::score(first, id),
             tokens: first_tokens + tokens,
         };
-        let begin = Span {
+        let begin = Prefix {
             id: first,
             tokens: first_tokens,
         };
@@ -346,16 +346,16 @@
             .collect();
         let prompt = Prompt {
             part: part.id,
-            spans,
+            prefixes: spans,
         };
         let directory = &self.instances[instance].directory;
-        let others = Others {
+        let others = SourceCandidates {
             all: &others,
-            settled: &others,
+            warm: &others,
         };
-        match pick(directory, prompt, target, others, draw, now) {
-            Pick::From { endpoint, .. } => Some(endpoint),
-            Pick::Held | Pick::Nobody => None,
+        match select_source(directory, prompt, target, others, draw, now) {
+            Selection::From { endpoint, .. } => Some(endpoint),
+            Selection::AlreadyHeld | Selection::Nobody => None,
         }
     }
 
@@ -413,7 +413,8 @@
         let one = &mut self.instances[instance];
         one.book.record_report(endpoint, report, now);
         if self.knowledge == Knowledge::Told {
-            one.directory.read(endpoint, &self.prompts[&prompt], now);
+            one.directory
+                .record_read(endpoint, &self.prompts[&prompt], now);
         }
     }
 
@@ -421,11 +422,11 @@
         let told: Vec<_> = self
             .instances
             .iter_mut()
-            .flat_map(|one| one.directory.take_untold(now))
+            .flat_map(|one| one.directory.take_unsent(now))
             .collect();
         for one in &mut self.instances {
             for holding in &told {
-                one.directory.learn(holding, now);
+                one.directory.apply_remote(holding, now);
             }
         }
         self.push(now + TOLD, Event::Told);
--- a/crates/bench/src/direct/storm.rs
+++ b/crates/bench/src/direct/storm.rs
@@ -53,11 +53,11 @@
         for n in 0..RATE {
             let now = Duration::from_secs(second.into()) + Duration::from_secs(1) / RATE * n;
             for budget in &mut budgets {
-                budget.request(SERVICE, now);
+                budget.record_request(SERVICE, now);
                 requests += 1;
                 let mut left = ATTEMPTS;
                 let mut failed = rng.random_bool(FAIL);
-                while failed && left > 1 && (!bounded || budget.take(SERVICE, now)) {
+                while failed && left > 1 && (!bounded || budget.try_take(SERVICE, now)) {
                     repeats += 1;
                     left -= 1;
                     failed = rng.random_bool(FAIL);
--- a/crates/direct/src/attempt.rs
+++ b/crates/direct/src/attempt.rs
@@ -7,17 +7,17 @@
 
 use http::StatusCode;
 
-use crate::dialect::Answer;
+use crate::dialect::ResponseFields;
 use crate::refusal::Reason;
 
 /// Attempts that may fail to reach an endpoint before the request is given up.
 /// Each costs a connection time-out where a machine is dark; three in a row
 /// mean that something else is wrong.
-const UNREACHED: u32 = 4;
+const MAX_UNREACHED: u32 = 4;
 
 /// How an attempt ended without an answer for the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum Failure {
     /// No byte of it reached the endpoint.
     NotSent,
     /// The endpoint says that it has not run it, and never will.
@@ -36,7 +36,7 @@
     /// A failure that may be tried elsewhere, or relayed if it can't be.
     Fallback,
     /// None that the caller may see; the attempt ended like this.
-    Ended(Ending),
+    Failed(Failure),
 }
 
 /// Judges the head of an answer to the attempt `id`.
@@ -49,19 +49,24 @@
 /// - A success without the endpoint's signature, or with a coded body, is not
 ///   what the endpoint made.
 #[must_use]
-pub fn judge(status: StatusCode, answer: &Answer, id: &str, idempotent: bool) -> Verdict {
-    if answer.is_crossed(id) || answer.coded {
-        return Verdict::Ended(Ending::Lost);
+pub fn classify_response(
+    status: StatusCode,
+    answer: &ResponseFields,
+    id: &str,
+    idempotent: bool,
+) -> Verdict {
+    if answer.is_for_other_attempt(id) || answer.content_encoded {
+        return Verdict::Failed(Failure::Lost);
     }
     if answer.not_run || status == StatusCode::MISDIRECTED_REQUEST {
-        return Verdict::Ended(Ending::Refused);
+        return Verdict::Failed(Failure::Refused);
     }
     let promises = matches!(status.as_u16(), 408 | 429 | 503);
     match (answer.signed, idempotent) {
         (false, _) if status.is_success() || status.is_server_error() => {
-            Verdict::Ended(Ending::Lost)
+            Verdict::Failed(Failure::Lost)
         }
-        (_, false) if promises => Verdict::Ended(Ending::Failed),
+        (_, false) if promises => Verdict::Failed(Failure::Failed),
         (_, true) if promises || status.is_server_error() => Verdict::Fallback,
         _ => Verdict::Relay,
     }
@@ -72,9 +77,9 @@
 pub enum Next {
     /// Send it to another endpoint; `repeat` says whether that is to be paid
     /// from the budget.
-    Again {
+    Retry {
         /// Whether an endpoint has received the request before.
-        repeat: bool,
+        uses_budget: bool,
     },
     /// Answer the caller.
     GiveUp(Reason),
@@ -84,23 +89,23 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Attempts {
     idempotent: bool,
-    most: u32,
+    max_sends: u32,
     sent: u32,
     unreached: u32,
     // Whether an attempt ended that may have run it.
-    doubt: bool,
+    may_have_run: bool,
 }
 
 impl Attempts {
     /// Returns the attempts of a request that may be sent to `most` endpoints.
     #[must_use]
-    pub const fn new(idempotent: bool, most: u32) -> Self {
+    pub const fn new(idempotent: bool, max_sends: u32) -> Self {
         Self {
             idempotent,
-            most,
+            max_sends,
             sent: 0,
             unreached: 0,
-            doubt: false,
+            may_have_run: false,
         }
     }
 
@@ -112,21 +117,25 @@
 
     /// Returns whether the request may have run.
     #[must_use]
-    pub const fn doubt(&self) -> bool {
-        self.doubt
+    pub const fn may_have_run(&self) -> bool {
+        self.may_have_run
     }
 
     /// Returns the reason to give when no attempt can follow for `reason`,
     /// which by itself would say that nothing has run.
     #[must_use]
-    pub const fn excuse(&self, reason: Reason) -> Reason {
-        if self.doubt { Reason::Broken } else { reason }
+    pub const fn final_reason(&self, reason: Reason) -> Reason {
+        if self.may_have_run {
+            Reason::Broken
+        } else {
+            reason
+        }
     }
 
     /// Returns the reason to give when the time allowed is over.
     #[must_use]
-    pub const fn late(&self) -> Reason {
-        if self.doubt {
+    pub const fn deadline_reason(&self) -> Reason {
+        if self.may_have_run {
             Reason::Timeout
         } else {
             Reason::Expired
@@ -134,32 +143,32 @@
     }
 
     /// Takes in how an attempt ended and returns what follows.
-    pub const fn ended(&mut self, ending: Ending) -> Next {
-        let reason = match ending {
-            Ending::NotSent => {
+    pub const fn record_failure(&mut self, failure: Failure) -> Next {
+        let reason = match failure {
+            Failure::NotSent => {
                 self.unreached += 1;
-                if self.unreached < UNREACHED {
-                    return Next::Again {
-                        repeat: self.sent > 0,
+                if self.unreached < MAX_UNREACHED {
+                    return Next::Retry {
+                        uses_budget: self.sent > 0,
                     };
                 }
                 Reason::Unreachable
             }
-            Ending::Refused => {
+            Failure::Refused => {
                 self.sent += 1;
                 Reason::Refused
             }
-            Ending::Failed | Ending::Lost => {
+            Failure::Failed | Failure::Lost => {
                 self.sent += 1;
-                self.doubt = true;
+                self.may_have_run = true;
                 Reason::Broken
             }
         };
-        let safe = self.idempotent || !self.doubt;
-        if safe && self.sent < self.most && self.unreached < UNREACHED {
-            return Next::Again { repeat: true };
+        let safe = self.idempotent || !self.may_have_run;
+        if safe && self.sent < self.max_sends && self.unreached < MAX_UNREACHED {
+            return Next::Retry { uses_budget: true };
         }
-        Next::GiveUp(self.excuse(reason))
+        Next::GiveUp(self.final_reason(reason))
     }
 }
 
--- a/crates/direct/src/attempt/tests.rs
+++ b/crates/direct/src/attempt/tests.rs
@@ -1,21 +1,21 @@
 use http::StatusCode;
 use proptest::prelude::*;
 
-use super::{Attempts, Ending, Next, Verdict, judge};
-use crate::dialect::Answer;
+use super::{Attempts, Failure, Next, Verdict, classify_response};
+use crate::dialect::ResponseFields;
 use crate::refusal::Reason;
 
-fn answer(attempt: &str) -> Answer {
-    Answer {
-        attempt: Some(attempt.to_owned()),
+fn answer(attempt: &str) -> ResponseFields {
+    ResponseFields {
+        attempt_id: Some(attempt.to_owned()),
         signed: true,
-        ..Answer::default()
+        ..ResponseFields::default()
     }
 }
 
-fn verdict(status: u16, answer: &Answer, idempotent: bool) -> Verdict {
+fn verdict(status: u16, answer: &ResponseFields, idempotent: bool) -> Verdict {
     let status = StatusCode::from_u16(status).expect("a status");
-    judge(status, answer, "a1", idempotent)
+    classify_response(status, answer, "a1", idempotent)
 }
 
 /// An endpoint answered one request twice. The second answer arrived where the
@@ -24,7 +24,7 @@
 fn an_answer_to_another_attempt_is_nobodys() {
     assert_eq!(
         verdict(200, &answer("a0"), true),
-        Verdict::Ended(Ending::Lost)
+        Verdict::Failed(Failure::Lost)
     );
     assert_eq!(verdict(200, &answer("a1"), false), Verdict::Relay);
 }
@@ -33,31 +33,34 @@
 /// run. Passed on, the caller sends the order again.
 #[test]
 fn a_promise_without_the_endpoints_word_is_not_passed_on() {
-    let failed = Verdict::Ended(Ending::Failed);
+    let failed = Verdict::Failed(Failure::Failed);
     assert_eq!(verdict(503, &answer("a1"), false), failed);
     assert_eq!(verdict(429, &answer("a1"), false), failed);
-    let refused = Answer {
+    let refused = ResponseFields {
         not_run: true,
         ..answer("a1")
     };
     assert_eq!(
         verdict(503, &refused, false),
-        Verdict::Ended(Ending::Refused)
+        Verdict::Failed(Failure::Refused)
     );
 }
 
 #[test]
 fn a_success_that_nobody_signed_is_no_answer() {
-    let unsigned = Answer {
+    let unsigned = ResponseFields {
         signed: false,
         ..answer("a1")
     };
-    assert_eq!(verdict(200, &unsigned, true), Verdict::Ended(Ending::Lost));
-    let coded = Answer {
-        coded: true,
+    assert_eq!(
+        verdict(200, &unsigned, true),
+        Verdict::Failed(Failure::Lost)
+    );
+    let encoded = ResponseFields {
+        content_encoded: true,
         ..answer("a1")
     };
-    assert_eq!(verdict(200, &coded, true), Verdict::Ended(Ending::Lost));
+    assert_eq!(verdict(200, &encoded, true), Verdict::Failed(Failure::Lost));
 }
 
 #[test]
@@ -67,12 +70,12 @@
     assert_eq!(verdict(404, &answer("a1"), true), Verdict::Relay);
 }
 
-fn ending() -> impl Strategy<Value = Ending> {
+fn failure() -> impl Strategy<Value = Failure> {
     prop_oneof![
-        Just(Ending::NotSent),
-        Just(Ending::Refused),
-        Just(Ending::Failed),
-        Just(Ending::Lost),
+        Just(Failure::NotSent),
+        Just(Failure::Refused),
+        Just(Failure::Failed),
+        Just(Failure::Lost),
     ]
 }
 
@@ -81,18 +84,21 @@
 #[test]
 fn an_unrepeatable_request_of_unknown_fate_is_never_sent_again() {
     let mut attempts = Attempts::new(false, 3);
-    assert_eq!(attempts.ended(Ending::Lost), Next::GiveUp(Reason::Broken));
+    assert_eq!(
+        attempts.record_failure(Failure::Lost),
+        Next::GiveUp(Reason::Broken)
+    );
 }
 
 #[test]
 fn what_reached_nobody_is_free_and_goes_on() {
     let mut attempts = Attempts::new(false, 1);
-    let again = Next::Again { repeat: false };
-    assert_eq!(attempts.ended(Ending::NotSent), again);
-    assert_eq!(attempts.ended(Ending::NotSent), again);
-    assert_eq!(attempts.ended(Ending::NotSent), again);
+    let again = Next::Retry { uses_budget: false };
+    assert_eq!(attempts.record_failure(Failure::NotSent), again);
+    assert_eq!(attempts.record_failure(Failure::NotSent), again);
+    assert_eq!(attempts.record_failure(Failure::NotSent), again);
     assert_eq!(
-        attempts.ended(Ending::NotSent),
+        attempts.record_failure(Failure::NotSent),
         Next::GiveUp(Reason::Unreachable)
     );
 }
@@ -103,19 +109,19 @@
     #[test]
     fn promises_hold_in_any_order_of_endings(
         idempotent: bool,
-        most in 1_u32..4,
-        endings in prop::collection::vec(ending(), 1..12),
+        max_sends in 1_u32..4,
+        endings in prop::collection::vec(failure(), 1..12),
     ) {
-        let mut attempts = Attempts::new(idempotent, most);
+        let mut attempts = Attempts::new(idempotent, max_sends);
         let (mut sent, mut ran) = (0, 0);
-        for ending in endings {
-            sent += u32::from(ending != Ending::NotSent);
-            ran += u32::from(matches!(ending, Ending::Lost | Ending::Failed));
-            prop_assert!(sent <= most);
+        for failure in endings {
+            sent += u32::from(failure != Failure::NotSent);
+            ran += u32::from(matches!(failure, Failure::Lost | Failure::Failed));
+            prop_assert!(sent <= max_sends);
             prop_assert!(idempotent || ran <= 1);
-            match attempts.ended(ending) {
-                Next::Again { repeat } => {
-                    prop_assert_eq!(repeat, sent > 0);
+            match attempts.record_failure(failure) {
+                Next::Retry { uses_budget } => {
+                    prop_assert_eq!(uses_budget, sent > 0);
                     prop_assert!(idempotent || ran == 0);
                 }
                 Next::GiveUp(reason) => {
--- a/crates/direct/src/board.rs
+++ b/crates/direct/src/board.rs
@@ -22,7 +22,7 @@
 
 use crate::book::Load;
 use crate::evacuation::Evacuation;
-use crate::holders::{self, Holding};
+use crate::holders::{self, PrefixHolder};
 use crate::policy::Content;
 use crate::roster::Registration;
 use crate::source::Position;
@@ -64,7 +64,7 @@
     pub loads: Vec<Load>,
     /// Endpoints that the peer found to hold beginnings of prompts.
     #[serde(rename = "held")]
-    pub holdings: Vec<Holding>,
+    pub holdings: Vec<PrefixHolder>,
 }
 
 /// What a peer is told.
@@ -113,7 +113,7 @@
     pub loads: Vec<Load>,
     /// Endpoints that were found to hold beginnings of prompts.
     #[serde(rename = "held")]
-    pub holdings: Vec<Holding>,
+    pub holdings: Vec<PrefixHolder>,
     /// Instances that may be asked when no seed can be.
     pub standbys: Vec<SocketAddr>,
     /// How many instances there are, if whoever tells has counted them.
@@ -139,7 +139,7 @@
     // By stamp.
     evidence: BTreeMap<u64, Evidence>,
     // By stamp; with when it was seen.
-    holdings: BTreeMap<u64, (Holding, Moment)>,
+    holdings: BTreeMap<u64, (PrefixHolder, Moment)>,
 }
 
 /// How soon a question has to be answered.
@@ -219,7 +219,7 @@
 
     /// Notes that an endpoint was found at `then` to hold a beginning. That is
     /// no news for which an answer is given early.
-    pub fn add_holding(&mut self, holding: Holding, found_at: Moment) {
+    pub fn add_holding(&mut self, holding: PrefixHolder, found_at: Moment) {
         self.revision += 1;
         self.holdings.insert(self.revision, (holding, found_at));
         if self.holdings.len() > MAX_HOLDINGS {
@@ -403,7 +403,7 @@
                 .holdings
                 .range(after.saturating_add(1)..)
                 .rev()
-                .take(holders::TOLD)
+                .take(holders::MAX_HOLDERS_PER_MESSAGE)
                 .map(|(_, (holding, found_at))| holding.aged(since(now, *found_at)))
                 .collect(),
             standbys: Vec::new(),
--- a/crates/direct/src/board/tests.rs
+++ b/crates/direct/src/board/tests.rs
@@ -8,7 +8,7 @@
 
 use super::{MAX_HOLDINGS, MAX_REMOVED_ENDPOINTS, Replica, Update, UpdateRequest, Urgency};
 use crate::evacuation::Evacuation;
-use crate::holders::{Holding, TOLD};
+use crate::holders::{MAX_HOLDERS_PER_MESSAGE, PrefixHolder};
 use crate::policy::Content;
 use crate::roster::Registration;
 use crate::source::Position;
@@ -194,7 +194,7 @@
 #[test]
 fn holders_are_told_once_and_wake_nobody() {
     let mut replica = Replica::new(7);
-    let holding = |span| Holding {
+    let holding = |span| PrefixHolder {
         span,
         endpoint: 1,
         age: at(5),
@@ -204,7 +204,7 @@
     }
     let now = at(2 * MAX_HOLDINGS as u64);
     let update = replica.build_update(&FIRST_REQUEST, at(0), now);
-    assert_eq!(update.holdings.len(), TOLD);
+    assert_eq!(update.holdings.len(), MAX_HOLDERS_PER_MESSAGE);
     assert_eq!(update.holdings[0].span, 2 * MAX_HOLDINGS as u64 - 1);
     assert_eq!(update.holdings[0].age, at(6));
     replica.add_holding(holding(1), now);
@@ -333,7 +333,7 @@
     let mut replica = Replica::new(7);
     let asked = next_request(&replica.build_update(&FIRST_REQUEST, Duration::ZERO, at(0)));
     for span in 0..500 {
-        let holding = Holding {
+        let holding = PrefixHolder {
             span,
             endpoint: 3,
             age: Duration::ZERO,
--- a/crates/direct/src/book.rs
+++ b/crates/direct/src/book.rs
@@ -27,7 +27,7 @@
 
 use self::belief::{DurationStats, ReportHistory, WeightedMean};
 use crate::dialect::Part;
-use crate::place::Prefix;
+use crate::place::Affinity;
 
 /// Until when a report that an endpoint is full counts whole. An answer comes from
 /// each about every 0.7 s where six instances share 80 requests a second.
@@ -317,14 +317,14 @@
         part: Part,
         (own, all): (f64, f64),
         now: Moment,
-    ) -> Prefix {
+    ) -> Affinity {
         let tokens = f64::from(part.tokens);
         let usual = self.mean_lengths.entry(service).or_insert(tokens);
         *usual += (tokens - *usual) * LENGTH_SMOOTHING;
         let usual = *usual;
         let recent = self.count_demand(part.id, now);
         let others = (all / own.max(1.0)).max(1.0);
-        Prefix::new(part, usual, recent, others)
+        Affinity::new(part, usual, recent, others)
     }
 
     // Counts a request for a part; returns how many came lately before it.
--- a/crates/direct/src/budget.rs
+++ b/crates/direct/src/budget.rs
@@ -86,14 +86,14 @@
     }
 
     /// Counts a caller's request for a service.
-    pub fn request(&mut self, service: ServiceId, now: Moment) {
+    pub fn record_request(&mut self, service: ServiceId, now: Moment) {
         self.part(service, now).requests += 1;
     }
 
     /// Takes one repeat out of the service's budget; returns whether there
     /// was one.
-    pub fn take(&mut self, service: ServiceId, now: Moment) -> bool {
-        let granted = self.left(service, now) >= 1.0;
+    pub fn try_take(&mut self, service: ServiceId, now: Moment) -> bool {
+        let granted = self.remaining(service, now) >= 1.0;
         if granted {
             self.part(service, now).repeats += 1;
         }
@@ -101,7 +101,7 @@
     }
 
     /// Returns how many repeats are left of the service's budget.
-    pub fn left(&mut self, service: ServiceId, now: Moment) -> f64 {
+    pub fn remaining(&mut self, service: ServiceId, now: Moment) -> f64 {
         self.part(service, now);
         let Rate {
             ratio, allowance, ..
--- a/crates/direct/src/budget/tests.rs
+++ b/crates/direct/src/budget/tests.rs
@@ -19,8 +19,8 @@
     let mut budget = Budget::new(RATE);
     let mut granted = 0;
     for n in 0..1_000 {
-        budget.request(1, at(n * 10));
-        granted += u32::from(budget.take(1, at(n * 10)));
+        budget.record_request(1, at(n * 10));
+        granted += u32::from(budget.try_take(1, at(n * 10)));
     }
     assert!((100..=203).contains(&granted), "{granted}");
 }
@@ -28,15 +28,15 @@
 #[test]
 fn a_quiet_service_has_its_allowance_and_gets_it_back() {
     let mut budget = Budget::new(RATE);
-    let taken = (0..5).filter(|_| budget.take(1, at(0))).count();
+    let taken = (0..5).filter(|_| budget.try_take(1, at(0))).count();
     assert_eq!(taken, 3);
-    assert!(!budget.take(1, at(9_000)));
-    assert!(budget.take(1, at(11_000)));
+    assert!(!budget.try_take(1, at(9_000)));
+    assert!(budget.try_take(1, at(11_000)));
 }
 
 #[test]
 fn services_have_budgets_of_their_own() {
     let mut budget = Budget::new(RATE);
-    while budget.take(1, at(0)) {}
-    assert!(budget.take(2, at(0)));
+    while budget.try_take(1, at(0)) {}
+    assert!(budget.try_take(2, at(0)));
 }
--- a/crates/direct/src/control/entries.rs
+++ b/crates/direct/src/control/entries.rs
@@ -116,7 +116,7 @@
     pub(super) fn notices(&mut self, now: Moment) -> bool {
         let (leaving, paused) = {
             let mut notices = self.shared.notices();
-            (notices.take_leaving(now), notices.paused(now))
+            (notices.take_leaving(now), notices.paused_count(now))
         };
         self.shared.metrics.record_paused_endpoints(paused);
         let mut changed = false;
--- a/crates/direct/src/control/peers/answer.rs
+++ b/crates/direct/src/control/peers/answer.rs
@@ -52,7 +52,7 @@
     shared.askers().asked(question.peer_address, began);
     take(shared, &question.loads, began);
     for holding in &question.holdings {
-        shared.directory().relay(holding, began);
+        shared.directory().apply_and_forward(holding, began);
     }
     let mut news = shared.peer_news();
     loop {
--- a/crates/direct/src/control/peers/passing.rs
+++ b/crates/direct/src/control/peers/passing.rs
@@ -17,7 +17,7 @@
 use super::age::PATIENCE;
 use super::{Refusal, STARTS, status, whole};
 use crate::book::Load;
-use crate::holders::Holding;
+use crate::holders::PrefixHolder;
 use crate::shared::Shared;
 use crate::suspects::{Evidence, ForwardedEvidence};
 
@@ -41,7 +41,7 @@
         shared.askers().told(own, heard.count, now);
     }
     for holding in heard.held {
-        if shared.directory().learn(&holding, now) {
+        if shared.directory().apply_remote(&holding, now) {
             shared.update_replica(false, |replica| replica.add_holding(holding, now));
         }
     }
@@ -56,7 +56,7 @@
     /// How many ask it, and itself.
     count: u32,
     /// Holders of prompts.
-    held: Vec<Holding>,
+    held: Vec<PrefixHolder>,
 }
 
 /// Tells the other instances that are asked how many ask this one and which holders of
@@ -72,7 +72,7 @@
         let heard = Heard {
             own: shared.settings.listen.peers,
             count: shared.askers().own_count(now),
-            held: shared.directory().take_untold(now),
+            held: shared.directory().take_unsent(now),
         };
         for holding in &heard.held {
             shared.update_replica(false, |replica| replica.add_holding(*holding, now));
--- a/crates/direct/src/control/peers/peer.rs
+++ b/crates/direct/src/control/peers/peer.rs
@@ -161,7 +161,7 @@
             evacuation: evacuation.max(self.told.evacuation),
             wait,
             loads: self.shared.endpoint_stats().take_new_loads(boot_time()),
-            holdings: self.shared.directory().take_untold(boot_time()),
+            holdings: self.shared.directory().take_unsent(boot_time()),
         };
         let asked = boot_time();
         let mut told = timeout(wait + PATIENCE, self.send(&question))
@@ -174,7 +174,7 @@
             self.shared.set_instance_count(instances, made);
         }
         for holding in &told.holdings {
-            self.shared.directory().learn(holding, made);
+            self.shared.directory().apply_remote(holding, made);
         }
         Ok(Answered {
             standbys: std::mem::take(&mut told.standbys),
--- a/crates/direct/src/dialect.rs
+++ b/crates/direct/src/dialect.rs
@@ -24,7 +24,7 @@
 
 /// The beginning of a prompt, up to the end of one of its parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Span {
+pub struct Prefix {
     /// Its id; the same for all prompts for one model that begin so.
     pub id: SpanId,
     /// Its length.
@@ -33,11 +33,11 @@
 
 /// What a request's head says.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Facts {
+pub struct RequestFields {
     /// The id that the caller gave this attempt. Endpoints echo it.
-    pub attempt: String,
+    pub attempt_id: String,
     /// How long the caller waits.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The key of its workspace.
     pub key: Option<String>,
     /// The model it asks for.
@@ -45,14 +45,14 @@
     /// The parts of its prompt in order. The last is its own or its session's.
     pub prompt: Vec<Part>,
     /// The last event that the caller has, if it asks for a stream's rest.
-    pub after: Option<u64>,
+    pub last_event_id: Option<u64>,
 }
 
-impl Facts {
+impl RequestFields {
     /// Returns what its placement goes by: the last part that it shares with
     /// others, with the length of all up to its end.
     #[must_use]
-    pub fn shared(&self) -> Option<Part> {
+    pub fn affinity_part(&self) -> Option<Part> {
         let shared = self.shared_parts();
         let last = shared.last()?;
         let tokens = shared.iter().map(|part| part.tokens);
@@ -65,16 +65,16 @@
     /// Returns the beginnings of its prompt that it shares with others, the
     /// shortest first. An engine has use for a part only with all before it.
     #[must_use]
-    pub fn spans(&self) -> Vec<Span> {
+    pub fn prefixes(&self) -> Vec<Prefix> {
         let model = self.model.as_deref().map_or(id::NO_MODEL, id::of);
-        let mut last = Span {
+        let mut last = Prefix {
             id: model,
             tokens: 0,
         };
         let parts = self.shared_parts().iter();
         parts
             .map(|part| {
-                last = Span {
+                last = Prefix {
                     id: hash::score(last.id, part.id),
                     tokens: last.tokens.saturating_add(part.tokens),
                 };
@@ -92,9 +92,9 @@
 
 /// What is said to an endpoint beside the caller's own headers.
 #[derive(Clone, Copy, Debug)]
-pub struct Outgoing<'a> {
+pub struct OutgoingFields<'a> {
     /// How long the caller still waits.
-    pub left: Duration,
+    pub remaining: Duration,
     /// The name of the endpoint; another one at its address must not run it.
     pub endpoint: &'a str,
     /// The workspace, if one is known.
@@ -102,23 +102,23 @@
     /// The urgency; 0 goes first.
     pub rank: u8,
     /// The event to go on after, if a broken stream is asked for again.
-    pub after: Option<u64>,
+    pub last_event_id: Option<u64>,
     /// Where the endpoint may fetch what it doesn't hold of the prompt.
     pub source: Option<SocketAddr>,
 }
 
 /// What an endpoint's head says.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Answer {
+pub struct ResponseFields {
     /// The id of the attempt that it answers.
-    pub attempt: Option<String>,
+    pub attempt_id: Option<String>,
     /// Whether it bears the endpoint's signature, without which it is not the
     /// endpoint's own.
     pub signed: bool,
     /// Whether it says that the request has not run and never will.
     pub not_run: bool,
     /// Whether its body is coded, which no endpoint does.
-    pub coded: bool,
+    pub content_encoded: bool,
     /// What it says of the endpoint's load.
     pub report: Option<Report>,
     /// Whether the endpoint may get new work, if the answer says so.
@@ -127,21 +127,23 @@
     pub retry_after: Option<Duration>,
 }
 
-impl Answer {
+impl ResponseFields {
     /// Returns whether it is another attempt's than `id`, as a late one is in the place
     /// of the next one on its connection.
     #[must_use]
-    pub fn is_crossed(&self, id: &str) -> bool {
-        self.attempt.as_deref().is_some_and(|echoed| echoed != id)
+    pub fn is_for_other_attempt(&self, id: &str) -> bool {
+        self.attempt_id
+            .as_deref()
+            .is_some_and(|echoed| echoed != id)
     }
 
     /// Returns whether the endpoint that the attempt `id` was sent to wrote it: it echoes
     /// the attempt, nothing on the way has coded its body, and the status doesn't say
     /// that somebody else has the address.
     #[must_use]
-    pub fn is_own(&self, status: StatusCode, id: &str) -> bool {
-        let echoes = self.attempt.as_deref() == Some(id);
-        echoes && !self.coded && status != StatusCode::MISDIRECTED_REQUEST
+    pub fn is_from_endpoint(&self, status: StatusCode, id: &str) -> bool {
+        let echoes = self.attempt_id.as_deref() == Some(id);
+        echoes && !self.content_encoded && status != StatusCode::MISDIRECTED_REQUEST
     }
 }
 
@@ -149,13 +151,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Dialect {
     /// Reads a request's head; `None` if something that must be there isn't.
-    pub read_request: fn(&HeaderMap) -> Option<Facts>,
+    pub read_request: fn(&HeaderMap) -> Option<RequestFields>,
     /// Rewrites a caller's headers into those for an endpoint.
-    pub write_request: fn(&mut HeaderMap, &Outgoing<'_>),
+    pub write_request: fn(&mut HeaderMap, &OutgoingFields<'_>),
     /// Reads an answer's head.
-    pub read_answer: fn(StatusCode, &HeaderMap) -> Answer,
+    pub read_response: fn(StatusCode, &HeaderMap) -> ResponseFields,
     /// Spells when to send a refused request again.
-    pub retry_after: fn(Duration) -> String,
+    pub format_retry_after: fn(Duration) -> String,
 }
 
 #[cfg(test)]
--- a/crates/direct/src/fetch.rs
+++ b/crates/direct/src/fetch.rs
@@ -13,7 +13,7 @@
 use godwitpost_types::hash;
 use godwitpost_types::id::EndpointId;
 
-use crate::dialect::Span;
+use crate::dialect::Prefix;
 use crate::holders::Directory;
 
 /// What a prompt shares with others.
@@ -22,26 +22,26 @@
     /// The part by which endpoints are ranked for it.
     pub part: u64,
     /// Its beginnings, the shortest first.
-    pub spans: &'a [Span],
+    pub prefixes: &'a [Prefix],
 }
 
 /// Endpoints that may be asked.
 #[derive(Clone, Copy, Debug)]
-pub struct Others<'a> {
+pub struct SourceCandidates<'a> {
     /// All of them.
     pub all: &'a [EndpointId],
     /// Those that have been there for a while. Nobody else can hold what it wasn't
     /// seen to hold: an endpoint that is warming up is the first of many prompts'
     /// ranking and gets few of them.
-    pub settled: &'a [EndpointId],
+    pub warm: &'a [EndpointId],
 }
 
 /// Where an endpoint fetches from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Pick {
+pub enum Selection {
     /// From nowhere: it is believed to hold the whole, and a source that is named all
     /// the same delays the first event.
-    Held,
+    AlreadyHeld,
     /// From this endpoint.
     From {
         /// Its id.
@@ -73,52 +73,48 @@
 /// home until then. Where it can't help is a prompt that nobody has read yet:
 /// that goes to its home, and of its beginning a holder may be known.
 #[must_use]
-pub fn pick(
+pub fn select_source(
     directory: &Directory,
     prompt: Prompt<'_>,
     target: EndpointId,
-    others: Others<'_>,
+    others: SourceCandidates<'_>,
     draw: u64,
     now: Moment,
-) -> Pick {
-    let Some(whole) = prompt.spans.last() else {
-        return Pick::Nobody;
+) -> Selection {
+    let Some(whole) = prompt.prefixes.last() else {
+        return Selection::Nobody;
     };
     if directory.holds(whole.id, target, now) {
-        return Pick::Held;
+        return Selection::AlreadyHeld;
     }
     let rank = |endpoint: EndpointId| (hash::score(prompt.part, endpoint), endpoint);
-    let first = others
-        .settled
-        .iter()
-        .copied()
-        .max_by_key(|other| rank(*other));
+    let first = others.warm.iter().copied().max_by_key(|other| rank(*other));
     let home = first.is_none_or(|first| rank(target) > rank(first));
     let usable = |endpoint| others.all.contains(&endpoint);
     let known = directory
-        .source(prompt.spans, usable, draw, now)
+        .source(prompt.prefixes, usable, draw, now)
         .filter(|source| home || source.tokens >= whole.tokens);
     if let Some(source) = known {
         let basis = Basis::Known {
             tokens: source.tokens,
         };
-        return Pick::From {
+        return Selection::From {
             endpoint: source.endpoint,
             basis,
         };
     }
-    first.map_or(Pick::Nobody, |endpoint| Pick::From {
+    first.map_or(Selection::Nobody, |endpoint| Selection::From {
         endpoint,
         basis: Basis::Ranked,
     })
 }
 
-impl Pick {
+impl Selection {
     /// Returns its name in logs and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
-            Self::Held => "held",
+            Self::AlreadyHeld => "held",
             Self::From {
                 basis: Basis::Known { .. },
                 ..
--- a/crates/direct/src/fetch/tests.rs
+++ b/crates/direct/src/fetch/tests.rs
@@ -2,15 +2,15 @@
 
 use godwitpost_types::hash;
 
-use super::{Basis, Others, Pick, Prompt};
-use crate::dialect::Span;
+use super::{Basis, Prompt, Selection, SourceCandidates};
+use crate::dialect::Prefix;
 use crate::holders::Directory;
 
 const PART: u64 = 77;
 
-const SPANS: [Span; 2] = [
-    Span { id: 1, tokens: 500 },
-    Span {
+const SPANS: [Prefix; 2] = [
+    Prefix { id: 1, tokens: 500 },
+    Prefix {
         id: 2,
         tokens: 10_500,
     },
@@ -18,7 +18,7 @@
 
 const PROMPT: Prompt<'static> = Prompt {
     part: PART,
-    spans: &SPANS,
+    prefixes: &SPANS,
 };
 
 const fn at(millis: u64) -> Duration {
@@ -33,12 +33,12 @@
     others: &[u64],
     draw: u64,
     now: Duration,
-) -> Pick {
-    let others = Others {
+) -> Selection {
+    let others = SourceCandidates {
         all: others,
-        settled: others,
+        warm: others,
     };
-    super::pick(directory, prompt, target, others, draw, now)
+    super::select_source(directory, prompt, target, others, draw, now)
 }
 
 // Endpoints in the prompt's ranking, the home first.
@@ -52,8 +52,8 @@
     ranked().into_iter().filter(|id| *id != target).collect()
 }
 
-fn from(endpoint: u64, basis: Basis) -> Pick {
-    Pick::From { endpoint, basis }
+fn from(endpoint: u64, basis: Basis) -> Selection {
+    Selection::From { endpoint, basis }
 }
 
 /// An endpoint joins and is the home of a prompt from then on. Its callers would
@@ -78,7 +78,7 @@
 fn what_spills_fetches_from_its_home() {
     let ranked = ranked();
     let mut directory = Directory::default();
-    directory.read(ranked[4], &SPANS[..1], at(0));
+    directory.record_read(ranked[4], &SPANS[..1], at(0));
     let others = without(ranked[2]);
     let picked = pick(&directory, PROMPT, ranked[2], &others, 9, at(10));
     assert_eq!(picked, from(ranked[0], Basis::Ranked));
@@ -90,7 +90,7 @@
 fn a_new_prompt_fetches_its_first_part() {
     let ranked = ranked();
     let mut directory = Directory::default();
-    directory.read(ranked[4], &SPANS[..1], at(0));
+    directory.record_read(ranked[4], &SPANS[..1], at(0));
     let others = without(ranked[0]);
     let picked = pick(&directory, PROMPT, ranked[0], &others, 9, at(10));
     assert_eq!(picked, from(ranked[4], Basis::Known { tokens: 500 }));
@@ -102,10 +102,10 @@
 fn what_is_held_is_not_fetched() {
     let ranked = ranked();
     let mut directory = Directory::default();
-    directory.read(ranked[0], &SPANS, at(0));
+    directory.record_read(ranked[0], &SPANS, at(0));
     let others = without(ranked[0]);
     let picked = |now| pick(&directory, PROMPT, ranked[0], &others, 9, now);
-    assert_eq!(picked(at(10)), Pick::Held);
+    assert_eq!(picked(at(10)), Selection::AlreadyHeld);
     // An engine under load has filled its memory anew by then.
     assert_eq!(picked(at(70_000)), from(ranked[1], Basis::Ranked));
 }
@@ -116,12 +116,12 @@
 fn nobody_is_named_that_may_not_be_asked() {
     let ranked = ranked();
     let mut directory = Directory::default();
-    directory.read(ranked[3], &SPANS, at(0));
+    directory.record_read(ranked[3], &SPANS, at(0));
     let others = [ranked[1], ranked[2]];
     let picked = pick(&directory, PROMPT, ranked[0], &others, 9, at(10));
     assert_eq!(picked, from(ranked[1], Basis::Ranked));
     let alone = pick(&directory, PROMPT, ranked[0], &[], 9, at(10));
-    assert_eq!(alone, Pick::Nobody);
+    assert_eq!(alone, Selection::Nobody);
 }
 
 /// Two instances each hold the other's endpoint to be the source. Whoever has
@@ -130,11 +130,11 @@
 fn two_holders_do_not_fetch_from_each_other() {
     let ranked = ranked();
     let mut directory = Directory::default();
-    directory.read(ranked[0], &SPANS, at(0));
-    directory.read(ranked[1], &SPANS, at(0));
+    directory.record_read(ranked[0], &SPANS, at(0));
+    directory.record_read(ranked[1], &SPANS, at(0));
     for target in [ranked[0], ranked[1]] {
         let picked = pick(&directory, PROMPT, target, &without(target), 9, at(10));
-        assert_eq!(picked, Pick::Held);
+        assert_eq!(picked, Selection::AlreadyHeld);
     }
 }
 
@@ -142,10 +142,10 @@
 fn a_prompt_without_parts_has_no_source() {
     let prompt = Prompt {
         part: PART,
-        spans: &[],
+        prefixes: &[],
     };
     let picked = pick(&Directory::default(), prompt, 1, &[2], 9, at(0));
-    assert_eq!(picked, Pick::Nobody);
+    assert_eq!(picked, Selection::Nobody);
 }
 
 /// Guards against prompts that are read anew since an endpoint which has just started
@@ -155,19 +155,20 @@
     let ranked = ranked();
     let mut directory = Directory::default();
     let others = without(ranked[2]);
-    let settled: Vec<u64> = others
+    let warm: Vec<u64> = others
         .iter()
         .copied()
         .filter(|id| *id != ranked[0])
         .collect();
-    let others = Others {
+    let others = SourceCandidates {
         all: &others,
-        settled: &settled,
+        warm: &warm,
+    };
+    let picked = |directory: &Directory| {
+        super::select_source(directory, PROMPT, ranked[2], others, 9, at(10))
     };
-    let picked =
-        |directory: &Directory| super::pick(directory, PROMPT, ranked[2], others, 9, at(10));
     assert_eq!(picked(&directory), from(ranked[1], Basis::Ranked));
-    directory.read(ranked[0], &SPANS, at(0));
+    directory.record_read(ranked[0], &SPANS, at(0));
     assert_eq!(
         picked(&directory),
         from(ranked[0], Basis::Known { tokens: 10_500 })
--- a/crates/direct/src/holders.rs
+++ b/crates/direct/src/holders.rs
@@ -20,34 +20,34 @@
 use godwitpost_types::id::{EndpointId, SpanId};
 use serde::{Deserialize, Serialize};
 
-use crate::dialect::Span;
+use crate::dialect::Prefix;
 
 /// Holders that are kept of a beginning. One would do; the others are there
 /// when it leaves, and share the fetches of a beginning in sudden demand.
-const HOLDERS: usize = 4;
+const MAX_HOLDERS_PER_PREFIX: usize = 4;
 
 /// Beginnings that are kept, about 250 bytes each. An instance of the largest
 /// fleet takes some fifty prompts a second, so these are those of minutes.
-const SPANS: usize = 20_000;
+const MAX_PREFIXES: usize = 20_000;
 
 /// For how long an endpoint counts as a holder without having been seen to use
 /// the beginning again. Reading at full speed, an engine fills its memory anew
 /// within ten seconds; under an ordinary load it takes minutes.
-const KEPT: Duration = Duration::from_mins(1);
+const HOLDER_LIFETIME: Duration = Duration::from_mins(1);
 
 /// How long after it was told a holder is told again, if it still is one.
-const RENEWED: Duration = Duration::from_secs(20);
+const RESEND_INTERVAL: Duration = Duration::from_secs(20);
 
 /// Holdings that are told at once, about 20 bytes each.
-pub const TOLD: usize = 512;
+pub const MAX_HOLDERS_PER_MESSAGE: usize = 512;
 
 /// Holdings that wait to be told. Over that the oldest are left out: those who
 /// ask rank endpoints and find most holders by that.
-const WAITING: usize = 2_048;
+const MAX_UNSENT: usize = 2_048;
 
 /// An endpoint that holds a beginning, as one instance tells another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Holding {
+pub struct PrefixHolder {
     /// The beginning.
     pub span: SpanId,
     /// The endpoint.
@@ -56,7 +56,7 @@
     pub age: Duration,
 }
 
-impl Holding {
+impl PrefixHolder {
     /// Returns what it is when so much time has passed.
     #[must_use]
     pub fn aged(self, time: Duration) -> Self {
@@ -81,7 +81,7 @@
 pub struct Directory {
     spans: BTreeMap<SpanId, Vec<Holder>>,
     // What is new here and not passed on yet.
-    untold: Vec<(SpanId, EndpointId, Moment)>,
+    unsent: Vec<(SpanId, EndpointId, Moment)>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -94,7 +94,7 @@
 impl Directory {
     /// Takes in that an endpoint began to answer a request with these
     /// beginnings, so that it holds them.
-    pub fn read(&mut self, endpoint: EndpointId, spans: &[Span], now: Moment) {
+    pub fn record_read(&mut self, endpoint: EndpointId, spans: &[Prefix], now: Moment) {
         for span in spans {
             if self.note(span.id, endpoint, now) {
                 self.tell(span.id, endpoint, now);
@@ -104,25 +104,25 @@
 
     /// Takes in what another instance told at `then`; returns whether it is
     /// worth being passed on.
-    pub fn learn(&mut self, holding: &Holding, then: Moment) -> bool {
+    pub fn apply_remote(&mut self, holding: &PrefixHolder, then: Moment) -> bool {
         let used = since(then, holding.age);
         self.note(holding.span, holding.endpoint, used)
     }
 
     /// Takes in what another instance told, to be passed on with what is new
     /// here.
-    pub fn relay(&mut self, holding: &Holding, then: Moment) {
-        if self.learn(holding, then) {
+    pub fn apply_and_forward(&mut self, holding: &PrefixHolder, then: Moment) {
+        if self.apply_remote(holding, then) {
             self.tell(holding.span, holding.endpoint, since(then, holding.age));
         }
     }
 
     /// Returns what is new since this was last asked, a message's worth of it.
-    pub fn take_untold(&mut self, now: Moment) -> Vec<Holding> {
-        let count = self.untold.len().min(TOLD);
-        self.untold
+    pub fn take_unsent(&mut self, now: Moment) -> Vec<PrefixHolder> {
+        let count = self.unsent.len().min(MAX_HOLDERS_PER_MESSAGE);
+        self.unsent
             .drain(..count)
-            .map(|(span, endpoint, used)| Holding {
+            .map(|(span, endpoint, used)| PrefixHolder {
                 span,
                 endpoint,
                 age: since(now, used),
@@ -136,7 +136,7 @@
         let holders = self.spans.get(&span).map_or(&[][..], Vec::as_slice);
         holders
             .iter()
-            .any(|one| one.endpoint == endpoint && since(now, one.used) < KEPT)
+            .any(|one| one.endpoint == endpoint && since(now, one.used) < HOLDER_LIFETIME)
     }
 
     /// Returns where to fetch the longest of these beginnings from, the
@@ -145,7 +145,7 @@
     #[must_use]
     pub fn source(
         &self,
-        spans: &[Span],
+        spans: &[Prefix],
         usable: impl Fn(EndpointId) -> bool,
         draw: u64,
         now: Moment,
@@ -154,7 +154,9 @@
             self.spans
                 .get(&span.id)?
                 .iter()
-                .filter(|holder| since(now, holder.used) < KEPT && usable(holder.endpoint))
+                .filter(|holder| {
+                    since(now, holder.used) < HOLDER_LIFETIME && usable(holder.endpoint)
+                })
                 .max_by_key(|holder| hash::score(draw, holder.endpoint))
                 .map(|holder| Source {
                     endpoint: holder.endpoint,
@@ -183,7 +185,7 @@
         let holders = self.spans.entry(span).or_default();
         if let Some(holder) = holders.iter_mut().find(|one| one.endpoint == endpoint) {
             holder.used = holder.used.max(used);
-            let due = since(used, holder.told) >= RENEWED;
+            let due = since(used, holder.told) >= RESEND_INTERVAL;
             if due {
                 holder.told = used;
             }
@@ -194,13 +196,13 @@
             used,
             told: used,
         };
-        if holders.len() < HOLDERS {
+        if holders.len() < MAX_HOLDERS_PER_PREFIX {
             holders.push(holder);
             return true;
         }
         // One that is gone, or has dropped it, is not used any more.
         let oldest = holders.iter_mut().min_by_key(|one| one.used);
-        let idle = oldest.filter(|one| since(used, one.used) >= RENEWED);
+        let idle = oldest.filter(|one| since(used, one.used) >= RESEND_INTERVAL);
         idle.is_some_and(|idle| {
             *idle = holder;
             true
@@ -208,21 +210,21 @@
     }
 
     fn tell(&mut self, span: SpanId, endpoint: EndpointId, used: Moment) {
-        if self.untold.len() >= WAITING {
-            self.untold.drain(..TOLD);
+        if self.unsent.len() >= MAX_UNSENT {
+            self.unsent.drain(..MAX_HOLDERS_PER_MESSAGE);
         }
-        self.untold.push((span, endpoint, used));
+        self.unsent.push((span, endpoint, used));
     }
 
     // Over its capacity the half goes that was not asked for longest. That
     // takes time in proportion to its size, but only once in as many notes.
     fn shed(&mut self) {
-        if self.spans.len() < SPANS {
+        if self.spans.len() < MAX_PREFIXES {
             return;
         }
         let used = |holders: &Vec<Holder>| holders.iter().map(|one| one.used).max();
         let mut times: Vec<Option<Moment>> = self.spans.values().map(used).collect();
-        let (_, middle, _) = times.select_nth_unstable(SPANS / 2);
+        let (_, middle, _) = times.select_nth_unstable(MAX_PREFIXES / 2);
         let middle = *middle;
         self.spans.retain(|_, holders| used(holders) > middle);
     }
--- a/crates/direct/src/holders/tests.rs
+++ b/crates/direct/src/holders/tests.rs
@@ -2,15 +2,18 @@
 
 use proptest::prelude::*;
 
-use super::{Directory, HOLDERS, Holding, SPANS, TOLD, WAITING};
-use crate::dialect::Span;
+use super::{
+    Directory, MAX_HOLDERS_PER_MESSAGE, MAX_HOLDERS_PER_PREFIX, MAX_PREFIXES, MAX_UNSENT,
+    PrefixHolder,
+};
+use crate::dialect::Prefix;
 
 const fn at(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-const fn span(id: u64) -> Span {
-    Span { id, tokens: 100 }
+const fn span(id: u64) -> Prefix {
+    Prefix { id, tokens: 100 }
 }
 
 fn source(directory: &Directory, id: u64, now: Duration) -> Option<u64> {
@@ -21,13 +24,13 @@
 #[test]
 fn what_one_instance_reads_the_other_knows() {
     let (mut one, mut other) = (Directory::default(), Directory::default());
-    one.read(7, &[span(1)], at(1_000));
-    let told = one.take_untold(at(1_200));
+    one.record_read(7, &[span(1)], at(1_000));
+    let told = one.take_unsent(at(1_200));
     assert_eq!(told.len(), 1);
     assert_eq!(told[0].age, at(200));
-    assert!(other.learn(&told[0], at(50_000)));
+    assert!(other.apply_remote(&told[0], at(50_000)));
     assert_eq!(source(&other, 1, at(50_100)), Some(7));
-    assert!(one.take_untold(at(1_300)).is_empty());
+    assert!(one.take_unsent(at(1_300)).is_empty());
 }
 
 /// A prompt in demand is read at hundreds of endpoints. A few of them do as
@@ -36,12 +39,12 @@
 fn of_many_holders_a_few_are_kept_and_told() {
     let mut directory = Directory::default();
     for endpoint in 0..500 {
-        directory.read(endpoint, &[span(1)], at(endpoint));
+        directory.record_read(endpoint, &[span(1)], at(endpoint));
     }
-    assert_eq!(directory.take_untold(at(600)).len(), HOLDERS);
+    assert_eq!(directory.take_unsent(at(600)).len(), MAX_HOLDERS_PER_PREFIX);
     // The kept ones fall out of use, and another one takes the place of one.
-    directory.read(900, &[span(1)], at(40_000));
-    assert_eq!(directory.take_untold(at(40_000)).len(), 1);
+    directory.record_read(900, &[span(1)], at(40_000));
+    assert_eq!(directory.take_unsent(at(40_000)).len(), 1);
     assert_eq!(source(&directory, 1, at(70_000)), Some(900));
 }
 
@@ -52,23 +55,23 @@
     let mut directory = Directory::default();
     let mut told = 0;
     for second in 0..60 {
-        directory.read(7, &[span(1)], at(second * 1_000));
-        told += directory.take_untold(at(second * 1_000)).len();
+        directory.record_read(7, &[span(1)], at(second * 1_000));
+        told += directory.take_unsent(at(second * 1_000)).len();
     }
     assert_eq!(told, 3);
 }
 
 #[test]
 fn what_is_told_on_is_told_once() {
-    let holding = Holding {
+    let holding = PrefixHolder {
         span: 1,
         endpoint: 7,
         age: at(0),
     };
     let mut directory = Directory::default();
-    directory.relay(&holding, at(100));
-    directory.relay(&holding, at(200));
-    assert_eq!(directory.take_untold(at(300)).len(), 1);
+    directory.apply_and_forward(&holding, at(100));
+    directory.apply_and_forward(&holding, at(200));
+    assert_eq!(directory.take_unsent(at(300)).len(), 1);
 }
 
 /// An instance of the largest fleet sees tens of thousands of prompts, most of
@@ -76,25 +79,28 @@
 #[test]
 fn memory_and_messages_are_bounded() {
     let mut directory = Directory::default();
-    let count = 3 * SPANS as u64;
+    let count = 3 * MAX_PREFIXES as u64;
     for id in 0..count {
-        directory.read(id % 3_300, &[span(id)], at(id));
+        directory.record_read(id % 3_300, &[span(id)], at(id));
     }
-    assert!(directory.len() <= SPANS);
+    assert!(directory.len() <= MAX_PREFIXES);
     assert_eq!(
         source(&directory, count - 1, at(count)),
         Some((count - 1) % 3_300)
     );
     let mut told = 0;
     loop {
-        let message = directory.take_untold(at(count));
-        assert!(message.len() <= TOLD);
+        let message = directory.take_unsent(at(count));
+        assert!(message.len() <= MAX_HOLDERS_PER_MESSAGE);
         told += message.len();
         if message.is_empty() {
             break;
         }
     }
-    assert!((WAITING - TOLD..=WAITING).contains(&told), "{told}");
+    assert!(
+        (MAX_UNSENT - MAX_HOLDERS_PER_MESSAGE..=MAX_UNSENT).contains(&told),
+        "{told}"
+    );
 }
 
 proptest! {
@@ -111,10 +117,10 @@
         times.sort_by_key(|(_, _, time, _)| *time);
         for (endpoint, id, time, told) in &times {
             if *told {
-                let holding = Holding { span: *id, endpoint: *endpoint, age: at(0) };
-                directory.learn(&holding, at(*time));
+                let holding = PrefixHolder { span: *id, endpoint: *endpoint, age: at(0) };
+                directory.apply_remote(&holding, at(*time));
             } else {
-                directory.read(*endpoint, &[span(*id)], at(*time));
+                directory.record_read(*endpoint, &[span(*id)], at(*time));
             }
         }
         let now = at(90_000);
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -28,6 +28,7 @@
 pub mod lease;
 mod metrics;
 pub mod notices;
+pub mod paths;
 pub mod place;
 pub mod policy;
 pub mod ramp;
@@ -44,6 +45,5 @@
 pub mod startup;
 mod stream;
 pub mod suspects;
-pub mod ways;
 
 pub use running::{Error, Running, ShutdownResult, start};
--- a/crates/direct/src/notices.rs
+++ b/crates/direct/src/notices.rs
@@ -61,7 +61,7 @@
 
 impl Notices {
     /// Takes in that an endpoint says that it is leaving; returns whether that is news.
-    pub fn leaves(
+    pub fn record_leaving(
         &mut self,
         endpoint: EndpointId,
         life: &EndpointIncarnation,
@@ -76,7 +76,7 @@
 
     /// Takes in that an endpoint wants no requests for a while. A shorter pause that it
     /// asks for later doesn't end a longer one.
-    pub fn pause(&mut self, endpoint: EndpointId, pause: Duration, now: Moment) {
+    pub fn record_pause(&mut self, endpoint: EndpointId, pause: Duration, now: Moment) {
         let until = now + pause.min(LONGEST);
         let known = self.pauses.entry(endpoint).or_default();
         *known = until.max(*known);
@@ -86,19 +86,19 @@
     /// long it gets nothing by that.
     ///
     /// One that turns everything away at once would look the emptier the more it was sent.
-    pub fn refused(&mut self, endpoint: EndpointId, now: Moment) -> Duration {
+    pub fn record_refusal(&mut self, endpoint: EndpointId, now: Moment) -> Duration {
         let refusals = self.refusals.entry(endpoint).or_default();
         let pause = UNNAMED * 2_u32.pow(*refusals);
         *refusals = (*refusals + 1).min(DOUBLINGS);
-        self.pause(endpoint, pause, now);
+        self.record_pause(endpoint, pause, now);
         pause
     }
 
     /// Takes in that an endpoint answered a request; returns whether it is used again by
     /// that. What it was sent before its pause says nothing of it.
-    pub fn answered(&mut self, endpoint: EndpointId, now: Moment) -> bool {
+    pub fn record_response(&mut self, endpoint: EndpointId, now: Moment) -> bool {
         self.refusals.remove(&endpoint);
-        let over = self.of(endpoint, now) == Some(Notice::Resuming);
+        let over = self.get(endpoint, now) == Some(Notice::Resuming);
         if over {
             self.pauses.remove(&endpoint);
         }
@@ -108,7 +108,7 @@
     /// Returns what an endpoint may get by its own word, if that is not what it may get
     /// anyway.
     #[must_use]
-    pub fn of(&self, endpoint: EndpointId, now: Moment) -> Option<Notice> {
+    pub fn get(&self, endpoint: EndpointId, now: Moment) -> Option<Notice> {
         if self.leaving.contains_key(&endpoint) {
             return Some(Notice::Leaving);
         }
@@ -122,7 +122,7 @@
 
     /// Returns how many endpoints want no requests.
     #[must_use]
-    pub fn paused(&self, now: Moment) -> usize {
+    pub fn paused_count(&self, now: Moment) -> usize {
         self.pauses.values().filter(|until| now < **until).count()
     }
 
--- a/crates/direct/src/ways.rs
+++ b/crates/direct/src/paths.rs
@@ -27,45 +27,45 @@
 
 /// What is known of the ways from this instance.
 #[derive(Debug, Default)]
-pub struct Ways {
-    ways: BTreeMap<ZoneId, Way>,
+pub struct Paths {
+    paths: BTreeMap<ZoneId, Path>,
 }
 
 #[derive(Debug, Default)]
-struct Way {
+struct Path {
     // Until when it is left, and for how long that was.
     until: Moment,
     time: Duration,
 }
 
-impl Ways {
+impl Paths {
     /// Takes in that an answer from an endpoint in `zone` was held up on its way;
     /// returns whether the way is left from now on.
-    pub fn held_up(&mut self, zone: ZoneId, now: Moment) -> bool {
-        let way = self.ways.entry(zone).or_default();
-        if now < way.until {
+    pub fn record_stall(&mut self, zone: ZoneId, now: Moment) -> bool {
+        let path = self.paths.entry(zone).or_default();
+        if now < path.until {
             return false;
         }
-        let again = way.time > Duration::ZERO && since(now, way.until) < FORGIVEN;
-        way.time = if again {
-            (way.time * 2).min(LONGEST)
+        let again = path.time > Duration::ZERO && since(now, path.until) < FORGIVEN;
+        path.time = if again {
+            (path.time * 2).min(LONGEST)
         } else {
             LEFT
         };
-        way.until = now + way.time;
+        path.until = now + path.time;
         true
     }
 
     /// Returns whether the way to endpoints in `zone` is clear.
     #[must_use]
-    pub fn clear(&self, zone: ZoneId, now: Moment) -> bool {
-        self.ways.get(&zone).is_none_or(|way| now >= way.until)
+    pub fn is_clear(&self, zone: ZoneId, now: Moment) -> bool {
+        self.paths.get(&zone).is_none_or(|path| now >= path.until)
     }
 }
 
 /// Finds out from when a stream's events come whether they were held up.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pace {
+pub struct StallDetector {
     // Events since the last pause, if they came at once.
     burst: u32,
 }
@@ -79,10 +79,10 @@
 const BURST: u32 = 3;
 const AT_ONCE: Duration = Duration::from_millis(4);
 
-impl Pace {
+impl StallDetector {
     /// Takes in an event that came so long after the one before; returns whether
     /// it shows that they were held up.
-    pub fn event(&mut self, after: Duration) -> bool {
+    pub fn observe_event(&mut self, after: Duration) -> bool {
         self.burst = match self.burst {
             _ if after >= PAUSE => 1,
             0 => 0,
--- a/crates/direct/src/ways/tests.rs
+++ b/crates/direct/src/paths/tests.rs
@@ -1,14 +1,16 @@
 use std::time::Duration;
 
-use super::{FORGIVEN, LEFT, LONGEST, Pace, Ways};
+use super::{FORGIVEN, LEFT, LONGEST, Paths, StallDetector};
 
 const fn at(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
 fn held_up(pauses: &[u64]) -> bool {
-    let mut pace = Pace::default();
-    pauses.iter().any(|after| pace.event(at(*after)))
+    let mut detector = StallDetector::default();
+    pauses
+        .iter()
+        .any(|after| detector.observe_event(at(*after)))
 }
 
 /// A packet is lost. Its event comes with the resend, and those behind it, which
@@ -29,25 +31,25 @@
 
 #[test]
 fn a_way_is_left_for_a_while_and_others_are_not() {
-    let mut ways = Ways::default();
-    assert!(ways.held_up(7, at(0)));
-    assert!(!ways.clear(7, at(10)) && ways.clear(8, at(10)));
+    let mut paths = Paths::default();
+    assert!(paths.record_stall(7, at(0)));
+    assert!(!paths.is_clear(7, at(10)) && paths.is_clear(8, at(10)));
     // What still comes over it says nothing new.
-    assert!(!ways.held_up(7, at(500)));
-    assert!(ways.clear(7, LEFT));
+    assert!(!paths.record_stall(7, at(500)));
+    assert!(paths.is_clear(7, LEFT));
 }
 
 /// A link turns lossy and well again every few seconds. Each time it would take
 /// all prompts to other engines and back, so it is left for longer each time.
 #[test]
 fn a_way_that_is_no_better_is_left_for_longer() {
-    let mut ways = Ways::default();
+    let mut paths = Paths::default();
     let mut now = Duration::ZERO;
     let mut left = Vec::new();
     for _ in 0..5 {
-        assert!(ways.held_up(7, now));
+        assert!(paths.record_stall(7, now));
         let mut time = Duration::ZERO;
-        while !ways.clear(7, now + time) {
+        while !paths.is_clear(7, now + time) {
             time += at(100);
         }
         left.push(time);
@@ -58,6 +60,6 @@
     assert_eq!(left[1], 2 * LEFT);
     assert!(left[2..].iter().all(|time| *time == LONGEST), "{left:?}");
     now += FORGIVEN;
-    assert!(ways.held_up(7, now));
-    assert!(ways.clear(7, now + LEFT));
+    assert!(paths.record_stall(7, now));
+    assert!(paths.is_clear(7, now + LEFT));
 }
--- a/crates/direct/src/place.rs
+++ b/crates/direct/src/place.rs
@@ -62,7 +62,7 @@
 
 /// What a request's prompt shares with others.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Prefix {
+pub struct Affinity {
     /// The last part of it, which stands for all.
     pub part: u64,
     /// What reading it anew elsewhere costs each request: 0 for nothing, a half
@@ -74,7 +74,7 @@
     pub demand: f64,
 }
 
-impl Prefix {
+impl Affinity {
     /// Returns the prefix that ends with a part, where `usual` tokens are usual,
     /// `lately` requests for it came here within the last second or so, and the
     /// fleet is `others` times as busy as this instance.
@@ -114,38 +114,38 @@
     /// Requests that it runs or holds, as believed.
     pub load: f64,
     /// How far that may be off, as a standard deviation.
-    pub spread: f64,
+    pub load_stddev: f64,
     /// This instance's own requests there.
-    pub own: u32,
+    pub own_requests: u32,
     /// The part of the load that was seen there.
-    pub seen: f64,
+    pub observed_load: f64,
     /// How much of the load is known, 0 to 1.
-    pub known: f64,
+    pub known_fraction: f64,
     /// Requests that it runs at once.
     pub slots: u32,
     /// Whether it is in this instance's availability zone.
-    pub near: bool,
+    pub same_zone: bool,
     /// Whether nothing is held up on the way to it.
-    pub clear: bool,
+    pub path_clear: bool,
     /// What it may get by what was seen of it.
     pub access: Access,
     /// Why this request can't go there, if it can't.
-    pub bar: Option<Bar>,
+    pub exclusion: Option<Exclusion>,
 }
 
 /// Why a request can't go to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bar {
+pub enum Exclusion {
     /// It has been sent there already.
     Tried,
     /// The endpoint is warming up, and this instance has no share of it left.
-    Spent,
+    NoShare,
 }
 
 /// A service's endpoints to which a request can't go at all. They take part in the
 /// mean: what no endpoint may pass is a multiple of that of all of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Rest {
+pub struct Unavailable {
     /// How many there are.
     pub count: u32,
     /// Requests that they run or hold together.
@@ -200,7 +200,7 @@
     // greatest demand; with all others taken to be like it, it refused every
     // request while most were idle.
     fn full(&self) -> bool {
-        self.seen >= f64::from(self.slots) * FULL
+        self.observed_load >= f64::from(self.slots) * FULL
     }
 
     // An endpoint on trial gets one request of each instance at a time. What others
@@ -211,7 +211,7 @@
     fn open(&self) -> bool {
         match self.access {
             Access::Full => true,
-            Access::Trial => self.own == 0,
+            Access::Trial => self.own_requests == 0,
             Access::None => false,
         }
     }
@@ -219,7 +219,7 @@
     // The load that it may have, by a draw; the one that is most likely without.
     fn likely(&self, draw: Option<u64>) -> f64 {
         let off = draw.map_or(0.0, |draw| deviate(hash::score(draw, self.endpoint)));
-        self.load + self.spread * off
+        self.load + self.load_stddev * off
     }
 
     // What it counts beside others, for a request with this draw.
@@ -229,8 +229,8 @@
     // idle, and orders would wait there. Each draws what the load may be instead, so
     // that they send to an endpoint as often as it may be the least loaded.
     fn relative(&self, draw: u64) -> f64 {
-        let far = if self.near { 0.0 } else { FAR };
-        let held_up = if self.clear { 0.0 } else { HELD_UP };
+        let far = if self.same_zone { 0.0 } else { FAR };
+        let held_up = if self.path_clear { 0.0 } else { HELD_UP };
         self.likely(Some(draw)) / f64::from(self.slots.max(1)) + far + held_up
     }
 }
@@ -241,14 +241,14 @@
 #[must_use]
 pub fn pick(
     candidates: &[Candidate],
-    rest: Rest,
-    prefix: Option<Prefix>,
+    rest: Unavailable,
+    prefix: Option<Affinity>,
     allowed: f64,
     draw: u64,
 ) -> Pick {
     let untried: Vec<&Candidate> = candidates
         .iter()
-        .filter(|one| one.bar != Some(Bar::Tried))
+        .filter(|one| one.exclusion != Some(Exclusion::Tried))
         .collect();
     if untried.is_empty() {
         return Pick::None;
@@ -257,20 +257,27 @@
     // With every endpoint held to be down, that belief is more likely wrong
     // than a try is harmful.
     let open = if open.is_empty() { untried } else { open };
-    let open: Vec<&Candidate> = open.into_iter().filter(|one| one.bar.is_none()).collect();
+    let open: Vec<&Candidate> = open
+        .into_iter()
+        .filter(|one| one.exclusion.is_none())
+        .collect();
     if open.is_empty() {
         return Pick::Wait;
     }
     let room: Vec<&Candidate> = open.into_iter().filter(|one| !one.full()).collect();
     let within = prefix.and_then(|prefix| {
-        let bound = bound(candidates, rest, allowed, prefix.cost);
+        let bound = load_bound(candidates, rest, allowed, prefix.cost);
         // Where a part of the service takes nothing, the others are about as loaded as the
         // bound allows, and all instances would leave one of them for the next together
         // when they hear, a second late, that it has passed the bound.
         let drawn = (rest.count > 0).then_some(draw);
         let within = |one: &&Candidate| one.likely(drawn) + 1.0 <= bound;
         let within: Vec<&Candidate> = room.iter().copied().filter(within).collect();
-        let clear: Vec<&Candidate> = within.iter().copied().filter(|one| one.clear).collect();
+        let clear: Vec<&Candidate> = within
+            .iter()
+            .copied()
+            .filter(|one| one.path_clear)
+            .collect();
         ranked(clear, prefix, bound, draw).or_else(|| ranked(within, prefix, bound, draw))
     });
     if let (Some(one), Some(prefix)) = (within, prefix) {
@@ -295,12 +302,12 @@
 /// Returns the load up to which a prompt stays at its first endpoints, if its
 /// prefix costs this to read elsewhere.
 #[must_use]
-pub fn bound(candidates: &[Candidate], rest: Rest, allowed: f64, cost: f64) -> f64 {
+pub fn load_bound(candidates: &[Candidate], rest: Unavailable, allowed: f64, cost: f64) -> f64 {
     let between = |[short, long]: [f64; 2]| short + (long - short) * cost;
     let (aimed, blind) = (between(AIMED), between(BLIND));
     let count = u32::try_from(candidates.len()).unwrap_or(u32::MAX);
     let count = f64::from(count.max(1));
-    let known: f64 = candidates.iter().map(|one| one.known).sum();
+    let known: f64 = candidates.iter().map(|one| one.known_fraction).sum();
     let sight = blind + (1.0 - blind) * known / count;
     let most = 1.0 + (allowed - 1.0).max(0.0) * aimed * sight;
     let sum: f64 = candidates.iter().map(|one| one.load).sum();
@@ -311,7 +318,7 @@
 // Picks by the prompt's ranking among endpoints that are within the bound.
 fn ranked(
     mut within: Vec<&Candidate>,
-    prefix: Prefix,
+    prefix: Affinity,
     bound: f64,
     draw: u64,
 ) -> Option<&Candidate> {
--- a/crates/direct/src/place/tests.rs
+++ b/crates/direct/src/place/tests.rs
@@ -1,6 +1,6 @@
 use godwitpost_decide::health::Access;
 
-use super::{Bar, Candidate, Choice, Pick, Prefix, Rest};
+use super::{Affinity, Candidate, Choice, Exclusion, Pick, Unavailable};
 use crate::dialect::Part;
 
 /// The greatest load as a multiple of the mean.
@@ -8,27 +8,27 @@
 
 fn pick(candidates: &[Candidate], part: Option<u64>, draw: u64) -> Pick {
     let part = part.map(|id| Part { id, tokens: 2_000 });
-    let prefix = part.map(|part| Prefix::new(part, 2_000.0, 0.0, 1.0));
-    super::pick(candidates, Rest::default(), prefix, ALLOWED, draw)
+    let prefix = part.map(|part| Affinity::new(part, 2_000.0, 0.0, 1.0));
+    super::pick(candidates, Unavailable::default(), prefix, ALLOWED, draw)
 }
 
-fn bound(candidates: &[Candidate], cost: f64) -> f64 {
-    super::bound(candidates, Rest::default(), ALLOWED, cost)
+fn load_bound(candidates: &[Candidate], cost: f64) -> f64 {
+    super::load_bound(candidates, Unavailable::default(), ALLOWED, cost)
 }
 
 const fn candidate(endpoint: u64, load: f64) -> Candidate {
     Candidate {
         endpoint,
         load,
-        spread: 0.0,
-        own: 0,
-        seen: load,
-        known: 1.0,
+        load_stddev: 0.0,
+        own_requests: 0,
+        observed_load: load,
+        known_fraction: 1.0,
         slots: 16,
-        near: true,
-        clear: true,
+        same_zone: true,
+        path_clear: true,
         access: Access::Full,
-        bar: None,
+        exclusion: None,
     }
 }
 
@@ -84,7 +84,7 @@
 #[test]
 fn the_own_zone_is_preferred_until_it_is_busier() {
     let mut candidates = loads(&[0.0, 1.0]);
-    candidates[0].near = false;
+    candidates[0].same_zone = false;
     assert_eq!(pick(&candidates, None, 1), lightest(2));
     candidates[1].load = 3.0;
     assert_eq!(pick(&candidates, None, 1), lightest(1));
@@ -96,7 +96,7 @@
 fn the_one_that_looks_lightest_does_not_get_all() {
     let mut candidates = loads(&[2.0, 2.5, 3.0, 3.0]);
     for one in &mut candidates {
-        one.spread = 1.6;
+        one.load_stddev = 1.6;
     }
     let mut taken = [0_u32; 4];
     for draw in 0..1_000 {
@@ -108,7 +108,7 @@
     assert!(taken[0] < 500 && taken[3] > 100, "{taken:?}");
     // Where it is known for sure, it gets them.
     for one in &mut candidates {
-        one.spread = 0.0;
+        one.load_stddev = 0.0;
     }
     assert!((0..100).all(|draw| pick(&candidates, None, draw) == lightest(1)));
 }
@@ -116,9 +116,9 @@
 #[test]
 fn an_endpoint_that_has_failed_the_request_is_not_tried_again() {
     let mut candidates = loads(&[0.0, 5.0]);
-    candidates[0].bar = Some(Bar::Tried);
+    candidates[0].exclusion = Some(Exclusion::Tried);
     assert_eq!(pick(&candidates, None, 1), lightest(2));
-    candidates[1].bar = Some(Bar::Tried);
+    candidates[1].exclusion = Some(Exclusion::Tried);
     assert_eq!(pick(&candidates, None, 1), Pick::None);
 }
 
@@ -145,11 +145,11 @@
 #[test]
 fn the_less_is_known_the_sooner_a_part_spills() {
     let mut candidates = loads(&[4.0; 4]);
-    let sighted = bound(&candidates, 0.5);
+    let sighted = load_bound(&candidates, 0.5);
     for one in &mut candidates {
-        one.known = 0.0;
+        one.known_fraction = 0.0;
     }
-    let blind = bound(&candidates, 0.5);
+    let blind = load_bound(&candidates, 0.5);
     assert!(blind < sighted && blind > 4.0 + 1.0, "{blind} {sighted}");
 }
 
@@ -160,8 +160,8 @@
 fn endpoints_that_nothing_is_known_of_are_not_full() {
     let mut candidates = loads(&[500.0; 9]);
     for one in &mut candidates[1..] {
-        one.seen = 0.0;
-        one.known = 0.0;
+        one.observed_load = 0.0;
+        one.known_fraction = 0.0;
     }
     for part in 0..20 {
         assert_ne!(home(&candidates, part), 1, "{part}");
@@ -181,10 +181,10 @@
         tokens: 10_000,
     };
     let limit = |demand: f64| {
-        let prefix = Prefix::new(part, 4_000.0, demand, 1.0);
-        bound(&candidates, prefix.cost)
+        let prefix = Affinity::new(part, 4_000.0, demand, 1.0);
+        load_bound(&candidates, prefix.cost)
     };
-    let shortest = bound(&candidates, 0.0);
+    let shortest = load_bound(&candidates, 0.0);
     assert!(limit(0.0) > limit(1.0) && limit(1.0) > limit(4.0));
     assert!(limit(9.0) < shortest + 1.0, "{} {shortest}", limit(9.0));
 }
@@ -199,9 +199,16 @@
         tokens: 10_000,
     };
     let taken = |lately: f64, others: f64| {
-        let prefix = Prefix::new(part, 4_000.0, lately, others);
-        let picks = (0..200)
-            .map(|draw| super::pick(&candidates, Rest::default(), Some(prefix), ALLOWED, draw));
+        let prefix = Affinity::new(part, 4_000.0, lately, others);
+        let picks = (0..200).map(|draw| {
+            super::pick(
+                &candidates,
+                Unavailable::default(),
+                Some(prefix),
+                ALLOWED,
+                draw,
+            )
+        });
         let mut taken: Vec<u64> = picks
             .map(|pick| match pick {
                 Pick::Send { endpoint, .. } => endpoint,
@@ -238,7 +245,7 @@
     assert_eq!(pick(&candidates, Some(part), 0), sent(Choice::Home));
     // One at a time: a second one waits for how the first comes out.
     let at_home = candidates.iter_mut().find(|one| one.endpoint == home);
-    at_home.expect("the home").own = 1;
+    at_home.expect("the home").own_requests = 1;
     assert_ne!(pick(&candidates, Some(part), 0), sent(Choice::Home));
 }
 
@@ -248,7 +255,7 @@
 fn prompts_keep_off_a_way_that_holds_answers_up() {
     let mut candidates = loads(&[4.0; 6]);
     for one in &mut candidates[..3] {
-        one.clear = false;
+        one.path_clear = false;
     }
     for part in 0..50 {
         let first = home(&candidates, part);
@@ -257,7 +264,7 @@
     }
     // With no way clear all are as good as before.
     for one in &mut candidates {
-        one.clear = false;
+        one.path_clear = false;
     }
     let homes = (0..50).map(|part| home(&candidates, part));
     assert!(homes.min() < Some(4));
@@ -269,7 +276,7 @@
 fn endpoints_over_clear_ways_are_not_overloaded() {
     let mut candidates = loads(&[4.0, 4.0, 4.0, 16.0]);
     for one in &mut candidates[..3] {
-        one.clear = false;
+        one.path_clear = false;
     }
     for part in 0..50 {
         assert!(home(&candidates, part) < 4);
@@ -281,10 +288,10 @@
 #[test]
 fn plain_requests_keep_off_it_too_while_that_is_shorter() {
     let mut candidates = loads(&[0.0, 8.0]);
-    candidates[0].clear = false;
+    candidates[0].path_clear = false;
     assert_eq!(pick(&candidates, None, 0), lightest(2));
     candidates[1].load = 40.0;
-    candidates[1].seen = 40.0;
+    candidates[1].observed_load = 40.0;
     assert_eq!(pick(&candidates, None, 0), lightest(1));
 }
 
@@ -295,12 +302,12 @@
     let mut candidates = loads(&[1.0, 1.0, 1.0]);
     let own = home(&candidates, 77);
     let index = usize::try_from(own - 1).expect("a small id");
-    candidates[index].bar = Some(Bar::Spent);
+    candidates[index].exclusion = Some(Exclusion::NoShare);
     assert_ne!(home(&candidates, 77), own);
     candidates[index].load = 0.0;
     assert_ne!(pick(&candidates, None, 3), lightest(own));
     for one in &mut candidates {
-        one.bar = Some(Bar::Spent);
+        one.exclusion = Some(Exclusion::NoShare);
     }
     assert_eq!(pick(&candidates, Some(77), 0), Pick::Wait);
 }
@@ -309,7 +316,7 @@
 #[test]
 fn an_endpoint_that_is_down_is_no_better_than_one_that_warms_up() {
     let mut candidates = loads(&[1.0, 1.0]);
-    candidates[0].bar = Some(Bar::Spent);
+    candidates[0].exclusion = Some(Exclusion::NoShare);
     candidates[1].access = Access::None;
     assert_eq!(pick(&candidates, None, 0), Pick::Wait);
 }
@@ -318,26 +325,26 @@
 #[test]
 fn endpoints_that_nothing_may_go_to_count_for_the_mean() {
     let candidates = loads(&[12.0; 45]);
-    let idle = Rest {
+    let idle = Unavailable {
         count: 15,
         load: 0.0,
     };
     let mean = 45.0 * 12.0 / 60.0;
-    let bound = super::bound(&candidates, idle, ALLOWED, 1.0);
+    let bound = super::load_bound(&candidates, idle, ALLOWED, 1.0);
     assert!(bound <= ALLOWED * mean + 3.0, "{bound}");
-    let busy = Rest {
+    let busy = Unavailable {
         count: 15,
         load: 15.0 * 12.0,
     };
-    let even = super::bound(&candidates, busy, ALLOWED, 1.0);
-    let alone = super::bound(&candidates, Rest::default(), ALLOWED, 1.0);
+    let even = super::load_bound(&candidates, busy, ALLOWED, 1.0);
+    let alone = super::load_bound(&candidates, Unavailable::default(), ALLOWED, 1.0);
     assert!((even - alone).abs() < 1e-9, "{even} {alone}");
 }
 
 /// Guards against all instances leaving an endpoint for the next one at the same time.
 #[test]
 fn endpoints_about_the_bound_are_left_by_and_by_where_others_take_nothing() {
-    let idle = Rest {
+    let idle = Unavailable {
         count: 3,
         load: 0.0,
     };
@@ -345,23 +352,23 @@
         id: 5,
         tokens: 2_000,
     };
-    let prefix = Prefix::new(part, 2_000.0, 0.0, 1.0);
+    let prefix = Affinity::new(part, 2_000.0, 0.0, 1.0);
     let mut candidates = loads(&[8.0; 9]);
     let first = home(&candidates, part.id);
     let of_first = candidates.iter().position(|one| one.endpoint == first);
     let of_first = of_first.expect("a candidate");
-    candidates[of_first].spread = 3.0;
+    candidates[of_first].load_stddev = 3.0;
     // Its load counts for the mean, and so for the bound.
     for _ in 0..50 {
-        let bound = super::bound(&candidates, idle, ALLOWED, prefix.cost);
+        let bound = super::load_bound(&candidates, idle, ALLOWED, prefix.cost);
         candidates[of_first].load = bound - 1.5;
     }
-    let staying = |rest: Rest| {
+    let staying = |rest: Unavailable| {
         let pick = |draw| super::pick(&candidates, rest, Some(prefix), ALLOWED, draw);
         let stays = |pick| matches!(pick, Pick::Send { endpoint, .. } if endpoint == first);
         (0..200).filter(|draw| stays(pick(*draw))).count()
     };
-    assert_eq!(staying(Rest::default()), 200);
+    assert_eq!(staying(Unavailable::default()), 200);
     let some = staying(idle);
     assert!((60..140).contains(&some), "{some}");
 }
--- a/crates/direct/src/ramp.rs
+++ b/crates/direct/src/ramp.rs
@@ -25,30 +25,30 @@
 
 /// The part of the rate that is given away: two instances' seconds overlap, and
 /// what is drawn varies.
-const GIVEN: f64 = 0.5;
+const ALLOCATED_FRACTION: f64 = 0.5;
 
 /// How long a count of the instances is believed without being told again.
-const COUNTED: Duration = Duration::from_mins(1);
+const MAX_COUNT_AGE: Duration = Duration::from_mins(1);
 
 /// The number of instances that is assumed with none told, as in the first second
 /// after a start: of the order of the largest fleets.
-const UNCOUNTED: f64 = 256.0;
+const DEFAULT_INSTANCES: f64 = 256.0;
 
 /// The number of values that half of a draw may have.
 const HALF_SPAN: f64 = 4_294_967_296.0;
 
 /// How many instances there are, as far as those that are asked know.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Count {
+pub struct InstanceCount {
     most: u32,
     at: Option<Moment>,
 }
 
-impl Count {
+impl InstanceCount {
     /// Takes in a count that was made at `now`. Fewer are believed only after a
     /// while: those that were not heard of lately may still send.
-    pub fn learn(&mut self, instances: u32, now: Moment) {
-        let old = self.at.is_none_or(|at| since(now, at) > COUNTED);
+    pub fn update(&mut self, instances: u32, now: Moment) {
+        let old = self.at.is_none_or(|at| since(now, at) > MAX_COUNT_AGE);
         if instances >= self.most || old {
             self.most = instances;
             self.at = Some(now);
@@ -57,8 +57,8 @@
 
     /// Returns the count, unless it is too old.
     #[must_use]
-    pub fn known(&self, now: Moment) -> Option<u32> {
-        let at = self.at.filter(|at| since(now, *at) <= COUNTED)?;
+    pub fn get(&self, now: Moment) -> Option<u32> {
+        let at = self.at.filter(|at| since(now, *at) <= MAX_COUNT_AGE)?;
         (at <= now && self.most > 0).then_some(self.most)
     }
 }
@@ -67,13 +67,13 @@
 #[derive(Debug)]
 pub struct Shares {
     // Tells this instance's draws from those of others.
-    life: u64,
-    spent: BTreeMap<EndpointId, Spent>,
+    seed: u64,
+    spent: BTreeMap<EndpointId, Usage>,
 }
 
 // What was sent within an interval.
 #[derive(Clone, Copy, Debug, Default)]
-struct Spent {
+struct Usage {
     interval: u64,
     requests: u32,
 }
@@ -81,9 +81,9 @@
 impl Shares {
     /// Returns the shares of an instance's life.
     #[must_use]
-    pub const fn new(life: u64) -> Self {
+    pub const fn new(seed: u64) -> Self {
         Self {
-            life,
+            seed,
             spent: BTreeMap::new(),
         }
     }
@@ -91,7 +91,7 @@
     /// Returns whether an endpoint may get a request now, of a service with this
     /// ramp in a fleet of this many instances.
     #[must_use]
-    pub fn left(
+    pub fn has_share(
         &self,
         endpoint: EndpointId,
         ramp: Ramp,
@@ -102,31 +102,31 @@
         let spent = self.spent.get(&endpoint);
         let spent = spent.filter(|spent| spent.interval == interval);
         let requests = spent.map_or(0, |spent| spent.requests);
-        let share = share(ramp, instances);
-        let draw = hash::score(hash::score(self.life, interval), endpoint);
+        let share = mean_share(ramp, instances);
+        let draw = hash::score(hash::score(self.seed, interval), endpoint);
         f64::from(requests) + 1.0 <= share + uniform(draw)
     }
 
-    /// Takes a request out of the share of an endpoint, as [`Shares::left`] says;
+    /// Takes a request out of the share of an endpoint, as [`Shares::has_share`] says;
     /// returns whether there was one.
-    pub fn take(
+    pub fn try_take(
         &mut self,
         endpoint: EndpointId,
         ramp: Ramp,
         instances: Option<u32>,
         now: Moment,
     ) -> bool {
-        let left = self.left(endpoint, ramp, instances, now);
+        let left = self.has_share(endpoint, ramp, instances, now);
         if left {
-            self.spend(endpoint, now);
+            self.record_sent(endpoint, now);
         }
         left
     }
 
-    fn spend(&mut self, endpoint: EndpointId, now: Moment) {
+    fn record_sent(&mut self, endpoint: EndpointId, now: Moment) {
         let interval = interval(now);
         self.spent.retain(|_, spent| spent.interval == interval);
-        let spent = self.spent.entry(endpoint).or_insert(Spent {
+        let spent = self.spent.entry(endpoint).or_insert(Usage {
             interval,
             requests: 0,
         });
@@ -135,10 +135,10 @@
 }
 
 // The requests of one instance in an interval, on average.
-fn share(ramp: Ramp, instances: Option<u32>) -> f64 {
-    let instances = instances.map_or(UNCOUNTED, f64::from).max(1.0);
+fn mean_share(ramp: Ramp, instances: Option<u32>) -> f64 {
+    let instances = instances.map_or(DEFAULT_INSTANCES, f64::from).max(1.0);
     let all = INTERVAL.as_secs_f64() / ramp.spacing.as_secs_f64().max(f64::EPSILON);
-    all * GIVEN / instances
+    all * ALLOCATED_FRACTION / instances
 }
 
 fn interval(now: Moment) -> u64 {
--- a/crates/direct/src/ramp/tests.rs
+++ b/crates/direct/src/ramp/tests.rs
@@ -3,7 +3,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::{Count, Shares};
+use super::{InstanceCount, Shares};
 use crate::policy::Ramp;
 
 /// Sixteen requests a second.
@@ -28,7 +28,7 @@
     for request in 0..10 * DEMAND {
         let now = Duration::from_secs(50) + Duration::from_secs(1) / DEMAND * request;
         let one = rng.random_range(0..shares.len());
-        if shares[one].take(endpoint, RAMP, counted, now) {
+        if shares[one].try_take(endpoint, RAMP, counted, now) {
             sent.push(now);
         }
     }
@@ -84,14 +84,14 @@
 #[test]
 fn fewer_instances_are_believed_late() {
     let at = Duration::from_secs;
-    let mut count = Count::default();
-    assert_eq!(count.known(at(5)), None);
-    count.learn(82, at(5));
-    count.learn(7, at(30));
-    assert_eq!(count.known(at(31)), Some(82));
-    count.learn(90, at(40));
-    assert_eq!(count.known(at(41)), Some(90));
-    count.learn(7, at(101));
-    assert_eq!(count.known(at(102)), Some(7));
-    assert_eq!(count.known(at(200)), None);
+    let mut count = InstanceCount::default();
+    assert_eq!(count.get(at(5)), None);
+    count.update(82, at(5));
+    count.update(7, at(30));
+    assert_eq!(count.get(at(31)), Some(82));
+    count.update(90, at(40));
+    assert_eq!(count.get(at(41)), Some(90));
+    count.update(7, at(101));
+    assert_eq!(count.get(at(102)), Some(7));
+    assert_eq!(count.get(at(200)), None);
 }
--- a/crates/direct/src/relay.rs
+++ b/crates/direct/src/relay.rs
@@ -29,9 +29,9 @@
 use rand::RngExt;
 use tokio::time::{timeout, timeout_at};
 
-pub(crate) use self::job::{End, Job};
-pub(crate) use self::send::{Flight, Sent, dispatch};
-use crate::dialect::Facts;
+pub(crate) use self::job::{BodyEnd, Job};
+pub(crate) use self::send::{EndpointResponse, InFlightRequest, dispatch};
+use crate::dialect::RequestFields;
 use crate::refusal::Reason;
 use crate::shared::{Admission, Shared};
 
@@ -44,7 +44,10 @@
 const OF_PATIENCE: u32 = 2;
 
 /// Answers a caller's request.
-pub(crate) async fn answer(shared: Arc<Shared>, request: Request<Incoming>) -> Response<Body> {
+pub(crate) async fn handle_request(
+    shared: Arc<Shared>,
+    request: Request<Incoming>,
+) -> Response<Body> {
     let arrived = boot_time();
     let mut response = match serve(&shared, request, arrived).await {
         Ok(response) => response,
@@ -85,7 +88,7 @@
 ) -> Result<Response<Body>, Refused> {
     let (head, body) = request.into_parts();
     let facts = (shared.dialect.read_request)(&head.headers);
-    let id = facts.as_ref().map(|facts| job::shown(&facts.attempt));
+    let id = facts.as_ref().map(|facts| job::shown(&facts.attempt_id));
     let key = facts.as_ref().and_then(|facts| facts.key.clone());
     if let Some(facts) = &facts {
         start_up(shared, facts).await;
@@ -118,23 +121,23 @@
 // 600 ms: it isn't known that a request can't be served, and what is refused uses
 // up its caller's only repeat at the next instance that isn't informed either.
 // An instance that is not informed by then has lost the log, and refuses at once.
-async fn start_up(shared: &Shared, facts: &Facts) {
+async fn start_up(shared: &Shared, facts: &RequestFields) {
     let left = STARTS.saturating_sub(shared.uptime());
     if left.is_zero() || shared.can_route() {
         return;
     }
-    let patience = facts.patience.unwrap_or(STARTS) / OF_PATIENCE;
+    let patience = facts.timeout.unwrap_or(STARTS) / OF_PATIENCE;
     let mut beliefs = shared.view_changes();
     let informed = async { while !shared.can_route() && beliefs.changed().await.is_ok() {} };
     if timeout(left.min(patience), informed).await.is_err() {
-        log::info!(request:% = job::shown(&facts.attempt); "not informed within the start");
+        log::info!(request:% = job::shown(&facts.attempt_id); "not informed within the start");
     }
 }
 
 fn job(
     shared: &Arc<Shared>,
     head: Parts,
-    facts: Option<Facts>,
+    facts: Option<RequestFields>,
     arrived: Moment,
 ) -> Result<Box<Job>, Reason> {
     let admission = shared.admit().ok_or(Reason::Overloaded)?;
@@ -194,7 +197,7 @@
         return;
     };
     let wait = wait.mul_f64(rand::rng().random_range(reason.jitter()));
-    let value = (shared.dialect.retry_after)(wait);
+    let value = (shared.dialect.format_retry_after)(wait);
     match HeaderValue::try_from(value) {
         Ok(value) => drop(headers.insert(RETRY_AFTER, value)),
         Err(error) => log::error!(error:% = error; "time to come back can't be spelled"),
--- a/crates/direct/src/relay/answer.rs
+++ b/crates/direct/src/relay/answer.rs
@@ -13,8 +13,11 @@
 use tokio::time::timeout_at;
 
 use super::send::{Gathered, turns_away};
-use super::{End, Job, Refused, Sent, Who, choose, dispatch, headers, refuse, set_retry_after};
-use crate::attempt::{Ending, Next};
+use super::{
+    BodyEnd, EndpointResponse, Job, Refused, Who, choose, dispatch, headers, refuse,
+    set_retry_after,
+};
+use crate::attempt::{Failure, Next};
 use crate::refusal::Reason;
 use crate::stream::Stream;
 
@@ -22,7 +25,7 @@
 /// few kilobytes.
 const GATHERED: usize = 64 << 10;
 
-pub(super) async fn relay(mut job: Box<Job>, mut sent: Sent) -> Response<Body> {
+pub(super) async fn relay(mut job: Box<Job>, mut sent: EndpointResponse) -> Response<Body> {
     if job.kind().is_stream() && sent.head.status.is_success() {
         return stream(job, sent, Bytes::new());
     }
@@ -53,15 +56,15 @@
     }
 }
 
-async fn again(job: &mut Job) -> Result<Sent, Reason> {
-    match job.attempts.ended(Ending::Lost) {
-        Next::Again { .. } if !job.left().is_zero() => {}
-        Next::Again { .. } => return Err(job.attempts.late()),
-        Next::GiveUp(_) if job.left().is_zero() => return Err(job.attempts.late()),
+async fn again(job: &mut Job) -> Result<EndpointResponse, Reason> {
+    match job.attempts.record_failure(Failure::Lost) {
+        Next::Retry { .. } if !job.left().is_zero() => {}
+        Next::Retry { .. } => return Err(job.attempts.deadline_reason()),
+        Next::GiveUp(_) if job.left().is_zero() => return Err(job.attempts.deadline_reason()),
         Next::GiveUp(reason) => return Err(reason),
     }
     let now = godwitpost_client::clock::boot_time();
-    let allowed = job.shared.budget().take(job.service, now);
+    let allowed = job.shared.budget().try_take(job.service, now);
     job.shared.metrics.count_repeat(allowed);
     if !allowed {
         return Err(Reason::Broken);
@@ -85,7 +88,12 @@
     Gathered::Whole(bytes.freeze())
 }
 
-fn whole(job: &Job, mut head: Parts, flight: &super::Flight, bytes: Bytes) -> Response<Body> {
+fn whole(
+    job: &Job,
+    mut head: Parts,
+    flight: &super::InFlightRequest,
+    bytes: Bytes,
+) -> Response<Body> {
     // The answer to HEAD has the length of what GET would have got.
     if job.method != Method::HEAD {
         headers::strip(&mut head.headers);
@@ -96,13 +104,13 @@
         set_retry_after(job.shared(), &mut head.headers, reason);
     }
     job.answered(flight.name(), head.status.as_u16());
-    job.ended(End::Whole);
+    job.ended(BodyEnd::Whole);
     let body = Full::new(bytes).map_err(Into::into);
     Response::from_parts(head, body.boxed_unsync())
 }
 
-fn stream(job: Box<Job>, sent: Sent, first: Bytes) -> Response<Body> {
-    let Sent {
+fn stream(job: Box<Job>, sent: EndpointResponse, first: Bytes) -> Response<Body> {
+    let EndpointResponse {
         mut head,
         body,
         flight,
--- a/crates/direct/src/relay/choose.rs
+++ b/crates/direct/src/relay/choose.rs
@@ -13,7 +13,7 @@
 use super::source::{self, Source};
 use crate::dialect::Part;
 use crate::notices::Notice;
-use crate::place::{Bar, Candidate, Choice, Pick, Prefix, Rest, pick};
+use crate::place::{Affinity, Candidate, Choice, Exclusion, Pick, Unavailable, pick};
 use crate::refusal::Reason;
 use crate::roster::Registration;
 use crate::shared::View;
@@ -49,7 +49,7 @@
         return Err(Reason::Held { left });
     }
     if job.left() <= RETURN {
-        return Err(job.attempts.late());
+        return Err(job.attempts.deadline_reason());
     }
     let registrations = view.usable(job.service);
     let split = split(job, registrations);
@@ -109,7 +109,10 @@
         return true;
     };
     let instances = job.shared.instance_count(now);
-    let taken = job.shared.shares().take(endpoint.id, ramp, instances, now);
+    let taken = job
+        .shared
+        .shares()
+        .try_take(endpoint.id, ramp, instances, now);
     job.shared.metrics.count_warming_share(taken);
     log::info!(
         request:% = job.id(), endpoint:% = endpoint.name, instances:? = instances, taken = taken;
@@ -137,8 +140,8 @@
 }
 
 // What the request's prompt shares with others, where that counts.
-fn prefix(job: &Job, candidates: &[Candidate]) -> Option<Prefix> {
-    let part = job.facts.shared().filter(|_| job.route.affinity)?;
+fn prefix(job: &Job, candidates: &[Candidate]) -> Option<Affinity> {
+    let part = job.facts.affinity_part().filter(|_| job.route.affinity)?;
     let all = candidates.iter().map(|one| one.load).sum();
     let id = job.apart().unwrap_or(part.id);
     let part = Part { id, ..part };
@@ -177,7 +180,7 @@
     let now = boot_time();
     let notices = job.shared.notices();
     for one in registrations {
-        match notices.of(one.endpoint.id, now) {
+        match notices.get(one.endpoint.id, now) {
             Some(Notice::Leaving) => {}
             _ if !may_run(one) => split.others.push(one),
             Some(Notice::Paused { until }) => {
@@ -192,12 +195,12 @@
 
 // What the service's endpoints have to which the request can't go now, and those in
 // evacuated zones.
-fn rest(job: &Job, view: &View, split: &Split<'_>) -> Rest {
+fn rest(job: &Job, view: &View, split: &Split<'_>) -> Unavailable {
     let evacuated = view.evacuated(job.service);
     let others = split.others.iter().chain(&split.paused);
     let others: Vec<EndpointId> = others.map(|one| one.endpoint.id).collect();
     if others.is_empty() && evacuated.is_empty() {
-        return Rest::default();
+        return Unavailable::default();
     }
     let now = boot_time();
     let evacuated: Vec<EndpointId> = evacuated.iter().map(|one| one.endpoint.id).collect();
@@ -211,7 +214,7 @@
         .estimate(&evacuated, now)
         .into_iter()
         .map(|look| look.observed_load);
-    Rest {
+    Unavailable {
         count: u32::try_from(others.len() + evacuated.len()).unwrap_or(u32::MAX),
         load: used.chain(left).sum(),
     }
@@ -222,21 +225,21 @@
     let ids: Vec<EndpointId> = registrations.iter().map(|one| one.endpoint.id).collect();
     let now = boot_time();
     let looks = job.shared.endpoint_stats().estimate(&ids, now);
-    let ways = job.shared.paths();
+    let paths = job.shared.paths();
     let notices = job.shared.notices();
     let shares = job.shared.shares();
     let instances = job.shared.instance_count(now);
-    let access = |id: EndpointId, seen: Access| match notices.of(id, now) {
+    let access = |id: EndpointId, seen: Access| match notices.get(id, now) {
         Some(Notice::Resuming) if seen == Access::Full => Access::Trial,
         _ => seen,
     };
     let bar = |id: EndpointId| {
         if job.tried.contains(&id) {
-            return Some(Bar::Tried);
+            return Some(Exclusion::Tried);
         }
         let ramp = view.ramp(job.service, id, now)?;
-        let left = shares.left(id, ramp, instances, now);
-        (!left).then_some(Bar::Spent)
+        let left = shares.has_share(id, ramp, instances, now);
+        (!left).then_some(Exclusion::NoShare)
     };
     registrations
         .iter()
@@ -244,15 +247,15 @@
         .map(|(one, look)| Candidate {
             endpoint: one.endpoint.id,
             load: look.load,
-            spread: look.std_dev,
-            own: look.own_requests,
-            seen: look.observed_load,
-            known: look.known,
+            load_stddev: look.std_dev,
+            own_requests: look.own_requests,
+            observed_load: look.observed_load,
+            known_fraction: look.known,
             slots: one.slots,
-            near: one.endpoint.zone == zone,
-            clear: ways.clear(one.endpoint.zone, now),
+            same_zone: one.endpoint.zone == zone,
+            path_clear: paths.is_clear(one.endpoint.zone, now),
             access: access(one.endpoint.id, look.access),
-            bar: bar(one.endpoint.id),
+            exclusion: bar(one.endpoint.id),
         })
         .collect()
 }
--- a/crates/direct/src/relay/job.rs
+++ b/crates/direct/src/relay/job.rs
@@ -20,7 +20,7 @@
 
 use super::{crash, headers};
 use crate::attempt::Attempts;
-use crate::dialect::Facts;
+use crate::dialect::RequestFields;
 use crate::policy::{self, Caller, Kind, Limits, Policy, Route, Target, Workspace};
 use crate::refusal::Reason;
 use crate::shared::{Admission, Shared, View};
@@ -43,7 +43,7 @@
     pub(super) target: Uri,
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
-    pub(super) facts: Facts,
+    pub(super) facts: RequestFields,
     pub(super) route: Arc<Route>,
     pub(super) workspace: Option<Arc<Workspace>>,
     pub(super) service: ServiceId,
@@ -84,7 +84,7 @@
     pub(super) fn new(
         shared: &Arc<Shared>,
         head: Parts,
-        facts: Option<Facts>,
+        facts: Option<RequestFields>,
         arrived: Moment,
         admission: Admission,
     ) -> Result<Self, Reason> {
@@ -101,14 +101,14 @@
         let host = host(&uri, &headers).ok_or(Reason::Malformed)?;
         let facts = facts.ok_or(Reason::Malformed)?;
         let found = resolve(policy, &host, uri.path(), facts.key.as_deref(), fresh)?;
-        let patience = facts.patience.unwrap_or(found.route.timeout);
+        let patience = facts.timeout.unwrap_or(found.route.timeout);
         let allowed = patience.min(found.route.timeout);
         headers::strip(&mut headers);
         let kind = found.route.kind;
         let workspace = found.workspace.as_deref();
         let name = workspace.map_or("(open)", |workspace| workspace.name.as_str());
         let service = draw(&found.route);
-        shared.budget().request(service, arrived);
+        shared.budget().record_request(service, arrived);
         shared.metrics.requests().in_flight(1);
         Ok(Self {
             labels: shared.metrics.labels(name, kind.as_str()),
@@ -117,7 +117,7 @@
             target: origin(&uri),
             headers,
             body: Bytes::new(),
-            id: shown(&facts.attempt),
+            id: shown(&facts.attempt_id),
             digest: OnceLock::new(),
             facts,
             attempts: Attempts::new(kind.idempotent(), found.route.attempts),
@@ -214,7 +214,7 @@
 
     /// Returns the last event that the caller has by its own word.
     pub(crate) const fn after(&self) -> Option<u64> {
-        self.facts.after
+        self.facts.last_event_id
     }
 
     pub(super) const fn limits(&self) -> Limits {
@@ -288,18 +288,18 @@
     }
 
     /// Counts and logs the end of an answer's body.
-    pub(crate) fn ended(&self, end: End) {
+    pub(crate) fn ended(&self, end: BodyEnd) {
         let took = self.age();
         godwitpost_process::metrics::Metrics::end(&self.labels, took);
         let level = match end {
-            End::Whole => {
+            BodyEnd::Whole => {
                 if !self.shared.crash_tracker().is_empty() {
                     crash::answered(&self.shared, self.digest(), self.arrived);
                 }
                 return;
             }
-            End::Left => Level::Info,
-            End::Broken => Level::Warn,
+            BodyEnd::Left => Level::Info,
+            BodyEnd::Broken => Level::Warn,
         };
         log::log!(
             level, request:% = self.id, end:? = end, sent = self.attempts.sent() + 1,
@@ -311,7 +311,7 @@
 
 /// How the body of an answer ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum End {
+pub(crate) enum BodyEnd {
     /// All of it was passed on.
     Whole,
     /// It was broken off.
--- a/crates/direct/src/relay/send.rs
+++ b/crates/direct/src/relay/send.rs
@@ -21,9 +21,9 @@
 use super::choose::{self, Chosen, RETURN, choose};
 use super::crash::{Broken, look};
 use super::source::{self, Source};
-use crate::attempt::{Ending, Next, Verdict, judge};
+use crate::attempt::{Failure, Next, Verdict, classify_response};
 use crate::book::Liveness;
-use crate::dialect::{Answer, Outgoing};
+use crate::dialect::{OutgoingFields, ResponseFields};
 use crate::refusal::Reason;
 use crate::roster::Registration;
 use crate::shared::Shared;
@@ -52,14 +52,14 @@
 
 /// A request at an endpoint: counted there until this is dropped.
 #[derive(Debug)]
-pub(crate) struct Flight {
+pub(crate) struct InFlightRequest {
     shared: Arc<Shared>,
     registration: Arc<Registration>,
     sent: Moment,
     pulse: Liveness,
 }
 
-impl Flight {
+impl InFlightRequest {
     fn new(shared: &Arc<Shared>, registration: &Arc<Registration>) -> Self {
         let pulse = shared
             .endpoint_stats()
@@ -100,7 +100,7 @@
     /// Notes that an answer was held up on its way from the endpoint.
     pub(crate) fn held_up(&self) {
         let zone = self.registration.endpoint.zone;
-        if self.shared.paths().held_up(zone, boot_time()) {
+        if self.shared.paths().record_stall(zone, boot_time()) {
             log::warn!(endpoint:% = self.name(); "the way to its availability zone is left for a while");
         }
     }
@@ -137,7 +137,7 @@
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
         let lasted = since(boot_time(), self.sent);
         self.shared
@@ -148,18 +148,18 @@
 
 /// An answer whose head the caller may see.
 #[derive(Debug)]
-pub(crate) struct Sent {
+pub(crate) struct EndpointResponse {
     pub(crate) head: Parts,
     pub(crate) body: Received,
-    pub(crate) flight: Flight,
+    pub(crate) flight: InFlightRequest,
 }
 
 /// How one attempt came out.
 enum Tried {
-    Answer(Sent),
+    Answer(EndpointResponse),
     /// Worth another try, and the caller's if there is none.
-    Fallback(Sent),
-    Ended(Ending),
+    Fallback(EndpointResponse),
+    Failed(Failure),
 }
 
 /// Sends a request to one endpoint after the other, as the rules allow, until
@@ -168,7 +168,10 @@
 /// # Errors
 ///
 /// Returns why there is none.
-pub(crate) async fn dispatch(job: &mut Job, after: Option<u64>) -> Result<Sent, Reason> {
+pub(crate) async fn dispatch(
+    job: &mut Job,
+    after: Option<u64>,
+) -> Result<EndpointResponse, Reason> {
     let mut fallback = None;
     loop {
         let chosen = match choose(job) {
@@ -177,19 +180,19 @@
                 sleep(SHARE_PAUSE).await;
                 continue;
             }
-            Err(reason) => return fallback.ok_or_else(|| job.attempts.excuse(reason)),
+            Err(reason) => return fallback.ok_or_else(|| job.attempts.final_reason(reason)),
         };
-        let ending = match attempt(job, &chosen, after).await {
+        let failure = match attempt(job, &chosen, after).await {
             Tried::Answer(sent) => return Ok(sent),
             Tried::Fallback(sent) => {
                 fallback = Some(sent);
-                Ending::Failed
+                Failure::Failed
             }
-            Tried::Ended(ending) => ending,
+            Tried::Failed(failure) => failure,
         };
-        let next = again(job, ending);
+        let next = again(job, failure);
         log::warn!(
-            request:% = job.id(), endpoint:% = chosen.registration.endpoint.name, ending:? = ending,
+            request:% = job.id(), endpoint:% = chosen.registration.endpoint.name, ending:? = failure,
             next:? = next, sent = job.attempts.sent(), left_ms:% = job.left().as_millis();
             "attempt ended without an answer"
         );
@@ -200,22 +203,22 @@
 }
 
 // Whether the request may go to another endpoint.
-fn again(job: &mut Job, ending: Ending) -> Result<(), Reason> {
-    let next = job.attempts.ended(ending);
+fn again(job: &mut Job, failure: Failure) -> Result<(), Reason> {
+    let next = job.attempts.record_failure(failure);
     if job.left().is_zero() {
-        return Err(job.attempts.late());
+        return Err(job.attempts.deadline_reason());
     }
     match next {
         Next::GiveUp(Reason::Refused) => Err(choose::paused(job).unwrap_or(Reason::Refused)),
         Next::GiveUp(reason) => Err(reason),
-        Next::Again { repeat: false } => Ok(()),
-        Next::Again { repeat: true } => {
-            let allowed = job.shared.budget().take(job.service, boot_time());
+        Next::Retry { uses_budget: false } => Ok(()),
+        Next::Retry { uses_budget: true } => {
+            let allowed = job.shared.budget().try_take(job.service, boot_time());
             job.shared.metrics.count_repeat(allowed);
             if allowed {
                 Ok(())
             } else {
-                Err(job.attempts.excuse(Reason::Refused))
+                Err(job.attempts.final_reason(Reason::Refused))
             }
         }
     }
@@ -226,10 +229,10 @@
     job.tried.push(registration.endpoint.id);
     let request = request(job, chosen, after);
     let wait = wait(job);
-    let flight = Flight::new(&job.shared, registration);
+    let flight = InFlightRequest::new(&job.shared, registration);
     log::info!(
         request:% = job.id(), route:% = job.route.name, endpoint:% = registration.endpoint.name,
-        choice:% = chosen.choice.as_str(), load:% = chosen.load, part:? = job.facts.shared().map(|part| part.id),
+        choice:% = chosen.choice.as_str(), load:% = chosen.load, part:? = job.facts.affinity_part().map(|part| part.id),
         source:% = shown(chosen.source.as_ref()), version = job.version,
         confirmed_ms:% = job.shared.policy_age().as_millis(),
         left_ms:% = job.left().as_millis(), wait_ms:% = wait.as_millis();
@@ -240,7 +243,7 @@
     let connector = &job.shared.connector;
     match connector.send_rested(address, request, wait, rested).await {
         Ok(response) => received(job, flight, response),
-        Err(error) => Tried::Ended(failed(job, &flight, &error)),
+        Err(error) => Tried::Failed(failed(job, &flight, &error)),
     }
 }
 
@@ -273,15 +276,15 @@
 fn request(job: &Job, chosen: &Chosen, after: Option<u64>) -> Request<Body> {
     let registration = &chosen.registration;
     let mut headers = job.headers.clone();
-    let outgoing = Outgoing {
-        left: job.left().saturating_sub(RETURN),
+    let outgoing = OutgoingFields {
+        remaining: job.left().saturating_sub(RETURN),
         endpoint: &registration.endpoint.name,
         workspace: job
             .workspace
             .as_ref()
             .map(|workspace| workspace.name.as_str()),
         rank: job.rank(),
-        after,
+        last_event_id: after,
         source: chosen.source.as_ref().and_then(Source::address),
     };
     (job.shared.dialect.write_request)(&mut headers, &outgoing);
@@ -293,40 +296,40 @@
     request
 }
 
-fn received(job: &Job, flight: Flight, response: Response<Received>) -> Tried {
+fn received(job: &Job, flight: InFlightRequest, response: Response<Received>) -> Tried {
     let (head, body) = response.into_parts();
-    let answer = (job.shared.dialect.read_answer)(head.status, &head.headers);
+    let answer = (job.shared.dialect.read_response)(head.status, &head.headers);
     note(job, &flight, head.status, &answer);
     let idempotent = job.route.kind.idempotent();
-    let verdict = judge(head.status, &answer, &job.facts.attempt, idempotent);
-    let sent = Sent { head, body, flight };
+    let verdict = classify_response(head.status, &answer, &job.facts.attempt_id, idempotent);
+    let sent = EndpointResponse { head, body, flight };
     match verdict {
         Verdict::Relay => {
             source::note(job, &sent);
             Tried::Answer(sent)
         }
         Verdict::Fallback => Tried::Fallback(sent),
-        Verdict::Ended(ending) => {
+        Verdict::Failed(failure) => {
             log::warn!(
                 request:% = job.id(), endpoint:% = sent.flight.name(),
                 status = sent.head.status.as_u16(), not_run = answer.not_run,
                 signed = answer.signed;
                 "answer not passed on"
             );
-            Tried::Ended(ending)
+            Tried::Failed(failure)
         }
     }
 }
 
 // Learns from an answer what it says of its endpoint.
-fn note(job: &Job, flight: &Flight, status: StatusCode, answer: &Answer) {
+fn note(job: &Job, flight: &InFlightRequest, status: StatusCode, answer: &ResponseFields) {
     let now = boot_time();
     flight.pulse.record(now);
-    let id = &job.facts.attempt;
-    if answer.is_crossed(id) {
+    let id = &job.facts.attempt_id;
+    if answer.is_for_other_attempt(id) {
         return;
     }
-    if answer.is_own(status, id) {
+    if answer.is_from_endpoint(status, id) {
         take_notices(job, flight, status, answer, now);
     }
     let mut book = job.shared.endpoint_stats();
@@ -342,11 +345,21 @@
 }
 
 // Takes in what an endpoint says of itself beside its load.
-fn take_notices(job: &Job, flight: &Flight, status: StatusCode, answer: &Answer, now: Moment) {
+fn take_notices(
+    job: &Job,
+    flight: &InFlightRequest,
+    status: StatusCode,
+    answer: &ResponseFields,
+    now: Moment,
+) {
     if answer.standing == Some(Standing::Leaving) {
         job.shared.metrics.count_endpoint_notice("leaving");
         let life = flight.registration.endpoint_incarnation();
-        if job.shared.notices().leaves(flight.endpoint(), &life, now) {
+        if job
+            .shared
+            .notices()
+            .record_leaving(flight.endpoint(), &life, now)
+        {
             log::info!(
                 request:% = job.id(), endpoint:% = flight.name(), incarnation = life.incarnation;
                 "the answer says that its endpoint is leaving"
@@ -356,19 +369,19 @@
     let endpoint = flight.endpoint();
     if let Some(pause) = answer.retry_after {
         job.shared.metrics.count_endpoint_notice("retry-after");
-        job.shared.notices().pause(endpoint, pause, now);
+        job.shared.notices().record_pause(endpoint, pause, now);
         log::warn!(
             request:% = job.id(), endpoint:% = flight.name(), pause_ms = pause.as_millis();
             "the answer asks for no requests for a while"
         );
     } else if answer.not_run && turns_away(status) {
         job.shared.metrics.count_endpoint_notice("refused");
-        let pause = job.shared.notices().refused(endpoint, now);
+        let pause = job.shared.notices().record_refusal(endpoint, now);
         log::info!(
             request:% = job.id(), endpoint:% = flight.name(), pause_ms = pause.as_millis();
             "endpoint turned a request away; it gets none for a while"
         );
-    } else if !answer.not_run && job.shared.notices().answered(endpoint, now) {
+    } else if !answer.not_run && job.shared.notices().record_response(endpoint, now) {
         log::info!(
             request:% = job.id(), endpoint:% = flight.name();
             "endpoint answers again after its pause"
@@ -385,7 +398,7 @@
     )
 }
 
-fn failed(job: &Job, flight: &Flight, error: &Error) -> Ending {
+fn failed(job: &Job, flight: &InFlightRequest, error: &Error) -> Failure {
     log::warn!(request:% = job.id(), endpoint:% = flight.name(), error:% = error; "not answered");
     let (Error::NotSent { cause, .. } | Error::Unknown(cause)) = error;
     if cause.is_dark() {
@@ -396,9 +409,9 @@
         flight.broke();
     }
     if error.may_have_run() {
-        Ending::Lost
+        Failure::Lost
     } else {
-        Ending::NotSent
+        Failure::NotSent
     }
 }
 
--- a/crates/direct/src/relay/source.rs
+++ b/crates/direct/src/relay/source.rs
@@ -8,15 +8,15 @@
 use godwitpost_decide::health::Access;
 use godwitpost_types::id::EndpointId;
 
-use super::{Job, Sent};
-use crate::fetch::{Others, Pick, Prompt, pick};
-use crate::place::{Bar, Candidate};
+use super::{EndpointResponse, Job};
+use crate::fetch::{Prompt, Selection, SourceCandidates, select_source};
+use crate::place::{Candidate, Exclusion};
 use crate::roster::Registration;
 use crate::shared::View;
 
 /// Where an attempt's endpoint may fetch the prompt from.
 pub(super) struct Source {
-    pick: Pick,
+    pick: Selection,
     from: Option<Arc<Registration>>,
 }
 
@@ -47,11 +47,11 @@
     target: &Registration,
     draw: u64,
 ) -> Option<Source> {
-    let part = job.facts.shared().filter(|_| job.route.affinity)?;
-    let spans = job.facts.spans();
+    let part = job.facts.affinity_part().filter(|_| job.route.affinity)?;
+    let prefixes = job.facts.prefixes();
     let prompt = Prompt {
         part: part.id,
-        spans: &spans,
+        prefixes: &prefixes,
     };
     // At the target's address there is only the target: an entry that names another
     // is of a life before, whose removal wasn't heard of yet. Named as the source,
@@ -63,7 +63,7 @@
         .collect();
     let live = candidates
         .iter()
-        .filter(|one| one.bar != Some(Bar::Tried) && one.access == Access::Full)
+        .filter(|one| one.exclusion != Some(Exclusion::Tried) && one.access == Access::Full)
         .map(|one| one.endpoint);
     // What is leaving, or wants no requests for now, still holds what it read.
     let leaving = view
@@ -80,31 +80,31 @@
             .collect()
     };
     let now = boot_time();
-    let settled: Vec<EndpointId> = others
+    let warm: Vec<EndpointId> = others
         .iter()
         .copied()
         .filter(|endpoint| view.ramp(job.service, *endpoint, now).is_none())
         .collect();
-    let others = Others {
+    let others = SourceCandidates {
         all: &others,
-        settled: &settled,
+        warm: &warm,
     };
     let directory = job.shared.directory();
-    let pick = pick(&directory, prompt, target.endpoint.id, others, draw, now);
+    let pick = select_source(&directory, prompt, target.endpoint.id, others, draw, now);
     drop(directory);
     job.shared.metrics.count_prompt_source(pick.as_str());
     let from = match pick {
-        Pick::From { endpoint, .. } => view.holder(job.service, endpoint).map(Arc::clone),
-        Pick::Held | Pick::Nobody => None,
+        Selection::From { endpoint, .. } => view.holder(job.service, endpoint).map(Arc::clone),
+        Selection::AlreadyHeld | Selection::Nobody => None,
     };
     Some(Source { pick, from })
 }
 
 /// Notes that an endpoint which answers holds the request's prompt.
-pub(super) fn note(job: &Job, sent: &Sent) {
+pub(super) fn note(job: &Job, sent: &EndpointResponse) {
     if job.route.affinity && sent.head.status.is_success() {
-        let spans = job.facts.spans();
+        let prefixes = job.facts.prefixes();
         let mut directory = job.shared.directory();
-        directory.read(sent.flight.endpoint(), &spans, boot_time());
+        directory.record_read(sent.flight.endpoint(), &prefixes, boot_time());
     }
 }
--- a/crates/direct/src/running.rs
+++ b/crates/direct/src/running.rs
@@ -150,7 +150,7 @@
     ended: watch::Receiver<bool>,
 ) {
     let answering = Arc::clone(&shared);
-    let answer = move |request| relay::answer(Arc::clone(&answering), request);
+    let answer = move |request| relay::handle_request(Arc::clone(&answering), request);
     let limits = serve::callers_limits(&shared);
     tokio::spawn(run(callers, limits, closed, answer));
     let asked = Arc::clone(&shared);
--- a/crates/direct/src/shared.rs
+++ b/crates/direct/src/shared.rs
@@ -25,14 +25,14 @@
 use crate::lease::Lease;
 use crate::metrics::{Metrics, ServiceUsage};
 use crate::notices::Notices;
+use crate::paths::Paths;
 use crate::policy::{Policy, Ramp, Service};
-use crate::ramp::{Count, Shares};
+use crate::ramp::{InstanceCount, Shares};
 use crate::revoked::Revoked;
 use crate::roster::Registration;
 use crate::settings::Settings;
 use crate::standby::Askers;
 use crate::suspects::CrashTracker;
-use crate::ways::Ways;
 
 /// How long opening a connection to an endpoint may take. Endpoints are 2 ms
 /// away and there and back; a dark one costs a request this much of its time.
@@ -182,9 +182,9 @@
     budget: Mutex<Budget>,
     askers: Mutex<Askers>,
     crash_tracker: Mutex<CrashTracker>,
-    paths: Mutex<Ways>,
+    paths: Mutex<Paths>,
     shares: Mutex<Shares>,
-    count: Mutex<Count>,
+    count: Mutex<InstanceCount>,
     in_flight: AtomicUsize,
     body_bytes: AtomicUsize,
     draining: AtomicBool,
@@ -363,7 +363,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn paths(&self) -> MutexGuard<'_, Ways> {
+    pub(crate) fn paths(&self) -> MutexGuard<'_, Paths> {
         self.paths.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -375,7 +375,7 @@
     /// Takes in how many instances there are.
     pub(crate) fn set_instance_count(&self, instances: u32, now: Moment) {
         let mut count = self.count.lock().unwrap_or_else(PoisonError::into_inner);
-        count.learn(instances, now);
+        count.update(instances, now);
     }
 
     /// Returns how many instances there are, if that is known. One that nobody can
@@ -385,7 +385,7 @@
             return Some(1);
         }
         let count = self.count.lock().unwrap_or_else(PoisonError::into_inner);
-        count.known(now)
+        count.get(now)
     }
 
     pub(crate) fn budget(&self) -> MutexGuard<'_, Budget> {
@@ -435,7 +435,7 @@
             in_flight: own,
             load,
             idle: f64::from(idle),
-            repeats_left: self.budget().left(id, now),
+            repeats_left: self.budget().remaining(id, now),
         }
     }
 
--- a/crates/direct/src/stream.rs
+++ b/crates/direct/src/stream.rs
@@ -21,10 +21,10 @@
 use http_body::{Body, Frame};
 use tokio::time::{Instant, Sleep, sleep_until};
 
-use crate::attempt::{Ending, Next};
+use crate::attempt::{Failure, Next};
+use crate::paths::StallDetector;
 use crate::refusal::Reason;
-use crate::relay::{End, Flight, Job, Sent, dispatch};
-use crate::ways::Pace;
+use crate::relay::{BodyEnd, EndpointResponse, InFlightRequest, Job, dispatch};
 
 /// How long a stream may be silent before it is asked for elsewhere. Engines
 /// that are preempted or read a long prompt pause for some hundred
@@ -53,7 +53,7 @@
 
 impl std::error::Error for Broken {}
 
-type Asking = Pin<Box<dyn Future<Output = (Box<Job>, Result<Sent, Reason>)> + Send>>;
+type Asking = Pin<Box<dyn Future<Output = (Box<Job>, Result<EndpointResponse, Reason>)> + Send>>;
 
 enum State {
     Reading(Box<Reading>),
@@ -64,7 +64,7 @@
 struct Reading {
     job: Box<Job>,
     body: Received,
-    flight: Flight,
+    flight: InFlightRequest,
 }
 
 /// The body of such an answer.
@@ -75,7 +75,7 @@
     // Cuts and counts events where the stream may be resumed.
     events: Option<(Events, Resume)>,
     last: Instant,
-    pace: Pace,
+    stall_detector: StallDetector,
     silence: Pin<Box<Sleep>>,
     deadline: Pin<Box<Sleep>>,
 }
@@ -91,14 +91,19 @@
 type Step = Option<Result<Frame<Bytes>, BoxError>>;
 
 impl Stream {
-    pub(crate) fn new(job: Box<Job>, body: Received, flight: Flight, first: Bytes) -> Self {
+    pub(crate) fn new(
+        job: Box<Job>,
+        body: Received,
+        flight: InFlightRequest,
+        first: Bytes,
+    ) -> Self {
         let resumable = job.kind().is_stream() && job.kind().idempotent();
         let now = Instant::now();
         Self {
             events: (resumable && first.is_empty()).then(Default::default),
             first: (!first.is_empty()).then_some(first),
             last: now,
-            pace: Pace::default(),
+            stall_detector: StallDetector::default(),
             silence: Box::pin(sleep_until(now + SILENCE)),
             deadline: Box::pin(sleep_until(job.until())),
             state: State::Reading(Box::new(Reading { job, body, flight })),
@@ -110,7 +115,7 @@
         let now = Instant::now();
         if let State::Reading(reading) = &self.state {
             reading.flight.heard();
-            if self.pace.event(now - self.last) {
+            if self.stall_detector.observe_event(now - self.last) {
                 reading.flight.held_up();
             }
         }
@@ -135,7 +140,7 @@
                 request:% = job.id(), endpoint:% = flight.name(), cause:% = cause;
                 "stream broken off"
             );
-            job.ended(End::Broken);
+            job.ended(BodyEnd::Broken);
         }
         Err(Box::new(broken))
     }
@@ -143,7 +148,7 @@
     // The end of the endpoint's answer.
     fn end(&mut self) -> Step {
         if let State::Reading(reading) = std::mem::replace(&mut self.state, State::Ended) {
-            reading.job.ended(End::Whole);
+            reading.job.ended(BodyEnd::Whole);
         }
         let rest = self.events.take().map(|(mut events, _)| events.rest());
         rest.filter(|rest| !rest.is_empty())
@@ -174,7 +179,7 @@
         );
         drop(flight);
         let Ok(after) = next else {
-            job.ended(End::Broken);
+            job.ended(BodyEnd::Broken);
             return Some(Box::new(Broken::Cut));
         };
         job.shared().metrics.count_resumed_stream();
@@ -193,12 +198,12 @@
         }
         // The half of an event that came is dropped.
         drop(events.rest());
-        if let Next::GiveUp(reason) = job.attempts_mut().ended(Ending::Lost) {
+        if let Next::GiveUp(reason) = job.attempts_mut().record_failure(Failure::Lost) {
             return Err(reason);
         }
         let service = job.service();
         let now = godwitpost_client::clock::boot_time();
-        let allowed = job.shared().budget().take(service, now);
+        let allowed = job.shared().budget().try_take(service, now);
         job.shared().metrics.count_repeat(allowed);
         if !allowed {
             return Err(Reason::Refused);
@@ -206,7 +211,11 @@
         Ok(resume.restart().or_else(|| job.after()))
     }
 
-    fn answered(&mut self, job: Box<Job>, sent: Result<Sent, Reason>) -> Option<BoxError> {
+    fn answered(
+        &mut self,
+        job: Box<Job>,
+        sent: Result<EndpointResponse, Reason>,
+    ) -> Option<BoxError> {
         match sent {
             Ok(sent) if sent.head.status.is_success() => {
                 log::info!(request:% = job.id(), endpoint:% = sent.flight.name(); "stream resumed");
@@ -224,12 +233,12 @@
                     status = sent.head.status.as_u16();
                     "stream not resumed"
                 );
-                job.ended(End::Broken);
+                job.ended(BodyEnd::Broken);
                 Some(Box::new(Broken::Cut))
             }
             Err(reason) => {
                 log::warn!(request:% = job.id(), reason:% = reason.as_str(); "stream not resumed");
-                job.ended(End::Broken);
+                job.ended(BodyEnd::Broken);
                 Some(Box::new(Broken::Cut))
             }
         }
@@ -295,7 +304,7 @@
 impl Drop for Stream {
     fn drop(&mut self) {
         if let State::Reading(reading) = &self.state {
-            reading.job.ended(End::Left);
+            reading.job.ended(BodyEnd::Left);
         }
     }
 }
--- a/crates/direct/tests/herd/main.rs
+++ b/crates/direct/tests/herd/main.rs
@@ -9,7 +9,7 @@
 
 use godwitpost_decide::health::Access;
 use godwitpost_direct::book::{EndpointStats, Report};
-use godwitpost_direct::place::{Candidate, Pick, Rest, pick};
+use godwitpost_direct::place::{Candidate, Pick, Unavailable, pick};
 use godwitpost_types::clock::since;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -122,15 +122,15 @@
             .map(|(id, look)| Candidate {
                 endpoint: *id,
                 load: look.load,
-                spread: look.std_dev,
-                own: look.own_requests,
-                seen: look.observed_load,
-                known: look.known,
+                load_stddev: look.std_dev,
+                own_requests: look.own_requests,
+                observed_load: look.observed_load,
+                known_fraction: look.known,
                 slots: SLOTS,
-                near: zone(*id) == own,
-                clear: true,
+                same_zone: zone(*id) == own,
+                path_clear: true,
                 access: Access::Full,
-                bar: None,
+                exclusion: None,
             })
             .collect()
     }
@@ -143,7 +143,8 @@
         let instance = self.rng.random_range(0..self.size.instances);
         let candidates = self.candidates(instance, now);
         let draw = self.rng.random();
-        let Pick::Send { endpoint, .. } = pick(&candidates, Rest::default(), None, 2.0, draw)
+        let Pick::Send { endpoint, .. } =
+            pick(&candidates, Unavailable::default(), None, 2.0, draw)
         else {
             panic!("no room at any endpoint");
         };
--- a/crates/direct/tests/instance/fleet.rs
+++ b/crates/direct/tests/instance/fleet.rs
@@ -8,7 +8,7 @@
 
 use godwitpost_direct::book::Report;
 use godwitpost_direct::control::Sources;
-use godwitpost_direct::dialect::{Answer, Dialect, Facts, Outgoing, Part};
+use godwitpost_direct::dialect::{Dialect, OutgoingFields, Part, RequestFields, ResponseFields};
 use godwitpost_direct::policy::{Content, Kind, Limits, Policy, Route, Service, Target, Workspace};
 use godwitpost_direct::roster::Registration;
 use godwitpost_direct::settings::Settings;
@@ -451,22 +451,22 @@
 const DIALECT: Dialect = Dialect {
     read_request,
     write_request,
-    read_answer,
-    retry_after: |wait| wait.as_secs_f64().to_string(),
+    read_response,
+    format_retry_after: |wait| wait.as_secs_f64().to_string(),
 };
 
 fn text(headers: &HeaderMap, name: &str) -> Option<String> {
     headers.get(name)?.to_str().ok().map(str::to_owned)
 }
 
-fn read_request(headers: &HeaderMap) -> Option<Facts> {
+fn read_request(headers: &HeaderMap) -> Option<RequestFields> {
     let millis = text(headers, "x-patience").and_then(|text| text.parse().ok());
-    Some(Facts {
-        attempt: text(headers, "x-attempt")?,
-        patience: millis.map(Duration::from_millis),
+    Some(RequestFields {
+        attempt_id: text(headers, "x-attempt")?,
+        timeout: millis.map(Duration::from_millis),
         key: text(headers, "x-key"),
         prompt: text(headers, "x-prompt").map_or_else(Vec::new, |text| parts(&text)),
-        ..Facts::default()
+        ..RequestFields::default()
     })
 }
 
@@ -476,16 +476,16 @@
     ids.map(|id| Part { id, tokens: 1_000 }).collect()
 }
 
-fn write_request(headers: &mut HeaderMap, outgoing: &Outgoing<'_>) {
+fn write_request(headers: &mut HeaderMap, outgoing: &OutgoingFields<'_>) {
     headers.remove("x-key");
     let mut set = |name: &'static str, value: &str| {
         headers.insert(name, HeaderValue::try_from(value).expect("plain text"));
     };
-    set("x-patience", &outgoing.left.as_millis().to_string());
+    set("x-patience", &outgoing.remaining.as_millis().to_string());
     set("x-endpoint", outgoing.endpoint);
     set("x-rank", &outgoing.rank.to_string());
     set("x-workspace", outgoing.workspace.unwrap_or("none"));
-    if let Some(after) = outgoing.after {
+    if let Some(after) = outgoing.last_event_id {
         set("x-after", &after.to_string());
     }
     if let Some(source) = outgoing.source {
@@ -493,12 +493,12 @@
     }
 }
 
-fn read_answer(_status: StatusCode, headers: &HeaderMap) -> Answer {
-    Answer {
-        attempt: text(headers, "x-attempt"),
+fn read_response(_status: StatusCode, headers: &HeaderMap) -> ResponseFields {
+    ResponseFields {
+        attempt_id: text(headers, "x-attempt"),
         signed: headers.contains_key("x-signed"),
         not_run: headers.contains_key("x-not-run"),
-        coded: headers.contains_key("content-encoding"),
+        content_encoded: headers.contains_key("content-encoding"),
         report: text(headers, "x-load").and_then(|text| report(&text)),
         standing: headers.get("x-leaving").map(|_| Standing::Leaving),
         retry_after: text(headers, "x-retry-after")
--- a/crates/direct/tests/notices/instance.rs
+++ b/crates/direct/tests/notices/instance.rs
@@ -5,7 +5,7 @@
 
 use godwitpost_decide::health::Access;
 use godwitpost_direct::notices::{Notice, Notices};
-use godwitpost_direct::place::{Candidate, Pick, Rest, pick};
+use godwitpost_direct::place::{Candidate, Pick, Unavailable, pick};
 use godwitpost_direct::roster::{Registration, Roster};
 use godwitpost_types::clock::Moment;
 use godwitpost_types::endpoint::Standing;
@@ -82,7 +82,7 @@
             .filter(|one| one.endpoint.standing == Standing::Live);
         let mut candidates = Vec::new();
         for one in live {
-            let access = match self.notices.of(self.noted(one), now) {
+            let access = match self.notices.get(self.noted(one), now) {
                 Some(Notice::Leaving | Notice::Paused { .. }) => continue,
                 Some(Notice::Resuming) if !self.lacks(Guard::Trials) => Access::Trial,
                 _ => Access::Full,
@@ -90,7 +90,8 @@
             let own = self.own.get(&one.endpoint.id).copied().unwrap_or(0);
             candidates.push(candidate(one, own, access));
         }
-        let Pick::Send { endpoint, .. } = pick(&candidates, Rest::default(), None, BOUND, draw)
+        let Pick::Send { endpoint, .. } =
+            pick(&candidates, Unavailable::default(), None, BOUND, draw)
         else {
             return None;
         };
@@ -103,7 +104,7 @@
 
     /// Returns whether it tries the endpoint by one request at a time.
     pub(crate) fn tries(&self, endpoint: EndpointId, now: Moment) -> bool {
-        self.notices.of(endpoint, now) == Some(Notice::Resuming)
+        self.notices.get(endpoint, now) == Some(Notice::Resuming)
     }
 
     pub(crate) fn under_way(&self, endpoint: EndpointId) -> u32 {
@@ -122,13 +123,13 @@
         let noted = self.noted(to);
         if leaving && !self.lacks(Guard::Leaving) {
             let life = to.endpoint_incarnation();
-            self.notices.leaves(noted, &life, now);
+            self.notices.record_leaving(noted, &life, now);
         }
         match reply {
             Reply::Refused(_) if self.lacks(Guard::Pauses) => {}
-            Reply::Refused(Some(pause)) => self.notices.pause(noted, pause, now),
-            Reply::Refused(None) => drop(self.notices.refused(noted, now)),
-            Reply::Served | Reply::Misdirected => drop(self.notices.answered(noted, now)),
+            Reply::Refused(Some(pause)) => self.notices.record_pause(noted, pause, now),
+            Reply::Refused(None) => drop(self.notices.record_refusal(noted, now)),
+            Reply::Served | Reply::Misdirected => drop(self.notices.record_response(noted, now)),
         }
     }
 }
@@ -137,14 +138,14 @@
     Candidate {
         endpoint: one.endpoint.id,
         load: f64::from(own),
-        spread: 1.0,
-        own,
-        seen: f64::from(own),
-        known: 1.0,
+        load_stddev: 1.0,
+        own_requests: own,
+        observed_load: f64::from(own),
+        known_fraction: 1.0,
         slots: one.slots,
-        near: true,
-        clear: true,
+        same_zone: true,
+        path_clear: true,
         access,
-        bar: None,
+        exclusion: None,
     }
 }
