--- a/crates/bench/src/decisions/cost.rs
+++ b/crates/bench/src/decisions/cost.rs
@@ -49,7 +49,7 @@
 pub fn placement(engines: usize) -> f64 {
     let size = fleet(engines);
     let view = view(&size);
-    let pool = Pool::of(&request(0));
+    let pool = Pool::for_request(&request(0));
     fastest(|| {
         let mut sum = 0_u64;
         for chat in 0..TIMED {
@@ -82,7 +82,7 @@
     let size = fleet(engines);
     let view = view(&size);
     let mut owner = Owner::new(Arc::clone(&view), Arc::new(size.policy()));
-    let endpoints = view.owned_of(Pool::of(&request(0))).to_vec();
+    let endpoints = view.owned_in_pool(Pool::for_request(&request(0))).to_vec();
     let now = Duration::from_secs(1000);
     let hops: Vec<Hop> = endpoints.iter().map(|id| Hop::first(0, *id)).collect();
     let requests: Vec<Request> = (0..u64::from(TIMED)).map(request).collect();
@@ -106,8 +106,8 @@
     let owner = (0..size.instances)
         .map(|i| size.instance(i).id)
         .max_by_key(|id| {
-            let view = View::of(*id, Arc::clone(&fleet));
-            view.owned_of(Pool::of(&request(0))).len()
+            let view = View::from_fleet(*id, Arc::clone(&fleet));
+            view.owned_in_pool(Pool::for_request(&request(0))).len()
         });
-    Arc::new(View::of(owner.unwrap_or(0), fleet))
+    Arc::new(View::from_fleet(owner.unwrap_or(0), fleet))
 }
--- a/crates/bench/src/decisions/fate.rs
+++ b/crates/bench/src/decisions/fate.rs
@@ -7,7 +7,7 @@
 
 use godwitpost_decide::ending::Ending;
 use godwitpost_decide::hop::Hop;
-use godwitpost_decide::owner::{Attempt, Next, Owner, Wake};
+use godwitpost_decide::owner::{AttemptId, Next, Owner, Wake};
 use godwitpost_decide::queue::Ticket;
 use godwitpost_decide::view::{Fleet, View};
 use godwitpost_types::clock::Moment;
@@ -43,7 +43,7 @@
     owner: Owner,
     policy: Arc<Policy>,
     waiting: BTreeMap<Ticket, (u128, Moment)>,
-    running: Vec<Attempt>,
+    running: Vec<AttemptId>,
     told: BTreeSet<u128>,
     dispatched: BTreeSet<u128>,
     tally: Tally,
@@ -89,12 +89,12 @@
     let endpoints = (0..engines).map(|i| size.endpoint(i, 1));
     let fleet = Arc::new(Fleet::new(instances, endpoints));
     let owner = fleet_owner(&fleet, size);
-    Arc::new(View::of(owner, fleet))
+    Arc::new(View::from_fleet(owner, fleet))
 }
 
 // The instance that owns the first engine.
 fn fleet_owner(fleet: &Arc<Fleet>, size: &Size) -> u64 {
-    let view = View::of(size.instance(0).id, Arc::clone(fleet));
+    let view = View::from_fleet(size.instance(0).id, Arc::clone(fleet));
     view.owner(size.endpoint(0, 1).id)
 }
 
@@ -135,7 +135,7 @@
         let home = self.size.endpoint(self.rng.random_range(0..2), 1).id;
         let mut hop = Hop::first(0, home);
         // Sent here as the last stop, so that it waits and isn't sent on.
-        hop.count = godwitpost_decide::hop::MOST;
+        hop.count = godwitpost_decide::hop::MAX_FORWARDS;
         hop.tried = vec![self.size.endpoint(1, 1).id];
         let next = self.owner.offer(self.now, &request, &hop);
         self.follow(request.id, request.deadline, &next);
@@ -237,7 +237,7 @@
         let engines = self.rng.random_range(1..=2);
         let view = view(&self.size, engines);
         let policy = Arc::clone(&self.policy);
-        let wakes = self.owner.adopt(self.now, view, policy);
+        let wakes = self.owner.apply_view(self.now, view, policy);
         self.wake(wakes);
     }
 
--- a/crates/bench/src/decisions/poison.rs
+++ b/crates/bench/src/decisions/poison.rs
@@ -8,7 +8,7 @@
 use godwitpost_decide::ending::Ending;
 use godwitpost_decide::entry;
 use godwitpost_decide::hop::Hop;
-use godwitpost_decide::owner::{Attempt, Next, Owner};
+use godwitpost_decide::owner::{AttemptId, Next, Owner};
 use godwitpost_decide::refusal::Reason;
 use godwitpost_decide::view::{Fleet, View};
 use godwitpost_types::clock::Moment;
@@ -40,7 +40,7 @@
     views: BTreeMap<InstanceId, Arc<View>>,
     policy: Arc<Policy>,
     down: BTreeSet<EndpointId>,
-    running: BTreeMap<EndpointId, Vec<(InstanceId, Attempt, Request)>>,
+    running: BTreeMap<EndpointId, Vec<(InstanceId, AttemptId, Request)>>,
     waiting: BTreeMap<(InstanceId, u64), Request>,
     toll: Toll,
     rng: ChaCha8Rng,
@@ -78,7 +78,7 @@
         let policy = Arc::new(size.policy());
         let ids = (0..size.instances).map(|index| size.instance(index).id);
         let views: BTreeMap<_, _> = ids
-            .map(|id| (id, Arc::new(View::of(id, Arc::clone(&fleet)))))
+            .map(|id| (id, Arc::new(View::from_fleet(id, Arc::clone(&fleet)))))
             .collect();
         let owners = views.iter().map(|(id, view)| {
             let owner = Owner::new(Arc::clone(view), Arc::clone(&policy));
@@ -120,9 +120,9 @@
         let index = self.rng.random_range(0..self.size.instances);
         let entry = self.size.instance(index);
         let view = Arc::clone(&self.views[&entry.id]);
-        let evidence = self.owners[&entry.id].evidence_on(&request.digest);
+        let evidence = self.owners[&entry.id].evidence_for(&request.digest);
         let attempts = entry::Attempts::default();
-        match entry::start(&view, &self.policy, request, entry.zone) {
+        match entry::route(&view, &self.policy, request, entry.zone) {
             entry::Next::Local { endpoint } => {
                 let hop = attempts.hop(entry.zone, endpoint, evidence);
                 self.offer(entry.id, request, &hop);
@@ -183,7 +183,7 @@
         }
     }
 
-    fn end(&mut self, instance: InstanceId, attempt: Attempt, ending: Ending) {
+    fn end(&mut self, instance: InstanceId, attempt: AttemptId, ending: Ending) {
         let owner = self.owners.get_mut(&instance).expect("an instance");
         let wakes = owner.finish(self.now, attempt, ending);
         self.wake(instance, wakes);
@@ -199,19 +199,19 @@
 
     fn share(&mut self) {
         let owners = self.owners.values_mut();
-        let evidence: Vec<_> = owners.flat_map(Owner::evidence).collect();
+        let evidence: Vec<_> = owners.flat_map(Owner::take_evidence).collect();
         for owner in self.owners.values_mut() {
-            owner.learn_evidence(&evidence);
+            owner.record_evidence(&evidence);
         }
     }
 
     fn publish(&mut self) {
         let fleet = Arc::new(fleet(&self.size, &self.down));
         for id in self.views.keys().copied().collect::<Vec<_>>() {
-            let view = Arc::new(View::of(id, Arc::clone(&fleet)));
+            let view = Arc::new(View::from_fleet(id, Arc::clone(&fleet)));
             self.views.insert(id, Arc::clone(&view));
             let owner = self.owners.get_mut(&id).expect("an instance");
-            let wakes = owner.adopt(self.now, view, Arc::clone(&self.policy));
+            let wakes = owner.apply_view(self.now, view, Arc::clone(&self.policy));
             self.wake(id, wakes);
         }
     }
--- a/crates/bench/src/decisions/scheme.rs
+++ b/crates/bench/src/decisions/scheme.rs
@@ -104,13 +104,13 @@
     request: &Request,
     bound: f64,
 ) -> Option<EndpointId> {
-    let pool = Pool::of(request);
+    let pool = Pool::for_request(request);
     let mut ranked = view.ranked(pool, request.chat, 0);
     match scheme {
         Scheme::Owned | Scheme::Rendezvous => ranked.next(),
         Scheme::RoundRobin => {
             knowledge.turn += 1;
-            let size = view.size(pool);
+            let size = view.pool_size(pool);
             // One order for all: that of the chat "0".
             let mut members = view.ranked(pool, 0, 0);
             members.nth(knowledge.turn % size.max(1))
@@ -123,7 +123,7 @@
                 .take(2)
                 .min_by_key(|id| told.get(id).copied().unwrap_or(0))
         }
-        Scheme::LocalShare => local_share(knowledge, ranked, view.size(pool), request, bound),
+        Scheme::LocalShare => local_share(knowledge, ranked, view.pool_size(pool), request, bound),
         Scheme::Oracle => oracle(engines, pool, request, bound),
     }
 }
--- a/crates/bench/src/decisions/world.rs
+++ b/crates/bench/src/decisions/world.rs
@@ -13,7 +13,7 @@
 use godwitpost_decide::entry;
 use godwitpost_decide::hop::Hop;
 use godwitpost_decide::load::Summary;
-use godwitpost_decide::owner::{Attempt, Owner};
+use godwitpost_decide::owner::{AttemptId, Owner};
 use godwitpost_decide::queue::Ticket;
 use godwitpost_decide::view::{Fleet, Pool, View};
 use godwitpost_types::clock::Moment;
@@ -152,7 +152,7 @@
     arrived: Moment,
     dispatched: bool,
     attempts: entry::Attempts,
-    place: Option<(usize, Attempt)>,
+    place: Option<(usize, AttemptId)>,
     endpoint: EndpointId,
 }
 
@@ -200,7 +200,7 @@
         let fleet = Arc::new(fleet(&size, &lives, None, None));
         let nodes = (0..size.instances).map(|index| {
             let instance = size.instance(index);
-            let view = Arc::new(View::of(instance.id, Arc::clone(&fleet)));
+            let view = Arc::new(View::from_fleet(instance.id, Arc::clone(&fleet)));
             Node {
                 id: instance.id,
                 zone: instance.zone,
--- a/crates/bench/src/decisions/world/change.rs
+++ b/crates/bench/src/decisions/world/change.rs
@@ -41,20 +41,24 @@
 
     pub(super) fn adopt(&mut self, index: usize, fleet: Arc<Fleet>) {
         let node = &mut self.nodes[index];
-        let view = Arc::new(View::of(node.id, fleet));
+        let view = Arc::new(View::from_fleet(node.id, fleet));
         node.view = Arc::clone(&view);
         if self.scheme != Scheme::Owned {
             return;
         }
         let policy = Arc::clone(&self.policy);
-        let wakes = node.owner.adopt(self.now, view, policy);
+        let wakes = node.owner.apply_view(self.now, view, policy);
         self.wake(index, wakes);
     }
 
     pub(super) fn hand_over(&mut self, from: usize) {
-        for (to, location) in self.nodes[from].owner.handover().unwrap_or_default() {
+        for (to, location) in self.nodes[from]
+            .owner
+            .next_handover_batch()
+            .unwrap_or_default()
+        {
             let to = self.places[&to];
-            self.nodes[to].owner.take_over(&[location]);
+            self.nodes[to].owner.accept_handover(&[location]);
             self.control(LOCATION_BYTES);
         }
     }
--- a/crates/bench/src/decisions/world/request.rs
+++ b/crates/bench/src/decisions/world/request.rs
@@ -92,7 +92,7 @@
             return;
         };
         let node = &self.nodes[known.entry];
-        let next = entry::start(&node.view, &self.policy, &known.request, node.zone);
+        let next = entry::route(&node.view, &self.policy, &known.request, node.zone);
         self.go(job, next);
     }
 
@@ -102,7 +102,7 @@
             (known.entry, known.attempts.clone(), known.request.digest)
         };
         let zone = self.nodes[entry].zone;
-        let evidence = self.nodes[entry].owner.evidence_on(&digest);
+        let evidence = self.nodes[entry].owner.evidence_for(&digest);
         match next {
             entry::Next::Local { endpoint } => {
                 let hop = attempts.hop(zone, endpoint, evidence);
@@ -130,7 +130,7 @@
     pub(super) fn offer(&mut self, node: usize, from: usize, job: usize, hop: &Hop) {
         let request = self.job(job).request.clone();
         if node != from {
-            self.tell(from, node, Pool::of(&request));
+            self.tell(from, node, Pool::for_request(&request));
         }
         let next = self.nodes[node].owner.offer(self.now, &request, hop);
         self.follow(node, job, next);
@@ -142,9 +142,9 @@
                 let known = self.job(job);
                 known.place = Some((node, grant.attempt));
                 let endpoint = grant.endpoint;
-                if let Some((home, location)) = grant.tell {
+                if let Some((home, location)) = grant.notify_home {
                     let home = self.places[&home];
-                    self.nodes[home].owner.located(location);
+                    self.nodes[home].owner.record_location(location);
                     self.control(LOCATION_BYTES);
                 }
                 self.after(WAY, Event::Arrive { endpoint, job });
@@ -259,7 +259,7 @@
             let wakes = self.nodes[node].owner.finish(self.now, attempt, ending);
             self.wake(node, wakes);
             if node != entry {
-                let pool = Pool::of(&self.job(job).request);
+                let pool = Pool::for_request(&self.job(job).request);
                 self.tell(node, entry, pool);
             }
         }
@@ -305,7 +305,7 @@
             return;
         };
         let node = &self.nodes[known.entry];
-        let retry = known.attempts.failed(
+        let retry = known.attempts.record_failure(
             self.now,
             &node.view,
             node.zone,
@@ -329,7 +329,7 @@
             return;
         };
         let view = Arc::clone(&self.nodes[known.entry].view);
-        let pool = Pool::of(&known.request);
+        let pool = Pool::for_request(&known.request);
         let mut ranked = view.ranked(pool, known.request.chat, 0);
         let live = ranked.find(|id| self.engines.get(*id).live);
         if let Some(endpoint) = live {
--- a/crates/bench/src/decisions/world/round.rs
+++ b/crates/bench/src/decisions/world/round.rs
@@ -39,7 +39,7 @@
         let pool = pool(&self.size, engine);
         let incarnation = self.lives[engine];
         let owners = self.nodes.iter_mut();
-        for node in owners.filter(|node| node.view.owned_of(pool).contains(&endpoint)) {
+        for node in owners.filter(|node| node.view.owned_in_pool(pool).contains(&endpoint)) {
             for chat in evicted {
                 let event = chats::Event {
                     chat: *chat,
@@ -49,7 +49,7 @@
                     incarnation,
                     at: taken,
                 };
-                node.owner.cache_event(endpoint, &event);
+                node.owner.apply_cache_event(endpoint, &event);
             }
         }
     }
@@ -117,7 +117,7 @@
                     requests,
                     work,
                 };
-                node.owner.observe(endpoint, &report);
+                node.owner.apply_report(endpoint, &report);
             }
         }
     }
@@ -149,7 +149,7 @@
 
     pub(super) fn learn(&mut self, to: usize, told: &[Summary]) {
         let node = &mut self.nodes[to];
-        node.owner.learn(told);
+        node.owner.record_summaries(told);
         for summary in told.iter().filter(|summary| summary.source != node.id) {
             node.known.push_front(*summary);
         }
--- a/crates/bench/src/limits.rs
+++ b/crates/bench/src/limits.rs
@@ -159,7 +159,7 @@
                 while *due >= 1.0 {
                     *due -= 1.0;
                     if limits.admit(now, WORKSPACE, &workspace, size).is_ok() {
-                        limits.done(WORKSPACE);
+                        limits.release(WORKSPACE);
                         admitted += 1;
                     }
                 }
@@ -180,7 +180,7 @@
     fn tell(&mut self, now: Duration, from: usize, to: usize) {
         let size = self.limits.len();
         let demands = self.limits[from].demands(now, &self.workspaces, size);
-        self.limits[to].learn(now, from as u64, &demands);
+        self.limits[to].record_demands(now, from as u64, &demands);
     }
 
     fn peer(&mut self, index: usize) -> usize {
--- a/crates/capacity/src/role/entry.rs
+++ b/crates/capacity/src/role/entry.rs
@@ -40,7 +40,7 @@
         let requests: Vec<_> = (0..64).map(|c| fleet::request(c, models)).collect();
         let took = meter::nanoseconds(CALLS, |call| {
             let request = &requests[call as usize % requests.len()];
-            black_box(entry::start(&view, &policy, request, 0));
+            black_box(entry::route(&view, &policy, request, 0));
         });
         (f64::from(endpoints), took)
     };
--- a/crates/capacity/src/role/owner.rs
+++ b/crates/capacity/src/role/owner.rs
@@ -39,7 +39,7 @@
         let (_table, bytes) = meter::memory(allocated, || {
             let mut table = Table::default();
             for chat in 0..u64::from(chats) {
-                table.put(location(chat));
+                table.insert(location(chat));
             }
             table
         });
@@ -60,7 +60,7 @@
     let request = fleet::request(chat, 1);
     Location {
         chat: request.chat,
-        pool: Pool::of(&request),
+        pool: Pool::for_request(&request),
         endpoint: 1,
         incarnation: 1,
         tokens: 800,
@@ -165,6 +165,8 @@
 }
 
 fn hop(view: &View, request: &Request) -> Hop {
-    let home = view.ranked(Pool::of(request), request.chat, 0).next();
+    let home = view
+        .ranked(Pool::for_request(request), request.chat, 0)
+        .next();
     Hop::first(0, home.expect("the pool has endpoints"))
 }
--- a/crates/decide/src/chats.rs
+++ b/crates/decide/src/chats.rs
@@ -20,7 +20,7 @@
 /// The letter's 5.5 M chats over 320 instances are 17,200 each; twice that
 /// leaves room for uneven shares. An entry takes about 120 bytes with its
 /// index, so a full table is about 4 MB of the 64 MB allowed for control.
-pub const CAPACITY: NonZeroUsize = NonZeroUsize::new(34_400).unwrap();
+pub const MAX_CHATS: NonZeroUsize = NonZeroUsize::new(34_400).unwrap();
 
 /// Where a chat's context is warm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -73,7 +73,7 @@
 
 impl Default for Table {
     fn default() -> Self {
-        Self::new(CAPACITY)
+        Self::new(MAX_CHATS)
     }
 }
 
@@ -99,12 +99,12 @@
     }
 
     /// Returns a chat's location and marks it as used.
-    pub fn find(&mut self, pool: Pool, chat: ChatId) -> Option<Location> {
+    pub fn get(&mut self, pool: Pool, chat: ChatId) -> Option<Location> {
         self.rows.get(&(pool, chat)).copied()
     }
 
     /// Remembers a location unless a later one is known.
-    pub fn put(&mut self, location: Location) {
+    pub fn insert(&mut self, location: Location) {
         let key = (location.pool, location.chat);
         let newer = self.rows.peek(&key).is_none_or(|l| l.seen <= location.seen);
         if newer {
@@ -113,7 +113,7 @@
     }
 
     /// Forgets a location that proved wrong.
-    pub fn forget(&mut self, pool: Pool, chat: ChatId) {
+    pub fn remove(&mut self, pool: Pool, chat: ChatId) {
         self.rows.pop(&(pool, chat));
     }
 
@@ -122,10 +122,10 @@
     /// A late "stored" must not undo what happened since, so it only fills an
     /// empty row or corrects the estimate of the same endpoint; an "evicted"
     /// counts only if the chat has not run there after it.
-    pub fn apply(&mut self, endpoint: EndpointId, event: &Event) {
+    pub fn apply_event(&mut self, endpoint: EndpointId, event: &Event) {
         let key = (event.pool, event.chat);
         match (event.kind, self.rows.peek_mut(&key)) {
-            (Kind::Stored, None) => self.put(Location {
+            (Kind::Stored, None) => self.insert(Location {
                 chat: event.chat,
                 pool: event.pool,
                 endpoint,
--- a/crates/decide/src/ending.rs
+++ b/crates/decide/src/ending.rs
@@ -39,7 +39,7 @@
 
     /// Returns whether the ending counts against the endpoint's health.
     #[must_use]
-    pub const fn harms(self) -> bool {
+    pub const fn counts_against_health(self) -> bool {
         matches!(self, Self::NotSent | Self::Broken | Self::Timeout)
     }
 }
--- a/crates/decide/src/entry.rs
+++ b/crates/decide/src/entry.rs
@@ -1,6 +1,6 @@
 //! Decisions of the instance that a caller's request lands on.
 //!
-//! [`start`] says where a request goes first. After an attempt failed,
+//! [`route`] says where a request goes first. After an attempt failed,
 //! [`Attempts`] says whether it may go again. It may if the ending proves
 //! that nothing ran, or if the request is repeatable; an unrepeatable request
 //! whose fate is unknown never goes again. Retries are paid from a budget of
@@ -43,7 +43,7 @@
 
 /// Returns where a request goes first; `zone` is the entry instance's.
 #[must_use]
-pub fn start(view: &View, policy: &Policy, request: &Request, zone: ZoneId) -> Next {
+pub fn route(view: &View, policy: &Policy, request: &Request, zone: ZoneId) -> Next {
     match check(policy, request) {
         Some(reason) => Next::Refuse(Refusal::new(reason)),
         None => place(view, request, zone, &[]),
@@ -64,7 +64,7 @@
 // The first endpoint in the chat's order that has not failed this request;
 // the first of all if every one has.
 fn place(view: &View, request: &Request, zone: ZoneId, failed: &[EndpointId]) -> Next {
-    let mut ranked = view.ranked(Pool::of(request), request.chat, zone);
+    let mut ranked = view.ranked(Pool::for_request(request), request.chat, zone);
     let Some(home) = ranked.next() else {
         return Next::Refuse(Refusal::new(Reason::NoEndpoint));
     };
@@ -135,7 +135,7 @@
     ///
     /// `endpoint` is where it failed, if it got that far.
     #[expect(clippy::too_many_arguments, reason = "all of it decides")]
-    pub fn failed(
+    pub fn record_failure(
         &mut self,
         now: Moment,
         view: &View,
@@ -154,7 +154,7 @@
         if now + after >= request.deadline {
             return self.give_up();
         }
-        if !budgets.spend(now, request.workspace, request.service) {
+        if !budgets.try_withdraw(now, request.workspace, request.service) {
             return self.give_up();
         }
         match place(view, request, zone, &self.failed) {
@@ -234,7 +234,7 @@
 
 impl Budgets {
     /// Notes a first attempt, which earns a part of a retry.
-    pub fn earn(&mut self, workspace: WorkspaceId, service: ServiceId) {
+    pub fn deposit(&mut self, workspace: WorkspaceId, service: ServiceId) {
         let key = (workspace, service);
         if let Some(account) = self.spent.get_mut(&key) {
             account.held += EARNED;
@@ -245,7 +245,12 @@
     }
 
     /// Spends one retry; returns whether there was one.
-    pub fn spend(&mut self, now: Moment, workspace: WorkspaceId, service: ServiceId) -> bool {
+    pub fn try_withdraw(
+        &mut self,
+        now: Moment,
+        workspace: WorkspaceId,
+        service: ServiceId,
+    ) -> bool {
         let full = Account {
             held: HELD,
             used: now,
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -22,9 +22,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     /// The endpoint answered.
-    Good(Moment),
+    Success(Moment),
     /// An attempt failed in a way that harms.
-    Bad(Moment),
+    Failure(Moment),
     /// The endpoint or the platform's list says it is leaving.
     Leaving,
     /// Time passed.
@@ -82,7 +82,7 @@
     /// incarnation replaced the present one.
     ///
     /// An older incarnation is a late word on somebody gone, and is ignored.
-    pub fn hear(&mut self, incarnation: Incarnation, standing: Standing) -> bool {
+    pub fn update_standing(&mut self, incarnation: Incarnation, standing: Standing) -> bool {
         if incarnation < self.incarnation {
             return false;
         }
--- a/crates/decide/src/health/memory.rs
+++ b/crates/decide/src/health/memory.rs
@@ -55,11 +55,11 @@
     #[state(superstate = "present")]
     fn open(&mut self, event: &Event) -> Outcome<State> {
         match event {
-            Event::Good(_) => {
+            Event::Success(_) => {
                 self.failures = 0;
                 Handled
             }
-            Event::Bad(now) => {
+            Event::Failure(now) => {
                 self.failures += 1;
                 if self.failures >= FAILURES {
                     self.close(*now)
@@ -85,7 +85,7 @@
     #[state(superstate = "present")]
     fn trial(&mut self, event: &Event) -> Outcome<State> {
         match event {
-            Event::Good(now) => {
+            Event::Success(now) => {
                 self.successes += 1;
                 if self.successes < SUCCESSES {
                     return Handled;
@@ -94,7 +94,7 @@
                 self.since = *now;
                 Transition(State::open())
             }
-            Event::Bad(now) => self.close(*now),
+            Event::Failure(now) => self.close(*now),
             _ => Super,
         }
     }
--- a/crates/decide/src/hop.rs
+++ b/crates/decide/src/hop.rs
@@ -10,7 +10,7 @@
 ///
 /// One to the home's owner, one to where the chat is warm or to the first
 /// spill, one more spill, and the last to the least loaded seen.
-pub const MOST: u8 = 4;
+pub const MAX_FORWARDS: u8 = 4;
 
 /// What travels with a request from one instance to the next.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -57,7 +57,7 @@
 
     /// Returns whether the request has to stay with who holds it now.
     #[must_use]
-    pub const fn last(&self) -> bool {
-        self.count >= MOST
+    pub const fn forwards_exhausted(&self) -> bool {
+        self.count >= MAX_FORWARDS
     }
 }
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -4,7 +4,7 @@
 //! comes in with its moment, an enum of what to do next goes out; the router
 //! is an adapter around that, and so are the tests and the bench.
 //!
-//! A request lands on an entry instance ([`entry::start`]), which sends it to
+//! A request lands on an entry instance ([`entry::route`]), which sends it to
 //! the [`owner::Owner`] of the endpoint that placement names. The owner alone
 //! dispatches to its endpoints, so it counts, bounds and queues their work
 //! exactly. `docs/design/placement.md` says what was weighed.
--- a/crates/decide/src/limit.rs
+++ b/crates/decide/src/limit.rs
@@ -33,13 +33,13 @@
 
 /// Demands in one word at most; with 20 bytes each they fit beside the rest
 /// of a gossip message.
-pub const TOLD: usize = 8;
+pub const MAX_DEMANDS: usize = 8;
 
 /// The part of an even share under which demand is not told.
 ///
 /// What is not told is taken for none, so the fleet may admit this part of
 /// the limit beyond it.
-pub const QUIET: f64 = 0.25;
+pub const MIN_REPORTED_PRESSURE: f64 = 0.25;
 
 /// The least time that demand is measured over, just under a gossip period.
 const MEASURED: Duration = Duration::from_millis(900);
@@ -135,14 +135,14 @@
     }
 
     /// Notes that an admitted request ended, however it did.
-    pub fn done(&mut self, id: WorkspaceId) {
+    pub fn release(&mut self, id: WorkspaceId) {
         if let Some(meter) = self.meters.get_mut(&id) {
             meter.running = meter.running.saturating_sub(1);
         }
     }
 
-    /// Returns the demand to tell the others: the [`TOLD`] workspaces that
-    /// press most on their even share, and none under [`QUIET`] of it.
+    /// Returns the demand to tell the others: the [`MAX_DEMANDS`] workspaces that
+    /// press most on their even share, and none under [`MIN_REPORTED_PRESSURE`] of it.
     pub fn demands(
         &mut self,
         now: Moment,
@@ -156,21 +156,21 @@
                 continue;
             };
             let pressure = meter.pressure(workspace, instances);
-            if pressure >= QUIET {
+            if pressure >= MIN_REPORTED_PRESSURE {
                 pressed.push((pressure, meter.demand(*id)));
             }
         }
         pressed.sort_by(|(a, _), (b, _)| b.total_cmp(a));
-        pressed.truncate(TOLD);
+        pressed.truncate(MAX_DEMANDS);
         pressed.into_iter().map(|(_, demand)| demand).collect()
     }
 
     /// Takes in all that another instance told at once, in place of what it
     /// told before.
-    pub fn learn(&mut self, now: Moment, source: InstanceId, demands: &[Demand]) {
+    pub fn record_demands(&mut self, now: Moment, source: InstanceId, demands: &[Demand]) {
         let word = Word {
             heard: now,
-            full: demands.len() >= TOLD,
+            full: demands.len() >= MAX_DEMANDS,
             demands: demands.iter().map(|d| (d.workspace, *d)).collect(),
         };
         self.words.insert(source, word);
--- a/crates/decide/src/load.rs
+++ b/crates/decide/src/load.rs
@@ -18,18 +18,18 @@
 ///
 /// Longer than gossip takes to come round at the letter's size; a source that
 /// is silent for longer is treated as not heard of.
-pub const FRESH: Duration = Duration::from_secs(15);
+pub const SUMMARY_MAX_AGE: Duration = Duration::from_secs(15);
 
 /// How old the summaries are that a mean is taken from if they are enough.
 ///
 /// Means follow a surge's end within some seconds; a mean of older figures
 /// is too high then, and the bound with it.
-pub const RECENT: Duration = Duration::from_secs(3);
+pub const RECENT_SUMMARY_MAX_AGE: Duration = Duration::from_secs(3);
 
 /// Endpoints that recent summaries have to cover for a mean of their own.
 ///
 /// With loads that differ by a third, the mean of 16 is off by 8%.
-pub const ENOUGH: u64 = 16;
+pub const MIN_RECENT_ENDPOINTS: u64 = 16;
 
 /// The load of one instance's endpoints in one pool at one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -50,13 +50,13 @@
 
 /// The last summary of each source, by pool.
 #[derive(Clone, Debug, Default)]
-pub struct Means {
+pub struct Table {
     pools: BTreeMap<Pool, BTreeMap<InstanceId, Summary>>,
 }
 
-impl Means {
+impl Table {
     /// Takes in a summary unless a newer one of its source is known.
-    pub fn learn(&mut self, summary: Summary) {
+    pub fn record(&mut self, summary: Summary) {
         let sources = self.pools.entry(summary.pool).or_default();
         let known = sources.entry(summary.source).or_insert(summary);
         if known.taken < summary.taken {
@@ -67,16 +67,16 @@
     /// Drops what is no longer fresh; called about once a second.
     pub fn expire(&mut self, now: Moment) {
         for sources in self.pools.values_mut() {
-            sources.retain(|_, summary| since(now, summary.taken) < FRESH);
+            sources.retain(|_, summary| since(now, summary.taken) < SUMMARY_MAX_AGE);
         }
         self.pools.retain(|_, sources| !sources.is_empty());
     }
 
     /// Returns the last fresh summary of one source.
     #[must_use]
-    pub fn of(&self, pool: Pool, source: InstanceId, now: Moment) -> Option<&Summary> {
+    pub fn fresh_summary(&self, pool: Pool, source: InstanceId, now: Moment) -> Option<&Summary> {
         let summary = self.pools.get(&pool)?.get(&source)?;
-        (since(now, summary.taken) < FRESH).then_some(summary)
+        (since(now, summary.taken) < SUMMARY_MAX_AGE).then_some(summary)
     }
 
     /// Returns the mean estimated work of an endpoint in a pool of `size`.
@@ -86,11 +86,11 @@
     /// that heard from nobody would else compare its endpoints with
     /// themselves, find each at the mean, and let them drown.
     #[must_use]
-    pub fn mean(&self, own: &Summary, size: usize, floor: f64, now: Moment) -> f64 {
+    pub fn mean_work(&self, own: &Summary, size: usize, floor: f64, now: Moment) -> f64 {
         let others = || self.fresh(own.pool, now).filter(|s| s.source != own.source);
-        let recent = others().filter(|summary| since(now, summary.taken) < RECENT);
+        let recent = others().filter(|summary| since(now, summary.taken) < RECENT_SUMMARY_MAX_AGE);
         let (endpoints, work) = total(own, recent);
-        if endpoints >= ENOUGH.min(size as u64) {
+        if endpoints >= MIN_RECENT_ENDPOINTS.min(size as u64) {
             return average(endpoints, work, endpoints, floor);
         }
         let (endpoints, work) = total(own, others());
@@ -102,7 +102,7 @@
             .get(&pool)
             .into_iter()
             .flat_map(BTreeMap::values)
-            .filter(move |summary| since(now, summary.taken) < FRESH)
+            .filter(move |summary| since(now, summary.taken) < SUMMARY_MAX_AGE)
     }
 }
 
--- a/crates/decide/src/owner.rs
+++ b/crates/decide/src/owner.rs
@@ -33,14 +33,14 @@
 use crate::ending::Ending;
 use crate::health;
 use crate::hop::Hop;
-use crate::load::{Means, Summary};
+use crate::load::{Summary, Table};
 use crate::quarantine::{self, Evidence};
 use crate::queue::{Queue, Ticket};
 use crate::refusal::{Reason, Refusal};
 use crate::view::{Pool, View};
 
 /// A number for a request that runs, unique at its owner.
-pub type Attempt = u64;
+pub type AttemptId = u64;
 
 /// Requests that may wait at one owner for one pool.
 ///
@@ -52,7 +52,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
     /// Names the attempt in [`Owner::finish`], which must be called once.
-    pub attempt: Attempt,
+    pub attempt: AttemptId,
     /// Where to send it.
     pub endpoint: EndpointId,
     /// Prompt tokens estimated to be cached there.
@@ -60,8 +60,8 @@
     /// The priority to tell the engine; 0 goes first.
     pub priority: u8,
     /// The owner of the chat's home, if it is another instance: it has to be
-    /// told of the location with [`Owner::located`].
-    pub tell: Option<(InstanceId, Location)>,
+    /// told of the location with [`Owner::record_location`].
+    pub notify_home: Option<(InstanceId, Location)>,
 }
 
 /// What to do with a request that was offered.
@@ -109,12 +109,12 @@
     view: Arc<View>,
     policy: Arc<Policy>,
     books: BTreeMap<EndpointId, Book>,
-    running: BTreeMap<Attempt, Running>,
+    running: BTreeMap<AttemptId, Running>,
     queues: BTreeMap<Pool, Queue<Job>>,
     tickets: BTreeMap<Ticket, Pool>,
     shares: BTreeMap<Pool, Shares>,
     chats: chats::Table,
-    means: Means,
+    means: Table,
     quarantine: quarantine::Table,
     outbox: Vec<Evidence>,
     next: u64,
@@ -137,7 +137,7 @@
             tickets: BTreeMap::new(),
             shares: BTreeMap::new(),
             chats: chats::Table::default(),
-            means: Means::default(),
+            means: Table::default(),
             quarantine: quarantine::Table::default(),
             outbox: Vec::new(),
             next: 0,
@@ -151,7 +151,7 @@
     /// Decides on a request that arrived with its hop.
     pub fn offer(&mut self, now: Moment, request: &Request, hop: &Hop) -> Next {
         for evidence in &hop.evidence {
-            self.quarantine.learn(*evidence);
+            self.quarantine.insert(*evidence);
         }
         match self.admit(now, request, hop) {
             Ok(job) => self.place(now, job, hop),
@@ -160,12 +160,12 @@
     }
 
     /// Takes in where another owner placed a chat whose home is here.
-    pub fn located(&mut self, location: Location) {
-        self.chats.put(location);
+    pub fn record_location(&mut self, location: Location) {
+        self.chats.insert(location);
     }
 
     /// Takes in how an attempt ended; returns who goes next.
-    pub fn finish(&mut self, now: Moment, attempt: Attempt, ending: Ending) -> Vec<Wake> {
+    pub fn finish(&mut self, now: Moment, attempt: AttemptId, ending: Ending) -> Vec<Wake> {
         let Some(running) = self.running.remove(&attempt) else {
             return Vec::new();
         };
@@ -174,7 +174,7 @@
         self.drain(now)
     }
 
-    fn settle(&mut self, now: Moment, attempt: Attempt, running: &Running, ending: Ending) {
+    fn settle(&mut self, now: Moment, attempt: AttemptId, running: &Running, ending: Ending) {
         if let Some(shares) = self.shares.get_mut(&running.job.pool) {
             shares.end(&running.job);
         }
@@ -187,8 +187,10 @@
         }
         match ending {
             Ending::Leaving => book.health.handle(health::Event::Leaving),
-            ending if ending.harms() => book.health.handle(health::Event::Bad(now)),
-            Ending::Done => book.health.handle(health::Event::Good(now)),
+            ending if ending.counts_against_health() => {
+                book.health.handle(health::Event::Failure(now));
+            }
+            Ending::Done => book.health.handle(health::Event::Success(now)),
             _ => {}
         }
     }
@@ -218,7 +220,7 @@
     }
 
     fn testify(&mut self, evidence: Evidence) {
-        if self.quarantine.learn(evidence) {
+        if self.quarantine.insert(evidence) {
             self.outbox.push(evidence);
         }
     }
@@ -279,7 +281,7 @@
     fn time_out(&mut self, now: Moment) -> Vec<Wake> {
         let mut gone = Vec::new();
         for queue in self.queues.values_mut() {
-            while let Some(expired) = queue.expired(now) {
+            while let Some(expired) = queue.pop_expired(now) {
                 gone.push(expired);
             }
         }
@@ -295,11 +297,14 @@
     }
 
     /// Takes in an endpoint's own lagging report.
-    pub fn observe(&mut self, endpoint: EndpointId, report: &Report) {
+    pub fn apply_report(&mut self, endpoint: EndpointId, report: &Report) {
         let Some(book) = self.books.get_mut(&endpoint) else {
             return;
         };
-        if book.health.hear(report.incarnation, report.standing) {
+        if book
+            .health
+            .update_standing(report.incarnation, report.standing)
+        {
             book.broke = None;
         }
         if report.incarnation == book.health.incarnation() {
@@ -319,13 +324,16 @@
         }
         book.broke = None;
         let incarnation = book.health.incarnation();
-        for evidence in self.quarantine.acquit(endpoint, incarnation, alive) {
+        for evidence in self
+            .quarantine
+            .retract_crashes(endpoint, incarnation, alive)
+        {
             self.outbox.push(evidence);
         }
     }
 
     /// Takes in an engine's cache event, which may be late and follow a gap.
-    pub fn cache_event(&mut self, endpoint: EndpointId, event: &chats::Event) {
+    pub fn apply_cache_event(&mut self, endpoint: EndpointId, event: &chats::Event) {
         let row = self.chats.peek(event.pool, event.chat);
         let seen = row.filter(|row| row.endpoint == endpoint && row.seen <= event.at);
         if let (chats::Kind::Evicted, Some(seen), Some(book)) = (
@@ -335,7 +343,7 @@
         ) {
             book.evicted(seen);
         }
-        self.chats.apply(endpoint, event);
+        self.chats.apply_event(endpoint, event);
     }
 
     /// Returns the load of the owned endpoints of each pool, to be told to
@@ -349,7 +357,7 @@
     /// Returns the summary of one pool, to send along with an answer.
     #[must_use]
     pub fn summary(&self, now: Moment, pool: Pool) -> Summary {
-        let owned = self.view.owned_of(pool);
+        let owned = self.view.owned_in_pool(pool);
         Summary {
             source: self.view.local(),
             pool,
@@ -361,23 +369,23 @@
     }
 
     /// Takes in summaries of other instances.
-    pub fn learn(&mut self, summaries: &[Summary]) {
+    pub fn record_summaries(&mut self, summaries: &[Summary]) {
         for summary in summaries {
-            self.means.learn(*summary);
+            self.means.record(*summary);
         }
     }
 
     /// Returns what became known of requests that crash endpoints since the
     /// last call. To be sent to every instance at once, not with the gossip:
     /// the caller may send the request again within milliseconds.
-    pub fn evidence(&mut self) -> Vec<Evidence> {
+    pub fn take_evidence(&mut self) -> Vec<Evidence> {
         std::mem::take(&mut self.outbox)
     }
 
     /// Returns what is known of one digest, to send along with the request.
     #[must_use]
-    pub fn evidence_on(&self, digest: &BodyDigest) -> Vec<Evidence> {
-        self.quarantine.on(digest)
+    pub fn evidence_for(&self, digest: &BodyDigest) -> Vec<Evidence> {
+        self.quarantine.evidence_for(digest)
     }
 
     /// Returns the quarantine, for operators to look at.
@@ -388,9 +396,9 @@
 
     /// Takes in evidence of other instances; returns what was new, to be
     /// passed on.
-    pub fn learn_evidence(&mut self, evidence: &[Evidence]) -> Vec<Evidence> {
+    pub fn record_evidence(&mut self, evidence: &[Evidence]) -> Vec<Evidence> {
         let fresh = evidence.iter().copied();
-        fresh.filter(|e| self.quarantine.learn(*e)).collect()
+        fresh.filter(|e| self.quarantine.insert(*e)).collect()
     }
 
     /// Returns the number of requests that run.
--- a/crates/decide/src/owner/book.rs
+++ b/crates/decide/src/owner/book.rs
@@ -7,7 +7,7 @@
 use godwitpost_types::endpoint::Report;
 use godwitpost_types::id::Incarnation;
 
-use super::Attempt;
+use super::AttemptId;
 use crate::health::{Access, Machine};
 use crate::queue::Ticket;
 
@@ -32,7 +32,7 @@
     /// It takes no more until it is idle, for a waiting suspect.
     Draining(Ticket),
     /// It runs a suspect alone.
-    Running(Attempt),
+    Running(AttemptId),
 }
 
 /// What an owner keeps on one of its endpoints.
--- a/crates/decide/src/owner/change.rs
+++ b/crates/decide/src/owner/change.rs
@@ -19,7 +19,7 @@
 /// a fifth, so that it gets little before its first report.
 const PRESUMED: u64 = 5;
 
-/// Locations looked at in one call of [`Owner::handover`], some 200 us.
+/// Locations looked at in one call of [`Owner::next_handover_batch`], some 200 us.
 const HANDED: usize = 512;
 
 impl Owner {
@@ -27,7 +27,7 @@
     ///
     /// Running requests stay counted until they finish. Those that wait for a
     /// pool of which nothing is owned here any more move to its owners.
-    pub fn adopt(&mut self, now: Moment, view: Arc<View>, policy: Arc<Policy>) -> Vec<Wake> {
+    pub fn apply_view(&mut self, now: Moment, view: Arc<View>, policy: Arc<Policy>) -> Vec<Wake> {
         self.lose(&view);
         let pools = view.owned_pools().keys();
         let means = pools.map(|pool| (*pool, self.mean(now, *pool))).collect();
@@ -43,7 +43,7 @@
     // Homes move with the endpoints and with their owners; what is known of
     // the chats whose home or context moves goes along.
     pub(super) fn lose(&mut self, next: &View) {
-        if self.view.same_places(next) {
+        if self.view.same_ownership(next) {
             return;
         }
         // With some of the last move left to do, both are done from before it.
@@ -64,10 +64,10 @@
     /// view, with whom they go to; looks at some of the table in each call,
     /// and returns `None` when there is no more to look at.
     ///
-    /// Homes move when [`Owner::adopt`] brings other endpoints or instances;
+    /// Homes move when [`Owner::apply_view`] brings other endpoints or instances;
     /// on a graceful stop, when the view has the local instance as leaving,
     /// all of them do. Called at each tick, and on a stop until it is done.
-    pub fn handover(&mut self) -> Option<Vec<(InstanceId, Location)>> {
+    pub fn next_handover_batch(&mut self) -> Option<Vec<(InstanceId, Location)>> {
         if self.strays.is_empty() {
             return None;
         }
@@ -102,10 +102,10 @@
     }
 
     /// Takes over chat locations of an instance that stops.
-    pub fn take_over(&mut self, locations: &[Location]) {
+    pub fn accept_handover(&mut self, locations: &[Location]) {
         // The most recently used come first and have to be put last.
         for location in locations.iter().rev() {
-            self.located(*location);
+            self.record_location(*location);
         }
     }
 
@@ -144,7 +144,8 @@
             }
             let book = self.books.entry(endpoint.id);
             let book = book.or_insert_with(|| Book::new(endpoint.incarnation));
-            book.health.hear(endpoint.incarnation, endpoint.standing);
+            book.health
+                .update_standing(endpoint.incarnation, endpoint.standing);
         }
         self.books.retain(|id, book| {
             book.requests > 0 || (view.endpoint(*id).is_some() && view.owner(*id) == view.local())
@@ -154,7 +155,7 @@
     // What waits for a pool with no endpoint left here moves on.
     pub(super) fn evict(&mut self) -> Vec<Wake> {
         let view = Arc::clone(&self.view);
-        let here = |pool: Pool| !view.owned_of(pool).is_empty();
+        let here = |pool: Pool| !view.owned_in_pool(pool).is_empty();
         let pools: Vec<Pool> = self.queues.keys().copied().filter(|p| !here(*p)).collect();
         let mut wakes = Vec::new();
         for pool in pools {
--- a/crates/decide/src/owner/job.rs
+++ b/crates/decide/src/owner/job.rs
@@ -83,7 +83,7 @@
             class: request.class,
         };
         Ok(Self {
-            pool: Pool::of(request),
+            pool: Pool::for_request(request),
             chat: request.chat,
             digest: request.digest,
             prompt: request.prompt_tokens,
@@ -96,7 +96,7 @@
                 flow,
                 weight: workspace.weight * class.weight,
                 work: request.work(0),
-                until: request.deadline,
+                deadline: request.deadline,
             },
             queues: class.queue,
             home: hop.home,
--- a/crates/decide/src/owner/place.rs
+++ b/crates/decide/src/owner/place.rs
@@ -19,7 +19,7 @@
 
 /// Forwards after which a request that nobody owns up to is dispatched by
 /// whoever has it.
-const ASTRAY: u8 = crate::hop::MOST + 4;
+const ASTRAY: u8 = crate::hop::MAX_FORWARDS + 4;
 
 /// Endpoints of a chat's order that a spill looks at.
 const SCANNED: usize = 16;
@@ -38,8 +38,8 @@
         if request.deadline <= now {
             return Err(Reason::Deadline);
         }
-        match self.quarantine.judge(&request.digest, now) {
-            Verdict::Convicted => return Err(Reason::Quarantined),
+        match self.quarantine.verdict(&request.digest, now) {
+            Verdict::Quarantined => return Err(Reason::Quarantined),
             Verdict::Suspect => job.suspect = true,
             Verdict::Clear => {}
         }
@@ -53,7 +53,7 @@
     // Where the chat is warm, if that is a place it can still go to. Only the
     // owner of the home sends it elsewhere, so no chain of hints is followed.
     pub(super) fn recall(&mut self, job: &mut Job, hop: &Hop) {
-        let found = self.chats.find(job.pool, job.chat);
+        let found = self.chats.get(job.pool, job.chat);
         let Some(known) = found.filter(|known| self.lives(known)) else {
             return;
         };
@@ -92,7 +92,7 @@
     /// along the chat's order while the bound forbids, then into the queue.
     pub(super) fn place(&mut self, now: Moment, job: Job, hop: &Hop) -> Next {
         let target = job.warm.map_or(hop.endpoint, |warm| warm.endpoint);
-        if !self.owns(target) && !hop.last() {
+        if !self.owns(target) && !hop.forwards_exhausted() {
             return self.forward(&job, hop.clone(), target);
         }
         let mut hop = hop.clone();
@@ -137,7 +137,7 @@
             }
         }
         match next {
-            Some((_, endpoint)) if !hop.last() => self.forward(&job, hop, endpoint),
+            Some((_, endpoint)) if !hop.forwards_exhausted() => self.forward(&job, hop, endpoint),
             _ => self.wait(now, job, hop),
         }
     }
@@ -146,7 +146,7 @@
     // heard to wait for them.
     pub(super) fn heard(&self, now: Moment, pool: Pool, endpoint: EndpointId) -> Option<u64> {
         let owner = self.view.owner(endpoint);
-        match self.means.of(pool, owner, now) {
+        match self.means.fresh_summary(pool, owner, now) {
             Some(summary) if summary.waiting > 0 => None,
             Some(summary) => Some(summary.work / u64::from(summary.endpoints.max(1))),
             None => Some(0),
@@ -167,9 +167,9 @@
     pub(super) fn wait(&mut self, now: Moment, mut job: Job, mut hop: Hop) -> Next {
         if let Some((endpoint, _)) = hop.least
             && !self.owns(endpoint)
-            && hop.count <= crate::hop::MOST
+            && hop.count <= crate::hop::MAX_FORWARDS
         {
-            hop.count = crate::hop::MOST;
+            hop.count = crate::hop::MAX_FORWARDS;
             return self.forward(&job, hop, endpoint);
         }
         if let Some(endpoint) = self.settle_for(now, &mut job) {
@@ -178,7 +178,7 @@
         if !job.queues {
             return Next::Refuse(Refusal::new(Reason::Busy));
         }
-        if self.view.owned_of(job.pool).is_empty() {
+        if self.view.owned_in_pool(job.pool).is_empty() {
             return self.improvise(now, job, hop);
         }
         self.enqueue(now, job)
@@ -210,20 +210,20 @@
     // With nowhere else to go, the whole bound is open to a cold request.
     pub(super) fn settle_for(&self, now: Moment, job: &mut Job) -> Option<EndpointId> {
         job.since = now;
-        let owned = self.view.owned_of(job.pool).iter().copied();
+        let owned = self.view.owned_in_pool(job.pool).iter().copied();
         let fitting = owned.filter(|id| self.fits(now, *id, job));
         fitting.min_by_key(|id| self.load(*id))
     }
 
     pub(super) fn enqueue(&mut self, now: Moment, job: Job) -> Next {
         let queue = self.queues.entry(job.pool).or_default();
-        if queue.full(LONGEST, job.rank.flow) {
+        if queue.is_full_for(LONGEST, job.rank.flow) {
             return Next::Refuse(Refusal::new(Reason::QueueFull));
         }
         let ticket = self.next;
         self.next += 1;
         self.tickets.insert(ticket, job.pool);
-        let until = job.rank.until;
+        let until = job.rank.deadline;
         let rank = job.rank;
         let shares = self.shares.entry(job.pool).or_default();
         shares.arrive(now, &job);
@@ -262,7 +262,7 @@
             tokens: job.prompt.saturating_add(job.answer),
             seen: now,
         };
-        self.chats.put(location);
+        self.chats.insert(location);
         Some(location)
     }
 
@@ -272,7 +272,7 @@
         let work = job.work(endpoint);
         let cached = job.cached(endpoint);
         let location = self.remember(now, &job, endpoint);
-        let tell = job.home.zip(location);
+        let notify_home = job.home.zip(location);
         let book = self.books.entry(endpoint).or_insert_with(|| Book::new(0));
         book.begin(now, work);
         if job.suspect {
@@ -292,7 +292,7 @@
             endpoint,
             cached,
             priority,
-            tell,
+            notify_home,
         })
     }
 
--- a/crates/decide/src/owner/room.rs
+++ b/crates/decide/src/owner/room.rs
@@ -160,9 +160,9 @@
     }
 
     fn exact_mean(&self, now: Moment, pool: Pool) -> f64 {
-        let size = self.view.size(pool);
+        let size = self.view.pool_size(pool);
         self.means
-            .mean(&self.own(pool), size, self.floor(pool), now)
+            .mean_work(&self.own(pool), size, self.floor(pool), now)
     }
 
     /// Returns the mean work of a pool's endpoints, in tokens.
@@ -194,7 +194,7 @@
 
     fn advance(&mut self, now: Moment, pool: Pool) -> Option<Wake> {
         let (ticket, endpoint) = self.fitting(now, pool)?;
-        let job = self.queues.get_mut(&pool)?.take(ticket)?;
+        let job = self.queues.get_mut(&pool)?.take_for_dispatch(ticket)?;
         self.left(ticket, &job);
         let next = self.grant(now, endpoint, job);
         Some(Wake { ticket, next })
@@ -203,7 +203,7 @@
     // The first in the queue for which an owned endpoint has room.
     fn fitting(&mut self, now: Moment, pool: Pool) -> Option<(Ticket, EndpointId)> {
         let view = Arc::clone(&self.view);
-        let owned = view.owned_of(pool);
+        let owned = view.owned_in_pool(pool);
         let mut drains = None;
         let mut found = None;
         for (ticket, job) in self.queues.get(&pool)?.iter().take(LOOKED_AT) {
--- a/crates/decide/src/quarantine.rs
+++ b/crates/decide/src/quarantine.rs
@@ -19,13 +19,13 @@
 ///
 /// Long enough that a caller that resends for a working day stays out, short
 /// enough that a mended engine gets another try the next day.
-pub const KEPT: Duration = Duration::from_hours(12);
+pub const EVIDENCE_MAX_AGE: Duration = Duration::from_hours(12);
 
 /// Digests that one instance holds evidence on.
 ///
 /// 25 crashes a day with 64 requests in flight are 1,600 suspects a day;
 /// five times that bounds the memory at about a megabyte.
-pub const CAPACITY: usize = 8_192;
+pub const MAX_DIGESTS: usize = 8_192;
 
 /// What one crash or one clean run says of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -74,7 +74,7 @@
     /// It may have crashed an endpoint; it runs alone.
     Suspect,
     /// It crashes endpoints; it does not run.
-    Convicted,
+    Quarantined,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -93,7 +93,7 @@
 
 impl Table {
     /// Takes in evidence; returns whether it was new and worth passing on.
-    pub fn learn(&mut self, evidence: Evidence) -> bool {
+    pub fn insert(&mut self, evidence: Evidence) -> bool {
         let case = self.cases.entry(evidence.digest).or_default();
         let fresh = case.add(&evidence);
         self.shed();
@@ -102,7 +102,7 @@
 
     /// Returns what to do with the request of a digest.
     #[must_use]
-    pub fn judge(&self, digest: &BodyDigest, now: Moment) -> Verdict {
+    pub fn verdict(&self, digest: &BodyDigest, now: Moment) -> Verdict {
         self.cases
             .get(digest)
             .map_or(Verdict::Clear, |case| case.verdict(now))
@@ -119,14 +119,14 @@
 
     /// Returns all evidence on one digest.
     #[must_use]
-    pub fn on(&self, digest: &BodyDigest) -> Vec<Evidence> {
+    pub fn evidence_for(&self, digest: &BodyDigest) -> Vec<Evidence> {
         let case = self.cases.get(digest);
         case.map_or_else(Vec::new, |case| case.records(*digest).collect())
     }
 
     /// Takes back the crashes of an incarnation that was alive afterwards;
     /// returns the evidence to pass on.
-    pub fn acquit(
+    pub fn retract_crashes(
         &mut self,
         endpoint: EndpointId,
         incarnation: Incarnation,
@@ -145,12 +145,13 @@
             })
             .collect();
         let fresh = acquitted.into_iter();
-        fresh.filter(|evidence| self.learn(*evidence)).collect()
+        fresh.filter(|evidence| self.insert(*evidence)).collect()
     }
 
     /// Drops evidence that no longer counts.
     pub fn expire(&mut self, now: Moment) {
-        self.cases.retain(|_, case| since(now, case.latest) < KEPT);
+        self.cases
+            .retain(|_, case| since(now, case.latest) < EVIDENCE_MAX_AGE);
     }
 
     /// Returns the number of digests with evidence.
@@ -168,7 +169,7 @@
     // Over capacity the case that was quiet longest goes, as it is the least
     // likely to be sent again.
     fn shed(&mut self) {
-        if self.cases.len() <= CAPACITY {
+        if self.cases.len() <= MAX_DIGESTS {
             return;
         }
         let oldest = self.cases.iter().min_by_key(|(_, case)| case.latest);
@@ -201,11 +202,11 @@
             .crashes
             .iter()
             .filter(|(place, at)| self.survived.get(place) < Some(at))
-            .filter(|(_, at)| Some(**at) > self.cleared && since(now, **at) < KEPT);
+            .filter(|(_, at)| Some(**at) > self.cleared && since(now, **at) < EVIDENCE_MAX_AGE);
         match counted.count() {
             0 => Verdict::Clear,
             1 => Verdict::Suspect,
-            _ => Verdict::Convicted,
+            _ => Verdict::Quarantined,
         }
     }
 
--- a/crates/decide/src/queue.rs
+++ b/crates/decide/src/queue.rs
@@ -39,7 +39,7 @@
     /// Estimated work in tokens.
     pub work: u64,
     /// When it stops waiting.
-    pub until: Moment,
+    pub deadline: Moment,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -98,7 +98,7 @@
 
     /// Returns how many requests of a flow wait.
     #[must_use]
-    pub fn waiting(&self, flow: Flow) -> u32 {
+    pub fn flow_len(&self, flow: Flow) -> u32 {
         self.waiting.get(&flow).copied().unwrap_or(0)
     }
 
@@ -108,9 +108,9 @@
     /// in, up to twice as many: a surge that fills the queue must not keep
     /// the others out of it.
     #[must_use]
-    pub fn full(&self, most: usize, flow: Flow) -> bool {
+    pub fn is_full_for(&self, most: usize, flow: Flow) -> bool {
         let flows = self.waiting.len().max(1);
-        let own = usize::try_from(self.waiting(flow)).unwrap_or(usize::MAX);
+        let own = usize::try_from(self.flow_len(flow)).unwrap_or(usize::MAX);
         self.len() >= 2 * most || (self.len() >= most && own.saturating_mul(flows) >= most)
     }
 
@@ -126,8 +126,8 @@
             ticket,
         };
         self.order.insert(place, (rank.flow, item));
-        self.places.insert(ticket, (place, rank.until));
-        self.until.insert((rank.until, ticket));
+        self.places.insert(ticket, (place, rank.deadline));
+        self.until.insert((rank.deadline, ticket));
         *self.waiting.entry(rank.flow).or_insert(0) += 1;
     }
 
@@ -139,7 +139,7 @@
     }
 
     /// Takes a request out to dispatch it, which moves the virtual time on.
-    pub fn take(&mut self, ticket: Ticket) -> Option<T> {
+    pub fn take_for_dispatch(&mut self, ticket: Ticket) -> Option<T> {
         let (place, _) = *self.places.get(&ticket)?;
         if let Some(level) = self.levels.get_mut(&place.priority) {
             level.virtual_time = level.virtual_time.max(place.start);
@@ -160,7 +160,7 @@
     }
 
     /// Takes out one request whose time is up.
-    pub fn expired(&mut self, now: Moment) -> Option<(Ticket, T)> {
+    pub fn pop_expired(&mut self, now: Moment) -> Option<(Ticket, T)> {
         let &(until, ticket) = self.until.first()?;
         if until > now {
             return None;
--- a/crates/decide/src/resume.rs
+++ b/crates/decide/src/resume.rs
@@ -21,20 +21,20 @@
 
 /// What an event means for the stream that it came in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Seen {
+pub enum EventOrder {
     /// It is the next one.
     Next,
     /// The stream is not numbered; it is relayed but can't be resumed.
     Unnumbered,
     /// A resumed stream doesn't go on where it broke off.
-    Astray,
+    OutOfSequence,
 }
 
 /// What follows a broken stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
     /// Ask the same engine for what follows this event.
-    Ask {
+    Reconnect {
         /// The number of the last whole event.
         after: u64,
     },
@@ -44,41 +44,41 @@
 
 /// How far one stream has come.
 #[derive(Clone, Debug, Default)]
-pub struct Resume {
+pub struct Progress {
     last: Option<u64>,
     unnumbered: bool,
     done: bool,
     asked: u32,
 }
 
-impl Resume {
+impl Progress {
     /// Notes a whole event and its number, if it has one.
-    pub fn event(&mut self, number: Option<u64>) -> Seen {
+    pub fn record_event(&mut self, number: Option<u64>) -> EventOrder {
         let expected = self.last.and_then(|last| last.checked_add(1));
         let next = number.is_some() && (self.last.is_none() || number == expected);
         if next && !self.done {
             self.last = number;
-            Seen::Next
+            EventOrder::Next
         } else if self.asked > 0 {
-            Seen::Astray
+            EventOrder::OutOfSequence
         } else {
             self.unnumbered = true;
-            Seen::Unnumbered
+            EventOrder::Unnumbered
         }
     }
 
     /// Notes that the events have no boundaries that can be relied on.
-    pub const fn unbounded(&mut self) -> Seen {
+    pub const fn record_unbounded(&mut self) -> EventOrder {
         self.unnumbered = true;
         if self.asked > 0 {
-            Seen::Astray
+            EventOrder::OutOfSequence
         } else {
-            Seen::Unnumbered
+            EventOrder::Unnumbered
         }
     }
 
     /// Notes the end mark.
-    pub const fn done(&mut self) {
+    pub const fn record_end(&mut self) {
         self.done = true;
     }
 
@@ -97,23 +97,23 @@
     /// Notes that the stream broke off and returns what follows.
     ///
     /// Asking again counts as a retry.
-    pub fn broken(&mut self, now: Moment, request: &Request, budgets: &mut Budgets) -> Next {
+    pub fn record_break(&mut self, now: Moment, request: &Request, budgets: &mut Budgets) -> Next {
         let Some(after) = self.last else {
             return Next::GiveUp;
         };
         if self.unnumbered || self.done || self.asked >= MOST || now >= request.deadline {
             return Next::GiveUp;
         }
-        if !budgets.spend(now, request.workspace, request.service) {
+        if !budgets.try_withdraw(now, request.workspace, request.service) {
             return Next::GiveUp;
         }
         self.asked += 1;
-        Next::Ask { after }
+        Next::Reconnect { after }
     }
 
     /// Returns the number of the last whole event.
     #[must_use]
-    pub const fn last(&self) -> Option<u64> {
+    pub const fn last_event(&self) -> Option<u64> {
         self.last
     }
 
@@ -122,7 +122,7 @@
     ///
     /// `None` if it can't be asked for: an event had no number, or the end
     /// mark came.
-    pub const fn restart(&mut self) -> Option<u64> {
+    pub const fn begin_resume(&mut self) -> Option<u64> {
         if self.unnumbered || self.done {
             return None;
         }
--- a/crates/decide/src/resume/events.rs
+++ b/crates/decide/src/resume/events.rs
@@ -6,7 +6,7 @@
 //! limit; a stream that exceeds it, or that ends its lines in a way in which
 //! the end of an event can't be seen, is passed on as it comes from then on.
 
-use super::{Resume, Seen};
+use super::{EventOrder, Progress};
 use bytes::{Bytes, BytesMut};
 
 /// Bytes of an unfinished event that are held: far above an event of one
@@ -16,23 +16,23 @@
 /// A resumed stream that doesn't go on where it broke off.
 #[derive(Debug, displaydoc::Display)]
 #[displaydoc("the endpoint resumed its stream at another event than the next")]
-pub struct Astray;
+pub struct OutOfSequence;
 
-impl std::error::Error for Astray {}
+impl std::error::Error for OutOfSequence {}
 
 /// Cuts frames at the ends of events.
 #[derive(Debug, Default)]
-pub struct Events {
+pub struct EventSplitter {
     held: BytesMut,
 }
 
-impl Events {
+impl EventSplitter {
     /// Takes a frame in; returns what may be passed on.
     ///
     /// # Errors
     ///
     /// Returns an error if a resumed stream doesn't go on where it broke off.
-    pub fn push(&mut self, frame: Bytes, resume: &mut Resume) -> Result<Bytes, Astray> {
+    pub fn push(&mut self, frame: Bytes, resume: &mut Progress) -> Result<Bytes, OutOfSequence> {
         let mut bytes = self.join(frame);
         if resume.is_unnumbered() {
             return Ok(bytes);
@@ -40,16 +40,16 @@
         let whole = match scan(&bytes, resume) {
             Scan::Whole(whole) => whole,
             Scan::Unnumbered => return Ok(bytes),
-            Scan::Astray => return Err(Astray),
+            Scan::Astray => return Err(OutOfSequence),
         };
         let rest = bytes.split_off(whole);
         if rest.len() > HELD {
-            return match resume.unbounded() {
-                Seen::Astray => Err(Astray),
-                Seen::Next | Seen::Unnumbered => {
+            return match resume.record_unbounded() {
+                EventOrder::OutOfSequence => Err(OutOfSequence),
+                EventOrder::Next | EventOrder::Unnumbered => {
                     self.held.extend_from_slice(&bytes);
                     self.held.extend_from_slice(&rest);
-                    Ok(self.rest())
+                    Ok(self.take_partial())
                 }
             };
         }
@@ -59,7 +59,7 @@
 
     /// Takes out what is held of an unfinished event.
     #[must_use]
-    pub fn rest(&mut self) -> Bytes {
+    pub fn take_partial(&mut self) -> Bytes {
         self.held.split().freeze()
     }
 
@@ -68,7 +68,7 @@
             return frame;
         }
         self.held.extend_from_slice(&frame);
-        self.rest()
+        self.take_partial()
     }
 }
 
@@ -86,7 +86,7 @@
     done: bool,
 }
 
-fn scan(bytes: &[u8], resume: &mut Resume) -> Scan {
+fn scan(bytes: &[u8], resume: &mut Progress) -> Scan {
     let mut whole = 0;
     let mut at = 0;
     let mut event = Event::default();
@@ -98,14 +98,14 @@
         let text = text.strip_suffix(b"\r").unwrap_or(text);
         // A lone carriage return may end a line, too; no engine known does so.
         if text.contains(&b'\r') {
-            return odd(resume.unbounded());
+            return odd(resume.record_unbounded());
         }
         if !text.is_empty() {
             event.field(text);
             continue;
         }
         match event.end(resume) {
-            Seen::Next => whole = at,
+            EventOrder::Next => whole = at,
             seen => return odd(seen),
         }
         event = Event::default();
@@ -113,10 +113,10 @@
     Scan::Whole(whole)
 }
 
-const fn odd(seen: Seen) -> Scan {
+const fn odd(seen: EventOrder) -> Scan {
     match seen {
-        Seen::Astray => Scan::Astray,
-        Seen::Next | Seen::Unnumbered => Scan::Unnumbered,
+        EventOrder::OutOfSequence => Scan::Astray,
+        EventOrder::Next | EventOrder::Unnumbered => Scan::Unnumbered,
     }
 }
 
@@ -133,17 +133,17 @@
         self.fields |= !line.starts_with(b":");
     }
 
-    fn end(&self, resume: &mut Resume) -> Seen {
+    fn end(&self, resume: &mut Progress) -> EventOrder {
         if !self.fields {
-            return Seen::Next;
+            return EventOrder::Next;
         }
         if self.done && self.number.is_none() {
-            resume.done();
-            return Seen::Next;
+            resume.record_end();
+            return EventOrder::Next;
         }
-        let seen = resume.event(self.number);
+        let seen = resume.record_event(self.number);
         if self.done {
-            resume.done();
+            resume.record_end();
         }
         seen
     }
@@ -156,7 +156,7 @@
 
 /// Returns whether the end mark is the last line of an unfinished event.
 #[must_use]
-pub fn ends_with_mark(bytes: &[u8]) -> bool {
+pub fn ends_with_end_marker(bytes: &[u8]) -> bool {
     let lines = bytes.split(|byte| *byte == b'\n').map(<[u8]>::trim_ascii);
     lines
         .rev()
--- a/crates/decide/src/resume/events/tests.rs
+++ b/crates/decide/src/resume/events/tests.rs
@@ -1,9 +1,9 @@
 use bytes::Bytes;
 
-use super::{Events, HELD};
-use crate::resume::Resume;
+use super::{EventSplitter, HELD};
+use crate::resume::Progress;
 
-fn push(events: &mut Events, resume: &mut Resume, frame: &str) -> String {
+fn push(events: &mut EventSplitter, resume: &mut Progress, frame: &str) -> String {
     let frame = Bytes::from(frame.to_owned());
     let bytes = events.push(frame, resume).unwrap();
     String::from_utf8(bytes.to_vec()).unwrap()
@@ -16,7 +16,7 @@
         "id:1\r\ndata:a\r\n\r\nid:2\r\ndata:b\r\n\r\ndata:[DONE]\r\n\r\n",
     ] {
         for at in 0..text.len() {
-            let (mut events, mut resume) = (Events::default(), Resume::default());
+            let (mut events, mut resume) = (EventSplitter::default(), Progress::default());
             let first = push(&mut events, &mut resume, &text[..at]);
             let end = first.is_empty() || first.trim_end_matches('\r').ends_with('\n');
             assert!(end, "{first:?}");
@@ -31,7 +31,7 @@
 // router's memory; it is passed on and the stream can't be resumed any more.
 #[test]
 fn an_endless_event_is_not_held() {
-    let (mut events, mut resume) = (Events::default(), Resume::default());
+    let (mut events, mut resume) = (EventSplitter::default(), Progress::default());
     let long = "x".repeat(HELD + 1);
     let frame = format!("id: 1\ndata: a\n\nid: 2\ndata: {long}");
     assert_eq!(push(&mut events, &mut resume, &frame), frame);
--- a/crates/decide/src/view.rs
+++ b/crates/decide/src/view.rs
@@ -24,13 +24,13 @@
 /// zones, 4 keeps about 57% of the calls at home and still uses the rest.
 /// Engines get 1: a home that depends on where the caller came in would lose
 /// the chat's context at each change of zone, for a millisecond's gain.
-pub const PLAIN_FAVOUR: f64 = 4.0;
+pub const PLAIN_ZONE_WEIGHT: f64 = 4.0;
 
 /// Favour of an endpoint's own zone when its owner is chosen.
 ///
 /// Near owners save a crossing on each request. Greater values let one
 /// instance own most of a zone when its neighbours are gone.
-pub const OWNER_FAVOUR: f64 = 4.0;
+pub const OWNER_ZONE_WEIGHT: f64 = 4.0;
 
 /// Endpoints that can stand in for each other: one model of one service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -44,7 +44,7 @@
 impl Pool {
     /// Returns the pool that a request asks for.
     #[must_use]
-    pub const fn of(request: &Request) -> Self {
+    pub const fn for_request(request: &Request) -> Self {
         Self {
             service: request.service,
             model: request.model,
@@ -119,12 +119,12 @@
         instances: impl IntoIterator<Item = Instance>,
         endpoints: impl IntoIterator<Item = Endpoint>,
     ) -> Self {
-        Self::of(local, Arc::new(Fleet::new(instances, endpoints)))
+        Self::from_fleet(local, Arc::new(Fleet::new(instances, endpoints)))
     }
 
     /// Builds the view that instance `local` has of a fleet.
     #[must_use]
-    pub fn of(local: InstanceId, fleet: Arc<Fleet>) -> Self {
+    pub fn from_fleet(local: InstanceId, fleet: Arc<Fleet>) -> Self {
         let region = fleet.instances.get(&local).map_or(0, |i| i.region);
         let owned = fleet.owned.get(&local).cloned().unwrap_or_default();
         Self {
@@ -177,13 +177,13 @@
 
     /// Returns the live endpoints of one pool that the local instance owns.
     #[must_use]
-    pub fn owned_of(&self, pool: Pool) -> &[EndpointId] {
+    pub fn owned_in_pool(&self, pool: Pool) -> &[EndpointId] {
         self.owned.get(&pool).map_or(&[], Vec::as_slice)
     }
 
     /// Returns whether another view has the same endpoints in the same hands.
     #[must_use]
-    pub fn same_places(&self, other: &Self) -> bool {
+    pub fn same_ownership(&self, other: &Self) -> bool {
         Arc::ptr_eq(&self.fleet, &other.fleet)
             || (self.fleet.owners == other.fleet.owners && self.fleet.pools == other.fleet.pools)
     }
@@ -202,7 +202,7 @@
 
     /// Returns the number of live endpoints of a pool.
     #[must_use]
-    pub fn size(&self, pool: Pool) -> usize {
+    pub fn pool_size(&self, pool: Pool) -> usize {
         self.fleet
             .pools
             .get(&pool)
@@ -218,7 +218,7 @@
         let plain = pool.model == NO_MODEL;
         let weights = Weights {
             zone: plain.then_some(zone),
-            favour: if plain { PLAIN_FAVOUR } else { 1.0 },
+            favour: if plain { PLAIN_ZONE_WEIGHT } else { 1.0 },
         };
         Ranked::new(groups, chat, self.region, weights)
     }
@@ -258,7 +258,7 @@
         .filter_map(|endpoint| {
             let weights = Weights {
                 zone: Some(endpoint.zone),
-                favour: OWNER_FAVOUR,
+                favour: OWNER_ZONE_WEIGHT,
             };
             let mut ranked = Ranked::new(&groups, endpoint.id, endpoint.region, weights);
             Some((endpoint.id, ranked.next()?))
--- a/crates/decide/tests/traps/bound.rs
+++ b/crates/decide/tests/traps/bound.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use godwitpost_decide::hop::Hop;
-use godwitpost_decide::load::{Means, Summary};
+use godwitpost_decide::load::{Summary, Table};
 use godwitpost_decide::owner::{Next, Owner};
 use godwitpost_decide::view::Pool;
 use godwitpost_types::clock::Moment;
@@ -34,7 +34,7 @@
         requests: 3,
         work: 3_000,
     };
-    owner.observe(fleet::runner(0).id, &report);
+    owner.apply_report(fleet::runner(0).id, &report);
     // Four slots, one taken by this owner and two by the other one.
     assert_eq!(owner.load(fleet::runner(0).id), 3_000);
     assert_eq!(dispatched(&mut owner, 1..9), 1);
@@ -48,16 +48,16 @@
     let local = fleet::instance(0).id;
     let summary = Summary {
         source: fleet::instance(1).id,
-        pool: Pool::of(&fleet::request(0)),
+        pool: Pool::for_request(&fleet::request(0)),
         endpoints: 2,
         work: 20_000,
         waiting: 0,
         taken: NOW,
     };
-    owner.learn(&[summary]);
+    owner.record_summaries(&[summary]);
     let view = fleet::view(0, 1, 2);
     assert_eq!(view.owner(fleet::runner(0).id), local);
-    owner.adopt(NOW, view, fleet::policy());
+    owner.apply_view(NOW, view, fleet::policy());
     assert_eq!(owner.load(fleet::runner(0).id), 12_000);
 }
 
@@ -67,12 +67,12 @@
 fn endpoints_unheard_of_do_not_count_as_loaded_as_our_own() {
     let own = Summary {
         source: 1,
-        pool: Pool::of(&fleet::request(0)),
+        pool: Pool::for_request(&fleet::request(0)),
         endpoints: 1,
         work: 100_000,
         waiting: 0,
         taken: NOW,
     };
-    let mean = Means::default().mean(&own, 10, 1_000.0, NOW);
+    let mean = Table::default().mean_work(&own, 10, 1_000.0, NOW);
     assert!((mean - 10_900.0).abs() < 1.0, "{mean}");
 }
--- a/crates/decide/tests/traps/chats.rs
+++ b/crates/decide/tests/traps/chats.rs
@@ -46,7 +46,7 @@
         runner
     });
     let view = View::new(fleet::instance(0).id, [fleet::instance(0)], runners);
-    owner.adopt(at(2), view.into(), fleet::policy());
+    owner.apply_view(at(2), view.into(), fleet::policy());
     assert_eq!(turn(&mut owner, 3, &request).cached, 0);
 }
 
@@ -57,16 +57,16 @@
     let mut owner = owner();
     let request = fleet::request(1);
     let grant = turn(&mut owner, 10, &request);
-    owner.cache_event(grant.endpoint, &evicted(&request, 5));
+    owner.apply_cache_event(grant.endpoint, &evicted(&request, 5));
     assert_eq!(turn(&mut owner, 11, &request).cached, request.prompt_tokens);
-    owner.cache_event(grant.endpoint, &evicted(&request, 12));
+    owner.apply_cache_event(grant.endpoint, &evicted(&request, 12));
     assert_eq!(turn(&mut owner, 13, &request).cached, 0);
 }
 
 fn evicted(request: &Request, secs: u64) -> Event {
     Event {
         chat: request.chat,
-        pool: Pool::of(request),
+        pool: Pool::for_request(request),
         kind: Kind::Evicted,
         tokens: 0,
         incarnation: 1,
@@ -84,7 +84,7 @@
     }
     let engine = fleet::runner(0).id;
     for chat in 2..10 {
-        owner.cache_event(engine, &evicted(&fleet::request(chat), 50));
+        owner.apply_cache_event(engine, &evicted(&fleet::request(chat), 50));
     }
     assert_eq!(turn(&mut owner, 60, &fleet::request(1)).cached, 0);
     assert_eq!(turn(&mut owner, 60, &fleet::request(11)).cached, 800);
@@ -102,9 +102,9 @@
     leaving.standing = Standing::Leaving;
     let instances = [leaving, fleet::instance(1)];
     let view = View::new(local, instances, (0..3).map(fleet::runner));
-    owner.adopt(at(1), view.into(), fleet::policy());
-    let moved: Vec<(u64, Location)> = owner.handover().expect("some to look at");
-    assert_eq!(owner.handover(), None);
+    owner.apply_view(at(1), view.into(), fleet::policy());
+    let moved: Vec<(u64, Location)> = owner.next_handover_batch().expect("some to look at");
+    assert_eq!(owner.next_handover_batch(), None);
     let places: Vec<_> = moved
         .iter()
         .map(|(to, l)| (*to, l.chat, l.endpoint))
--- a/crates/decide/tests/traps/fleet.rs
+++ b/crates/decide/tests/traps/fleet.rs
@@ -110,7 +110,7 @@
 }
 
 pub fn home(view: &View, request: &Request) -> (EndpointId, InstanceId) {
-    let pool = godwitpost_decide::view::Pool::of(request);
+    let pool = godwitpost_decide::view::Pool::for_request(request);
     let endpoint = view.ranked(pool, request.chat, 0).next().expect("a home");
     (endpoint, view.owner(endpoint))
 }
--- a/crates/decide/tests/traps/health.rs
+++ b/crates/decide/tests/traps/health.rs
@@ -10,8 +10,8 @@
 }
 
 fn closed(machine: &mut Machine, secs: u64) {
-    machine.handle(Event::Bad(at(secs)));
-    machine.handle(Event::Bad(at(secs)));
+    machine.handle(Event::Failure(at(secs)));
+    machine.handle(Event::Failure(at(secs)));
 }
 
 // Drafts fail every other second for minutes. An engine flaps: it answers for
@@ -41,10 +41,10 @@
     let mut machine = Machine::new(1);
     closed(&mut machine, 0);
     machine.handle(Event::Tick(at(1)));
-    machine.handle(Event::Good(at(1)));
+    machine.handle(Event::Success(at(1)));
     assert_eq!(machine.access(), Access::Trial);
-    machine.handle(Event::Good(at(1)));
-    machine.handle(Event::Good(at(1)));
+    machine.handle(Event::Success(at(1)));
+    machine.handle(Event::Success(at(1)));
     assert_eq!(machine.access(), Access::Full);
 }
 
@@ -54,14 +54,14 @@
 #[test]
 fn leaving_is_sticky_and_another_life_is_someone_else() {
     let mut machine = Machine::new(1);
-    machine.hear(1, Standing::Leaving);
-    assert!(!machine.hear(1, Standing::Live));
-    machine.handle(Event::Good(at(0)));
+    machine.update_standing(1, Standing::Leaving);
+    assert!(!machine.update_standing(1, Standing::Live));
+    machine.handle(Event::Success(at(0)));
     assert_eq!(machine.access(), Access::None);
 
-    assert!(machine.hear(2, Standing::Live));
+    assert!(machine.update_standing(2, Standing::Live));
     assert_eq!(machine.access(), Access::Full);
     // A late word on the life before is no word on this one.
-    assert!(!machine.hear(1, Standing::Leaving));
+    assert!(!machine.update_standing(1, Standing::Leaving));
     assert_eq!(machine.access(), Access::Full);
 }
--- a/crates/decide/tests/traps/limit.rs
+++ b/crates/decide/tests/traps/limit.rs
@@ -32,7 +32,7 @@
                     + Duration::from_secs(1).mul_f64(f64::from(request) / f64::from(share));
                 if limit.admit(now, 1, workspace, INSTANCES).is_ok() {
                     count += 1;
-                    limit.done(1);
+                    limit.release(1);
                 }
             }
         }
@@ -47,7 +47,7 @@
     for from in 0..INSTANCES {
         let demands = limits[from].demands(now, &workspaces, INSTANCES);
         for to in (0..INSTANCES).filter(|to| *to != from) {
-            limits[to].learn(now, from as u64, &demands);
+            limits[to].record_demands(now, from as u64, &demands);
         }
     }
 }
--- a/crates/decide/tests/traps/owner.rs
+++ b/crates/decide/tests/traps/owner.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use godwitpost_decide::ending::Ending;
-use godwitpost_decide::hop::{Hop, MOST};
+use godwitpost_decide::hop::{Hop, MAX_FORWARDS};
 use godwitpost_decide::owner::{Grant, Next, Owner};
 use godwitpost_decide::view::View;
 use godwitpost_types::clock::Moment;
@@ -85,9 +85,9 @@
     let view = View::new(fleet::instance(0).id, instances, [fleet::runner(0)]);
     let request = fleet::request(9);
     let (endpoint, successor) = fleet::home(&view, &request);
-    owner.adopt(NOW, view.into(), fleet::policy());
+    owner.apply_view(NOW, view.into(), fleet::policy());
     let mut hop = Hop::first(0, endpoint);
-    hop.count = MOST + 1;
+    hop.count = MAX_FORWARDS + 1;
     let next = owner.offer(NOW, &request, &hop);
     let Next::Forward { instance, .. } = &next else {
         panic!("not moved on: {next:?}");
--- a/crates/decide/tests/traps/place.rs
+++ b/crates/decide/tests/traps/place.rs
@@ -9,7 +9,7 @@
 use crate::fleet;
 
 fn pool() -> Pool {
-    Pool::of(&fleet::request(0))
+    Pool::for_request(&fleet::request(0))
 }
 
 fn homes(view: &View) -> BTreeMap<u64, u64> {
--- a/crates/decide/tests/traps/quarantine.rs
+++ b/crates/decide/tests/traps/quarantine.rs
@@ -21,9 +21,9 @@
 fn verdict(records: &[Evidence]) -> Verdict {
     let mut table = Table::default();
     for record in records {
-        table.learn(*record);
+        table.insert(*record);
     }
-    table.judge(&DIGEST, NOW)
+    table.verdict(&DIGEST, NOW)
 }
 
 // A partition cuts an engine off for seconds. Every draft in flight on it
@@ -36,15 +36,20 @@
         evidence(1, Kind::Crashed, 10),
         evidence(2, Kind::Crashed, 11),
     ];
-    assert_eq!(verdict(&broken), Verdict::Convicted);
+    assert_eq!(verdict(&broken), Verdict::Quarantined);
     let mut table = Table::default();
     for record in broken {
-        table.learn(record);
+        table.insert(record);
     }
     for endpoint in [1, 2] {
-        assert_eq!(table.acquit(endpoint, 1, Duration::from_secs(20)).len(), 1);
+        assert_eq!(
+            table
+                .retract_crashes(endpoint, 1, Duration::from_secs(20))
+                .len(),
+            1
+        );
     }
-    assert_eq!(table.judge(&DIGEST, NOW), Verdict::Clear);
+    assert_eq!(table.verdict(&DIGEST, NOW), Verdict::Clear);
 }
 
 // A stock check is in flight on each engine that a poison draft crashes, weeks
--- a/crates/decide/tests/traps/queue.rs
+++ b/crates/decide/tests/traps/queue.rs
@@ -13,7 +13,7 @@
         },
         weight: 1.0,
         work,
-        until: Duration::from_secs(100),
+        deadline: Duration::from_secs(100),
     }
 }
 
@@ -54,15 +54,15 @@
     let mut queue = Queue::default();
     let (surging, other) = (rank(1, 2, 1), rank(2, 2, 1));
     for ticket in 0..100 {
-        assert!(!queue.full(100, surging.flow));
+        assert!(!queue.is_full_for(100, surging.flow));
         queue.push(ticket, &surging, 1);
     }
-    assert!(queue.full(100, surging.flow));
+    assert!(queue.is_full_for(100, surging.flow));
     for ticket in 100..150 {
-        assert!(!queue.full(100, other.flow));
+        assert!(!queue.is_full_for(100, other.flow));
         queue.push(ticket, &other, 2);
     }
-    assert!(queue.full(100, other.flow));
+    assert!(queue.is_full_for(100, other.flow));
 }
 
 // A workspace that slept through the night must not bank its unused share and
@@ -72,7 +72,7 @@
     let mut queue = Queue::default();
     for ticket in 0..100 {
         queue.push(ticket, &rank(1, 2, 100), 1);
-        queue.take(ticket);
+        queue.take_for_dispatch(ticket);
         queue.push(1_000 + ticket, &rank(1, 2, 100), 1);
     }
     for ticket in 2_000..2_010 {
@@ -86,15 +86,15 @@
 fn expired_requests_come_out_in_the_order_of_their_deadlines() {
     let mut queue = Queue::default();
     for (ticket, secs) in [(1, 30), (2, 10), (3, 20)] {
-        let until = Duration::from_secs(secs);
+        let deadline = Duration::from_secs(secs);
         let rank = Rank {
-            until,
+            deadline,
             ..rank(ticket, 2, 1)
         };
         queue.push(ticket, &rank, ticket);
     }
     let now = Duration::from_secs(20);
-    let out: Vec<_> = std::iter::from_fn(|| queue.expired(now)).collect();
+    let out: Vec<_> = std::iter::from_fn(|| queue.pop_expired(now)).collect();
     assert_eq!(out, [(2, 2), (3, 3)]);
     assert_eq!(queue.len(), 1);
 }
--- a/crates/decide/tests/traps/resume.rs
+++ b/crates/decide/tests/traps/resume.rs
@@ -3,22 +3,22 @@
 use std::time::Duration;
 
 use godwitpost_decide::entry::Budgets;
-use godwitpost_decide::resume::{Next, Resume, Seen};
+use godwitpost_decide::resume::{EventOrder, Next, Progress};
 use godwitpost_types::clock::Moment;
 
 use crate::fleet;
 
 const NOW: Moment = Duration::from_secs(100);
 
-fn broken(resume: &mut Resume, now: Moment) -> Next {
+fn broken(resume: &mut Progress, now: Moment) -> Next {
     let request = fleet::request(1);
-    resume.broken(now, &request, &mut Budgets::default())
+    resume.record_break(now, &request, &mut Budgets::default())
 }
 
-fn numbered(until: u64) -> Resume {
-    let mut resume = Resume::default();
+fn numbered(until: u64) -> Progress {
+    let mut resume = Progress::default();
     for number in 1..=until {
-        assert_eq!(resume.event(Some(number)), Seen::Next);
+        assert_eq!(resume.record_event(Some(number)), EventOrder::Next);
     }
     resume
 }
@@ -28,15 +28,15 @@
 #[test]
 fn a_stream_is_asked_for_twice_at_most_and_in_time() {
     let mut resume = numbered(3);
-    assert_eq!(broken(&mut resume, NOW), Next::Ask { after: 3 });
-    assert_eq!(resume.event(Some(4)), Seen::Next);
-    assert_eq!(broken(&mut resume, NOW), Next::Ask { after: 4 });
+    assert_eq!(broken(&mut resume, NOW), Next::Reconnect { after: 3 });
+    assert_eq!(resume.record_event(Some(4)), EventOrder::Next);
+    assert_eq!(broken(&mut resume, NOW), Next::Reconnect { after: 4 });
     assert_eq!(broken(&mut resume, NOW), Next::GiveUp);
     let late = fleet::request(1).deadline;
     assert_eq!(broken(&mut numbered(3), late), Next::GiveUp);
-    assert_eq!(broken(&mut Resume::default(), NOW), Next::GiveUp);
+    assert_eq!(broken(&mut Progress::default(), NOW), Next::GiveUp);
     let mut done = numbered(3);
-    done.done();
+    done.record_end();
     assert_eq!(broken(&mut done, NOW), Next::GiveUp);
 }
 
@@ -46,8 +46,12 @@
 fn a_resumed_stream_has_to_go_on_at_the_next_event() {
     for wrong in [Some(1), Some(3), Some(5), None] {
         let mut resume = numbered(3);
-        assert_eq!(broken(&mut resume, NOW), Next::Ask { after: 3 });
-        assert_eq!(resume.event(wrong), Seen::Astray, "{wrong:?}");
+        assert_eq!(broken(&mut resume, NOW), Next::Reconnect { after: 3 });
+        assert_eq!(
+            resume.record_event(wrong),
+            EventOrder::OutOfSequence,
+            "{wrong:?}"
+        );
     }
 }
 
@@ -57,7 +61,7 @@
 fn a_stream_without_numbers_is_not_asked_for() {
     for odd in [Some(1), Some(5), None] {
         let mut resume = numbered(3);
-        assert_eq!(resume.event(odd), Seen::Unnumbered, "{odd:?}");
+        assert_eq!(resume.record_event(odd), EventOrder::Unnumbered, "{odd:?}");
         assert_eq!(broken(&mut resume, NOW), Next::GiveUp);
     }
 }
@@ -69,10 +73,10 @@
     let request = fleet::request(1);
     let (mut plain, mut asking) = (Budgets::default(), Budgets::default());
     let retries = (0..1000)
-        .take_while(|_| plain.spend(NOW, request.workspace, request.service))
+        .take_while(|_| plain.try_withdraw(NOW, request.workspace, request.service))
         .count();
     let asked = (0..1000)
-        .take_while(|_| numbered(1).broken(NOW, &request, &mut asking) != Next::GiveUp)
+        .take_while(|_| numbered(1).record_break(NOW, &request, &mut asking) != Next::GiveUp)
         .count();
     assert_eq!(asked, retries);
     assert!(asked > 0);
--- a/crates/decide/tests/traps/retry.rs
+++ b/crates/decide/tests/traps/retry.rs
@@ -34,7 +34,7 @@
         let (endpoint, _) = fleet::home(&view, request);
         let (budgets, rng) = (&mut self.budgets, &mut self.rng);
         self.attempts
-            .failed(NOW, &view, 0, request, Some(endpoint), ending, budgets, rng)
+            .record_failure(NOW, &view, 0, request, Some(endpoint), ending, budgets, rng)
     }
 }
 
@@ -109,9 +109,12 @@
     let mut budgets = Budgets::default();
     let mut retries = 0;
     for _ in 0..1_000 {
-        budgets.earn(1, 1);
-        retries += u32::from(budgets.spend(NOW, 1, 1));
+        budgets.deposit(1, 1);
+        retries += u32::from(budgets.try_withdraw(NOW, 1, 1));
     }
     assert!(retries <= 110, "{retries} retries of 1,000 requests");
-    assert!(budgets.spend(NOW, 2, 1), "another workspace has its own");
+    assert!(
+        budgets.try_withdraw(NOW, 2, 1),
+        "another workspace has its own"
+    );
 }
--- a/crates/direct/src/book.rs
+++ b/crates/direct/src/book.rs
@@ -281,8 +281,8 @@
     /// Takes in that an endpoint can't be reached. One refused connection says
     /// as much as two broken ones, so it closes the endpoint by itself.
     pub fn record_unreachable(&mut self, endpoint: EndpointId, now: Moment) {
-        self.record_health_event(endpoint, Event::Bad(now));
-        self.record_health_event(endpoint, Event::Bad(now));
+        self.record_health_event(endpoint, Event::Failure(now));
+        self.record_health_event(endpoint, Event::Failure(now));
     }
 
     /// Lets time pass for the endpoints that are held to be down.
--- a/crates/direct/src/relay/send.rs
+++ b/crates/direct/src/relay/send.rs
@@ -89,7 +89,7 @@
         let now = boot_time();
         self.shared
             .endpoint_stats()
-            .record_health_event(self.endpoint(), Event::Bad(now));
+            .record_health_event(self.endpoint(), Event::Failure(now));
     }
 
     /// Notes that something came from the endpoint.
@@ -341,7 +341,7 @@
     if let Some(report) = answer.report {
         book.record_report(flight.endpoint(), report, now);
     }
-    book.record_health_event(flight.endpoint(), Event::Good(now));
+    book.record_health_event(flight.endpoint(), Event::Success(now));
 }
 
 // Takes in what an endpoint says of itself beside its load.
--- a/crates/direct/src/stream.rs
+++ b/crates/direct/src/stream.rs
@@ -16,8 +16,8 @@
 
 use bytes::Bytes;
 use godwitpost_client::connect::{BoxError, Received};
-use godwitpost_decide::resume::Resume;
-use godwitpost_decide::resume::events::Events;
+use godwitpost_decide::resume::Progress;
+use godwitpost_decide::resume::events::EventSplitter;
 use http_body::{Body, Frame};
 use tokio::time::{Instant, Sleep, sleep_until};
 
@@ -73,7 +73,7 @@
     // What was read before the head was passed on.
     first: Option<Bytes>,
     // Cuts and counts events where the stream may be resumed.
-    events: Option<(Events, Resume)>,
+    events: Option<(EventSplitter, Progress)>,
     last: Instant,
     stall_detector: StallDetector,
     silence: Pin<Box<Sleep>>,
@@ -150,7 +150,10 @@
         if let State::Reading(reading) = std::mem::replace(&mut self.state, State::Ended) {
             reading.job.ended(BodyEnd::Whole);
         }
-        let rest = self.events.take().map(|(mut events, _)| events.rest());
+        let rest = self
+            .events
+            .take()
+            .map(|(mut events, _)| events.take_partial());
         rest.filter(|rest| !rest.is_empty())
             .map(|rest| Ok(Frame::data(rest)))
     }
@@ -197,7 +200,7 @@
             return Err(Reason::Broken);
         }
         // The half of an event that came is dropped.
-        drop(events.rest());
+        drop(events.take_partial());
         if let Next::GiveUp(reason) = job.attempts_mut().record_failure(Failure::Lost) {
             return Err(reason);
         }
@@ -208,7 +211,7 @@
         if !allowed {
             return Err(Reason::Refused);
         }
-        Ok(resume.restart().or_else(|| job.after()))
+        Ok(resume.begin_resume().or_else(|| job.after()))
     }
 
     fn answered(
--- a/crates/router/src/body/splice.rs
+++ b/crates/router/src/body/splice.rs
@@ -4,7 +4,7 @@
 //! while the engine is well and still holds the stream. Without this the
 //! caller's connection breaks too, and a minute's work is lost. Here the
 //! engine is asked for the rest, which is joined on at the end of the last
-//! whole event; [`Resume`] says whether, and checks the joint. If there is no
+//! whole event; [`Progress`] says whether, and checks the joint. If there is no
 //! rest, the break is passed on as it came.
 
 use std::fmt;
@@ -13,17 +13,17 @@
 
 use bytes::Bytes;
 use godwitpost_client::connect::{Body, BoxError};
-use godwitpost_decide::resume::Resume;
+use godwitpost_decide::resume::Progress;
 use http_body::Frame;
 
-use godwitpost_decide::resume::events::{Events, ends_with_mark};
+use godwitpost_decide::resume::events::{EventSplitter, ends_with_end_marker};
 
 /// An event stream that may be joined from several answers.
 pub struct Splice<A, F> {
     state: State<F>,
     again: A,
-    events: Events,
-    resume: Resume,
+    events: EventSplitter,
+    resume: Progress,
 }
 
 enum State<F> {
@@ -40,8 +40,8 @@
         Self {
             state: State::Reading(body),
             again,
-            events: Events::default(),
-            resume: Resume::default(),
+            events: EventSplitter::default(),
+            resume: Progress::default(),
         }
     }
 }
@@ -50,7 +50,7 @@
 
 impl<A, F> Splice<A, F>
 where
-    A: FnMut(&mut Resume) -> Option<F>,
+    A: FnMut(&mut Progress) -> Option<F>,
 {
     // Returns what is passed on of a frame; `None` if nothing is yet.
     fn take(&mut self, frame: Frame<Bytes>) -> Step {
@@ -80,8 +80,8 @@
     // The end or the break of one answer.
     fn over(&mut self, error: Option<BoxError>) -> Next {
         // The end mark may come without the empty line that ends an event.
-        let rest = self.events.rest();
-        if error.is_none() && ends_with_mark(&rest) {
+        let rest = self.events.take_partial();
+        if error.is_none() && ends_with_end_marker(&rest) {
             self.state = State::Ended;
             return Next::Give(Some(Ok(Frame::data(rest))));
         }
@@ -101,7 +101,7 @@
 
 impl<A, F> http_body::Body for Splice<A, F>
 where
-    A: FnMut(&mut Resume) -> Option<F> + Unpin,
+    A: FnMut(&mut Progress) -> Option<F> + Unpin,
     F: Future<Output = Option<Body>>,
 {
     type Data = Bytes;
--- a/crates/router/src/body/splice/tests.rs
+++ b/crates/router/src/body/splice/tests.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use godwitpost_client::connect::{Body, BoxError};
 use godwitpost_decide::entry::Budgets;
-use godwitpost_decide::resume::{Next, Resume};
+use godwitpost_decide::resume::{Next, Progress};
 use godwitpost_types::request::Request;
 use http_body::Frame;
 use http_body_util::{BodyExt as _, StreamBody};
@@ -48,9 +48,9 @@
     let first = answers.pop_front().flatten().unwrap();
     let mut asked = Vec::new();
     let mut budgets = Budgets::default();
-    let mut splice = Splice::new(first, |resume: &mut Resume| {
+    let mut splice = Splice::new(first, |resume: &mut Progress| {
         let now = Duration::from_secs(1);
-        let Next::Ask { after } = resume.broken(now, &request(), &mut budgets) else {
+        let Next::Reconnect { after } = resume.record_break(now, &request(), &mut budgets) else {
             return None;
         };
         asked.push(after);
--- a/crates/router/src/control/gossip.rs
+++ b/crates/router/src/control/gossip.rs
@@ -45,7 +45,7 @@
 impl Control {
     /// Sends the messages that are due.
     pub(super) fn gossip(&mut self, now: Moment) {
-        for evidence in self.shared.desk.with(Owner::evidence) {
+        for evidence in self.shared.desk.with(Owner::take_evidence) {
             self.pump.evidence(pack::evidence(&evidence));
         }
         let peers = self.pump.tick(now, &self.roster, &mut self.rng);
@@ -120,7 +120,10 @@
     fn learn(&mut self, now: Moment, peer: InstanceId, news: &News) {
         if let Some(demands) = &news.demands {
             let demands: Vec<limit::Demand> = demands.iter().map(pack::read_demand).collect();
-            self.shared.gate().limits.learn(now, peer, &demands);
+            self.shared
+                .gate()
+                .limits
+                .record_demands(now, peer, &demands);
         }
         if let Some(version) = news.version {
             self.heard(peer, version);
@@ -129,8 +132,8 @@
         let summaries: Vec<Summary> = loads.filter_map(|load| self.summary(peer, load)).collect();
         let evidence: Vec<Evidence> = news.evidence.iter().map(pack::read).collect();
         self.shared.desk.with(|owner| {
-            owner.learn(&summaries);
-            owner.learn_evidence(&evidence);
+            owner.record_summaries(&summaries);
+            owner.record_evidence(&evidence);
         });
     }
 
--- a/crates/router/src/control/probe.rs
+++ b/crates/router/src/control/probe.rs
@@ -169,7 +169,7 @@
         }
         self.shared
             .desk
-            .with(|owner| owner.observe(endpoint, report));
+            .with(|owner| owner.apply_report(endpoint, report));
     }
 
     /// Takes in cache events, for each model that the engine has: they name a
@@ -193,7 +193,7 @@
             .collect();
         self.shared.desk.with(|owner| {
             for event in &events {
-                owner.cache_event(id, event);
+                owner.apply_cache_event(id, event);
             }
         });
     }
--- a/crates/router/src/handover.rs
+++ b/crates/router/src/handover.rs
@@ -29,7 +29,7 @@
 /// The owner bounds how many, so that a change of the list costs each instance
 /// a trickle and no burst.
 pub(crate) fn due(shared: &Shared) -> Option<Vec<(InstanceId, Location)>> {
-    shared.desk.with(Owner::handover)
+    shared.desk.with(Owner::next_handover_batch)
 }
 
 /// Sends locations to the owners that they belong to.
--- a/crates/router/src/relay/desk.rs
+++ b/crates/router/src/relay/desk.rs
@@ -57,7 +57,7 @@
 
     /// Goes over to a new view and policy.
     pub(crate) fn adopt(&self, now: Moment, view: Arc<View>, policy: Arc<Policy>) {
-        self.wake(now, |owner| owner.adopt(now, view, policy));
+        self.wake(now, |owner| owner.apply_view(now, view, policy));
     }
 
     /// Lets time pass; called about every 100 ms.
--- a/crates/router/src/relay/endpoint.rs
+++ b/crates/router/src/relay/endpoint.rs
@@ -28,7 +28,7 @@
     let Some(target) = Target::find(shared, &leave, job) else {
         return gone(leave);
     };
-    if let Some((home, location)) = leave.grant().tell {
+    if let Some((home, location)) = leave.grant().notify_home {
         let shared = Arc::clone(shared);
         tokio::spawn(async move { handover::tell(&shared, home, &[location]).await });
     }
@@ -110,7 +110,7 @@
     Attempt::Reply(Reply::Failed {
         endpoint,
         ending,
-        evidence: shared.desk.with(|owner| owner.evidence_on(&digest)),
+        evidence: shared.desk.with(|owner| owner.evidence_for(&digest)),
     })
 }
 
--- a/crates/router/src/relay/entry.rs
+++ b/crates/router/src/relay/entry.rs
@@ -39,11 +39,11 @@
     resolved: Resolved,
 ) -> Result<Response<Body>, Problem> {
     let zone = shared.settings.zone_id();
-    let next = entry::start(&snapshot.view, &bundle.policy, &resolved.request, zone);
+    let next = entry::route(&snapshot.view, &bundle.policy, &resolved.request, zone);
     shared
         .gate()
         .budgets
-        .earn(resolved.request.workspace, resolved.request.service);
+        .deposit(resolved.request.workspace, resolved.request.service);
     let run = Run {
         shared,
         snapshot,
@@ -106,10 +106,12 @@
         let evidence = self
             .shared
             .desk
-            .with(|owner| owner.evidence_on(&request.digest));
+            .with(|owner| owner.evidence_for(&request.digest));
         let view = &self.snapshot.view;
         let zone = self.shared.settings.zone_id();
-        let home = view.ranked(Pool::of(request), request.chat, zone).next();
+        let home = view
+            .ranked(Pool::for_request(request), request.chat, zone)
+            .next();
         let owner = home.map(|home| view.owner(home));
         if evidence.is_empty() {
             return;
@@ -135,7 +137,7 @@
     /// Makes one attempt, following owners' forwards.
     async fn attempt(&mut self, instance: InstanceId, endpoint: EndpointId) -> Step {
         let digest = self.job.head.request.digest;
-        let evidence = self.shared.desk.with(|owner| owner.evidence_on(&digest));
+        let evidence = self.shared.desk.with(|owner| owner.evidence_for(&digest));
         let zone = self.shared.settings.zone_id();
         self.job.head.hop = self.attempts.hop(zone, endpoint, evidence);
         let mut instance = instance;
@@ -159,7 +161,7 @@
                 }) => {
                     self.shared
                         .desk
-                        .with(|owner| owner.learn_evidence(&evidence));
+                        .with(|owner| owner.record_evidence(&evidence));
                     return Step::Failed(Some(endpoint), ending);
                 }
                 Attempt::Reply(Reply::Told(told)) => return Step::Told(told.into()),
@@ -213,7 +215,7 @@
     fn failed(&mut self, at: Option<EndpointId>, ending: Ending) -> Retry {
         let view = Arc::clone(&self.shared.snapshot().view);
         let gate = &mut *self.shared.gate();
-        self.attempts.failed(
+        self.attempts.record_failure(
             self.shared.now(),
             &view,
             self.shared.settings.zone_id(),
--- a/crates/router/src/relay/peer.rs
+++ b/crates/router/src/relay/peer.rs
@@ -119,12 +119,12 @@
 // The owner's load comes on the back of each answer, fresher than gossip.
 fn learn<B>(shared: &Shared, instance: &Instance, job: &Job, response: &Response<B>) {
     let load = response.headers().get(header::LOAD);
-    let pool = Pool::of(&job.head.request);
+    let pool = Pool::for_request(&job.head.request);
     let summary = load
         .and_then(|value| value.to_str().ok())
         .and_then(|text| dispatch::load(text, instance.id, pool));
     if let Some(summary) = summary {
-        shared.desk.with(|owner| owner.learn(&[summary]));
+        shared.desk.with(|owner| owner.record_summaries(&[summary]));
     }
 }
 
--- a/crates/router/src/relay/resume.rs
+++ b/crates/router/src/relay/resume.rs
@@ -4,7 +4,7 @@
 
 use godwitpost_client::connect::Body;
 use godwitpost_decide::owner::Grant;
-use godwitpost_decide::resume::{Next, Resume};
+use godwitpost_decide::resume::{Next, Progress};
 use http::header::{CONTENT_ENCODING, CONTENT_TYPE};
 use http::{HeaderName, HeaderValue, StatusCode};
 
@@ -29,12 +29,12 @@
     /// Returns the rest, to be waited for, if it is to be asked for.
     pub(crate) fn again(
         &self,
-        resume: &mut Resume,
+        resume: &mut Progress,
     ) -> Option<impl Future<Output = Option<Body>> + Send + use<>> {
         let now = self.shared.now();
         let request = &self.job.head.request;
-        let next = resume.broken(now, request, &mut self.shared.gate().budgets);
-        let Next::Ask { after } = next else {
+        let next = resume.record_break(now, request, &mut self.shared.gate().budgets);
+        let Next::Reconnect { after } = next else {
             return None;
         };
         log::info!(endpoint:% = self.target.endpoint.name, after = after; "resuming a stream");
--- a/crates/router/src/serve/callers.rs
+++ b/crates/router/src/serve/callers.rs
@@ -256,6 +256,6 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.shared.gate().limits.done(self.workspace);
+        self.shared.gate().limits.release(self.workspace);
     }
 }
--- a/crates/router/src/serve/peers.rs
+++ b/crates/router/src/serve/peers.rs
@@ -98,7 +98,7 @@
         return status(StatusCode::BAD_REQUEST);
     };
     let attempt = head.attempt;
-    let pool = Pool::of(&head.request);
+    let pool = Pool::for_request(&head.request);
     let (kind, mut response) = match owner::serve(shared, &Job::received(head, body)).await {
         Attempt::Answered(mut response) => {
             header::add_via(response.headers_mut(), &shared.settings.name);
@@ -174,7 +174,7 @@
     let Ok(evidence) = rmp_serde::from_slice::<Vec<_>>(bytes) else {
         return status(StatusCode::BAD_REQUEST);
     };
-    shared.desk.with(|owner| owner.learn_evidence(&evidence));
+    shared.desk.with(|owner| owner.record_evidence(&evidence));
     status(StatusCode::OK)
 }
 
@@ -182,7 +182,7 @@
     let Ok(locations) = rmp_serde::from_slice::<Vec<_>>(bytes) else {
         return status(StatusCode::BAD_REQUEST);
     };
-    shared.desk.with(|owner| owner.take_over(&locations));
+    shared.desk.with(|owner| owner.accept_handover(&locations));
     status(StatusCode::OK)
 }
 
