--- a/crates/direct/src/cli.rs
+++ b/crates/direct/src/cli.rs
@@ -7,13 +7,13 @@
 
 /// What the command line asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum Action {
     /// Run an instance with these settings.
     Run(PathBuf),
     /// Check these settings and end.
     Check(PathBuf),
     /// Print this text and end with this exit code.
-    Say(String, u8),
+    Print(String, u8),
 }
 
 /// Exit code after a graceful shutdown, or a check without mistakes.
@@ -65,7 +65,7 @@
     name: &'static str,
     args: impl IntoIterator<Item = OsString>,
     from_environment: Option<PathBuf>,
-) -> Next {
+) -> Action {
     let matches = match command(name).try_get_matches_from(args) {
         Ok(matches) => matches,
         Err(error) => {
@@ -74,18 +74,18 @@
             } else {
                 EXIT_DONE
             };
-            return Next::Say(error.render().to_string(), code);
+            return Action::Print(error.render().to_string(), code);
         }
     };
     let named = matches.get_one::<PathBuf>("settings").cloned();
     let Some(settings) = named.or(from_environment) else {
         let text = format!("{name}: no settings; name a file with --settings\n");
-        return Next::Say(text, EXIT_USAGE);
+        return Action::Print(text, EXIT_USAGE);
     };
     if matches.get_flag("check") {
-        Next::Check(settings)
+        Action::Check(settings)
     } else {
-        Next::Run(settings)
+        Action::Run(settings)
     }
 }
 
--- a/crates/direct/src/cli/tests.rs
+++ b/crates/direct/src/cli/tests.rs
@@ -1,9 +1,9 @@
 use std::ffi::OsString;
 use std::path::PathBuf;
 
-use super::{EXIT_DONE, EXIT_USAGE, Next, parse};
+use super::{Action, EXIT_DONE, EXIT_USAGE, parse};
 
-fn next(args: &[&str], from_environment: Option<&str>) -> Next {
+fn next(args: &[&str], from_environment: Option<&str>) -> Action {
     let args = std::iter::once("instance").chain(args.iter().copied());
     parse(
         "instance",
@@ -16,17 +16,17 @@
 fn the_flag_goes_before_the_environment() {
     assert_eq!(
         next(&["--settings", "a.yaml"], Some("b.yaml")),
-        Next::Run("a.yaml".into())
+        Action::Run("a.yaml".into())
     );
     assert_eq!(
         next(&["--check"], Some("b.yaml")),
-        Next::Check("b.yaml".into())
+        Action::Check("b.yaml".into())
     );
 }
 
 #[test]
 fn without_settings_the_remedy_is_told() {
-    let Next::Say(text, code) = next(&[], None) else {
+    let Action::Print(text, code) = next(&[], None) else {
         panic!("a text was expected");
     };
     assert_eq!(code, EXIT_USAGE);
@@ -35,7 +35,7 @@
 
 #[test]
 fn help_tells_the_settings() {
-    let Next::Say(text, code) = next(&["--help"], None) else {
+    let Action::Print(text, code) = next(&["--help"], None) else {
         panic!("a text was expected");
     };
     assert_eq!(code, EXIT_DONE);
--- a/crates/direct/src/control.rs
+++ b/crates/direct/src/control.rs
@@ -28,11 +28,11 @@
 use crate::evacuation::{EvacuatedZones, Evacuation, TopicState};
 use crate::feed::Change;
 use crate::policy::Policy;
-use crate::revoked::{Changes, Revoked};
+use crate::revoked::{KeyChanges, RevokedKeys};
 use crate::roster::{Origin, Registration, Roster};
 use crate::shared::{Shared, View, by_service};
-use crate::source::{Position, Source, Statement};
-use crate::startup::Start;
+use crate::source::{Directive, Position, Source};
+use crate::startup::StartupState;
 
 /// How often endpoints that are held to be down, and lapsed entries, are
 /// looked at.
@@ -42,13 +42,13 @@
 #[derive(Debug)]
 pub struct Sources {
     /// What the operator says; versions of the configuration only ever increase.
-    pub operator: Source<Statement>,
+    pub operator: Source<Directive>,
     /// What endpoints say of themselves.
     pub endpoints: Source<Registration>,
 }
 
 enum Event {
-    Operator(Heard<Statement>),
+    Operator(Heard<Directive>),
     Endpoints(Heard<Registration>),
     Peer(Box<News>),
 }
@@ -65,7 +65,7 @@
     let (sender, mut events) = mpsc::channel(3);
     let timer = Timer::new(Duration::ZERO);
     tokio::spawn(timer.clone().drive(Clock::start_at(Duration::ZERO)));
-    let asks = shared.settings.asks_others();
+    let asks = shared.settings.polls_peers();
     let (mode, modes) = watch::channel(Mode::at_start(asks));
     let log = |topic| Log {
         shared: Arc::clone(&shared),
@@ -87,12 +87,17 @@
     if let Some(port) = peers_port {
         let told = Arc::clone(&shared);
         let answer = move |request| peers::answer(Arc::clone(&told), request);
-        tokio::spawn(serve::run(port, crate::serve::limits(), ended, answer));
+        tokio::spawn(serve::run(
+            port,
+            crate::serve::internal_limits(),
+            ended,
+            answer,
+        ));
     }
-    if !shared.settings.others().is_empty() {
+    if !shared.settings.other_seeds().is_empty() {
         tokio::spawn(peers::ask(Arc::clone(&shared), mode, sender, peer_event));
     }
-    if shared.settings.reads_for_others() {
+    if shared.settings.is_seed() {
         tokio::spawn(peers::exchange(Arc::clone(&shared)));
     }
     let mut control = Control::new(shared, lines);
@@ -130,9 +135,9 @@
     fetched: BTreeMap<String, Moment>,
     // When zones were given back.
     returned: BTreeMap<String, Moment>,
-    revoked: Arc<Revoked>,
+    revoked: Arc<RevokedKeys>,
     roster: Roster,
-    start: Start,
+    start: StartupState,
     // The log's era, and when it was first heard of.
     era: Option<(Era, Moment)>,
     // The version that the log holds, as read last, if that is older than the one in
@@ -156,7 +161,7 @@
             fetched: BTreeMap::new(),
             returned: BTreeMap::new(),
             revoked: Arc::default(),
-            start: Start::default(),
+            start: StartupState::default(),
             era: None,
             lags: None,
             read: false,
@@ -165,7 +170,7 @@
         }
     }
 
-    fn operator(&mut self, heard: Heard<Statement>) {
+    fn operator(&mut self, heard: Heard<Directive>) {
         let mut newer = false;
         self.era(heard.era, None);
         self.reading.reset_if_new(heard.mode.epoch, heard.era);
@@ -187,7 +192,7 @@
     // Takes in that the log was read whole.
     fn read(&mut self, era: Era, asked: Moment) {
         let before = self.start;
-        let believed = self.start.read(era, asked);
+        let believed = self.start.record_read(era, asked);
         self.shared.set_log_needs_reread(!believed);
         if believed {
             self.confirm(asked, self.reading.version);
@@ -230,13 +235,13 @@
         }
     }
 
-    fn statement(&mut self, change: Change<Statement>) -> bool {
+    fn statement(&mut self, change: Change<Directive>) -> bool {
         match change {
-            Change::Set(_, Statement::Policy(policy)) => {
+            Change::Set(_, Directive::Policy(policy)) => {
                 self.reading.version = policy.version();
                 self.policy(policy)
             }
-            Change::Set(key, Statement::Evacuate(zone)) => {
+            Change::Set(key, Directive::Evacuate(zone)) => {
                 self.reading.set(key, zone);
                 false
             }
@@ -330,7 +335,7 @@
         self.shared.update_replica(false, |replica| {
             replica.confirm_endpoints(news.endpoints_read)
         });
-        self.start.told();
+        self.start.record_peer_answer();
         self.shared.set_log_needs_reread(false);
         self.confirm(news.policy_read, news.version);
     }
@@ -340,8 +345,10 @@
     // started, can't know how much that is.
     fn fetch_from(&mut self, zone: &str) {
         let settings = &self.shared.settings;
-        let left = settings.evacuation.saturating_sub(settings.news());
-        if self.shared.policy_age() < settings.news() {
+        let left = settings
+            .evacuation
+            .saturating_sub(settings.max_update_delay());
+        if self.shared.policy_age() < settings.max_update_delay() {
             self.fetched.insert(zone.to_owned(), boot_time() + left);
         }
     }
@@ -368,12 +375,12 @@
     }
 
     // Remembers the keys that a version takes away.
-    fn keys(&mut self, policy: &Policy) -> Changes {
+    fn keys(&mut self, policy: &Policy) -> KeyChanges {
         match &self.policy {
             Some(held) if held.content().keys != policy.content().keys => {
-                Arc::make_mut(&mut self.revoked).replaced(held, policy)
+                Arc::make_mut(&mut self.revoked).record_replacement(held, policy)
             }
-            _ => Changes::default(),
+            _ => KeyChanges::default(),
         }
     }
 
--- a/crates/direct/src/control/follow.rs
+++ b/crates/direct/src/control/follow.rs
@@ -11,10 +11,10 @@
 use rand::RngExt;
 use tokio::sync::{mpsc, watch};
 
-use crate::feed::{Change, Feed, Next};
+use crate::feed::{Change, Feed, Query};
 use crate::roster::EXPIRED_ENTRY_GRACE;
 use crate::shared::Shared;
-use crate::source::{Fault, Source, Tail};
+use crate::source::{ReadError, Source, Tail};
 
 /// The first pause after a failed call, before jitter. It doubles, up to the
 /// second of these figures, or the third at an instance that has others to ask
@@ -106,8 +106,8 @@
         }
     }
 
-    fn asks_others(&self) -> bool {
-        self.shared.settings.asks_others()
+    fn polls_peers(&self) -> bool {
+        self.shared.settings.polls_peers()
     }
 }
 
@@ -166,7 +166,7 @@
         };
         if now != mode {
             mode = now;
-            feed = Feed::knowing(
+            feed = Feed::with_known_keys(
                 log.shared
                     .update_replica(false, |replica| replica.endpoint_names()),
             );
@@ -193,7 +193,7 @@
             return;
         }
         let rest = match current {
-            true if listing && log.asks_others() => LISTED,
+            true if listing && log.polls_peers() => LISTED,
             true if log.shared.log_needs_reread() => HURRY,
             true => rest(pace, lag).min(loss.hurry()),
             false => pause,
@@ -203,7 +203,7 @@
 }
 
 fn longest(log: &Log) -> Duration {
-    if log.asks_others() && !log.shared.serves_peers() {
+    if log.polls_peers() && !log.shared.serves_peers() {
         LONGEST_OF_MANY
     } else {
         LONGEST
@@ -229,7 +229,7 @@
     }
 
     // Takes in how a call ended; returns the pause before the next one.
-    fn note(&mut self, log: &Log, fault: Option<&Fault>) -> Duration {
+    fn note(&mut self, log: &Log, fault: Option<&ReadError>) -> Duration {
         let topic = log.topic.as_str();
         let now = boot_time();
         log.shared
@@ -262,13 +262,13 @@
     }
 }
 
-const fn name(fault: &Fault) -> &'static str {
+const fn name(fault: &ReadError) -> &'static str {
     match fault {
-        Fault::Unreachable(_) => "unreachable",
-        Fault::Timeout => "timeout",
-        Fault::Refused(_) => "refused",
-        Fault::Garbled(_) => "garbled",
-        Fault::Outdated => "outdated",
+        ReadError::Unreachable(_) => "unreachable",
+        ReadError::Timeout => "timeout",
+        ReadError::Refused(_) => "refused",
+        ReadError::Garbled(_) => "garbled",
+        ReadError::Outdated => "outdated",
     }
 }
 
@@ -298,12 +298,12 @@
     wait: Duration,
     mode: Mode,
     log: &Log,
-) -> Result<Heard<T>, Fault> {
+) -> Result<Heard<T>, ReadError> {
     let asked = boot_time();
-    let next = feed.next();
-    let listed = matches!(next, Next::List(_));
+    let next = feed.next_query();
+    let listed = matches!(next, Query::List(_));
     let (changes, whole) = match next {
-        Next::List(after) => {
+        Query::List(after) => {
             let first = after.is_none();
             let reply = (source.list)(after).await?;
             check_era(feed, reply.era)?;
@@ -313,18 +313,18 @@
             // topic would cost everybody that starts another call.
             let whole = first && reply.body.next.is_none();
             notes::page(log, &reply.body);
-            (feed.listed(reply), whole)
+            (feed.apply_page(reply), whole)
         }
-        Next::Read(from) => {
+        Query::Read(from) => {
             let reply = (source.read)(from, wait).await?;
             check_era(feed, reply.era)?;
             notes::era(log, feed, reply.era);
             let whole = matches!(&reply.body, Tail::Records { next, end, .. } if next >= end);
             notes::tail(log, from, &reply.body);
-            (feed.read(reply), whole)
+            (feed.apply_tail(reply), whole)
         }
     };
-    notes::ignored(log, feed.take_ignored());
+    notes::ignored(log, feed.take_ignored_count());
     Ok(Heard {
         changes,
         listed,
@@ -337,9 +337,9 @@
     })
 }
 
-fn check_era(feed: &Feed, era: Option<Era>) -> Result<(), Fault> {
+fn check_era(feed: &Feed, era: Option<Era>) -> Result<(), ReadError> {
     if feed.is_outdated(era) {
-        return Err(Fault::Outdated);
+        return Err(ReadError::Outdated);
     }
     Ok(())
 }
--- a/crates/direct/src/control/peers.rs
+++ b/crates/direct/src/control/peers.rs
@@ -32,7 +32,7 @@
 use self::age::{LONGEST_WAIT, PATIENCE, left, wait, wait_while_partial};
 pub(super) use self::answer::answer;
 pub(super) use self::passing::exchange;
-pub(crate) use self::passing::pass_on;
+pub(crate) use self::passing::forward_evidence;
 pub(super) use self::peer::News;
 use self::peer::{Peer, Refusal};
 use super::follow::Mode;
@@ -93,9 +93,9 @@
     events: mpsc::Sender<E>,
     event: fn(News) -> E,
 ) {
-    let seeds = shared.settings.others();
+    let seeds = shared.settings.other_seeds();
     let first = rand::rng().random_range(0..seeds.len().max(1));
-    let visits = shared.settings.reads_for_others();
+    let visits = shared.settings.is_seed();
     let mut lost = shared.log_unavailable();
     let mut asker = Asker {
         connector: Connector::new(connect::Settings {
@@ -127,7 +127,7 @@
     // next one is asked before anybody goes to the log, as long as what is known
     // here doesn't get too old by it.
     async fn turn(&mut self, visits: bool) -> Turn {
-        let mut turn = VecDeque::from(self.peers.turn(rand::rng().random()));
+        let mut turn = VecDeque::from(self.peers.next_round(rand::rng().random()));
         loop {
             let Some(address) = turn.pop_front() else {
                 // Others that start at the same time may not listen yet.
@@ -135,7 +135,7 @@
                     return Turn::Over;
                 }
                 tokio::time::sleep(AGAIN).await;
-                turn = self.peers.turn(rand::rng().random()).into();
+                turn = self.peers.next_round(rand::rng().random()).into();
                 continue;
             };
             let allowed = self.allowed();
@@ -158,7 +158,7 @@
             }
             // One that was followed for a while is asked again only after all others.
             if began.elapsed() > allowed {
-                turn = self.peers.turn(rand::rng().random()).into();
+                turn = self.peers.next_round(rand::rng().random()).into();
                 turn.retain(|other| *other != address);
             }
         }
@@ -181,7 +181,10 @@
             return LONGEST_WAIT;
         }
         match self.known() {
-            Some(read) => left(self.shared.settings.news(), since(boot_time(), read)),
+            Some(read) => left(
+                self.shared.settings.max_update_delay(),
+                since(boot_time(), read),
+            ),
             None => ASKS_FIRST.saturating_sub(self.shared.uptime()),
         }
     }
@@ -204,11 +207,11 @@
         log::info!(peer:% = address; "peer followed in place of the log");
         direct(&self.mode, false);
         loop {
-            self.peers.named(address, told.standbys);
+            self.peers.set_standbys(address, told.standbys);
             if self.events.send((self.event)(told.news)).await.is_err() {
                 return None;
             }
-            let wait = wait(shared.settings.news()).min(longest(&shared));
+            let wait = wait(shared.settings.max_update_delay()).min(longest(&shared));
             told = match peer.question(wait).await {
                 Ok(told) => told,
                 Err(refusal) => return Some(refusal),
--- a/crates/direct/src/control/peers/answer.rs
+++ b/crates/direct/src/control/peers/answer.rs
@@ -49,7 +49,7 @@
         return status(StatusCode::BAD_REQUEST);
     };
     let until = Instant::now() + question.wait.min(LONGEST_WAIT);
-    shared.askers().asked(question.peer_address, began);
+    shared.askers().record_poll(question.peer_address, began);
     take(shared, &question.loads, began);
     for holding in &question.holdings {
         shared.directory().apply_and_forward(holding, began);
@@ -91,7 +91,7 @@
 
 // A standby's own askers are no better informed than it is, so only seeds name any.
 fn name_instances(shared: &Shared, told: &mut Update, now: Moment) {
-    if shared.settings.reads_for_others() {
+    if shared.settings.is_seed() {
         told.standbys = shared.askers().standbys(told.incarnation, now);
     }
     told.instances = shared.instance_count(now);
--- a/crates/direct/src/control/peers/passing.rs
+++ b/crates/direct/src/control/peers/passing.rs
@@ -38,7 +38,7 @@
         return status(StatusCode::BAD_REQUEST);
     };
     if let Some(own) = heard.own {
-        shared.askers().told(own, heard.count, now);
+        shared.askers().record_peer_count(own, heard.count, now);
     }
     for holding in heard.held {
         if shared.directory().apply_remote(&holding, now) {
@@ -81,7 +81,7 @@
             let count = shared.askers().count(now);
             shared.set_instance_count(count, now);
         }
-        for peer in shared.settings.others() {
+        for peer in shared.settings.other_seeds() {
             if let Err(refusal) = post(&shared, peer, HEARD_PATH, &heard).await {
                 log::debug!(peer:% = peer, cause:% = refusal; "what was heard is not passed on");
             }
@@ -105,7 +105,7 @@
 
 /// Passes on what this instance saw of requests that may crash endpoints: to
 /// those that are asked, of which each tells it to whoever asks.
-pub(crate) fn pass_on(shared: &Arc<Shared>) {
+pub(crate) fn forward_evidence(shared: &Arc<Shared>) {
     if shared.crash_tracker().begin_forwarding() {
         let shared = Arc::clone(shared);
         tokio::spawn(async move {
@@ -114,7 +114,7 @@
             for evidence in &seen {
                 shared.update_replica(true, |replica| replica.add_evidence(*evidence));
             }
-            for peer in shared.settings.others() {
+            for peer in shared.settings.other_seeds() {
                 if let Err(refusal) = hand(&shared, peer, &seen).await {
                     log::info!(peer:% = peer, cause:% = refusal; "evidence not passed on");
                 }
--- a/crates/direct/src/control/peers/peer.rs
+++ b/crates/direct/src/control/peers/peer.rs
@@ -178,7 +178,7 @@
         }
         Ok(Answered {
             standbys: std::mem::take(&mut told.standbys),
-            news: news(told, asked, oldest(self.shared.settings.news()))?,
+            news: news(told, asked, oldest(self.shared.settings.max_update_delay()))?,
         })
     }
 
--- a/crates/direct/src/evacuation/tests.rs
+++ b/crates/direct/src/evacuation/tests.rs
@@ -7,7 +7,7 @@
 
 use super::{EvacuatedZones, Evacuation, REWRITE_GRACE, TopicState};
 use crate::board::{Replica, UpdateRequest};
-use crate::feed::{Change, Feed, Next};
+use crate::feed::{Change, Feed, Query};
 use crate::source::{Page, Position, Record, Reply, Tail, Value};
 
 /// Schedules that each promise is played over.
@@ -165,9 +165,9 @@
     }
 
     fn read_log(&mut self, log: &Log) {
-        let changes = match self.feed.next() {
-            Next::List(_) => self.feed.listed(first_era(log.list())),
-            Next::Read(from) => self.feed.read(first_era(log.read(from))),
+        let changes = match self.feed.next_query() {
+            Query::List(_) => self.feed.apply_page(first_era(log.list())),
+            Query::Read(from) => self.feed.apply_tail(first_era(log.read(from))),
         };
         self.reading.reset_if_new(self.epoch, 1);
         for change in changes {
--- a/crates/direct/src/feed.rs
+++ b/crates/direct/src/feed.rs
@@ -23,7 +23,7 @@
 
 /// What to ask the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum Query {
     /// List the keys after the given one.
     List(Option<String>),
     /// Read on from an offset.
@@ -71,7 +71,7 @@
 
 impl Default for Feed {
     fn default() -> Self {
-        Self::knowing([])
+        Self::with_known_keys([])
     }
 }
 
@@ -89,7 +89,7 @@
     /// Returns a feed of a topic of which these keys are known from elsewhere.
     /// Those that the list doesn't hold any more are said to be removed.
     #[must_use]
-    pub fn knowing(keys: impl IntoIterator<Item = String>) -> Self {
+    pub fn with_known_keys(keys: impl IntoIterator<Item = String>) -> Self {
         Self {
             known: keys.into_iter().map(|key| (key, None)).collect(),
             state: State::listing(),
@@ -101,10 +101,10 @@
 
     /// Returns what to ask.
     #[must_use]
-    pub fn next(&self) -> Next {
+    pub fn next_query(&self) -> Query {
         match &self.state {
-            State::Listing { after, .. } => Next::List(after.clone()),
-            State::Reading { from } => Next::Read(*from),
+            State::Listing { after, .. } => Query::List(after.clone()),
+            State::Reading { from } => Query::Read(*from),
         }
     }
 
@@ -132,7 +132,7 @@
 
     /// Returns the offset up to which the topic was read in this era, if it was.
     #[must_use]
-    pub const fn reached(&self) -> Offset {
+    pub const fn read_offset(&self) -> Offset {
         self.reached
     }
 
@@ -144,13 +144,13 @@
 
     /// Returns how many records were not taken, as older than what is known of their
     /// key, since this was last asked.
-    pub const fn take_ignored(&mut self) -> u64 {
+    pub const fn take_ignored_count(&mut self) -> u64 {
         std::mem::replace(&mut self.ignored, 0)
     }
 
     /// Takes in a page. One that was not asked for is ignored, and so is one of an
     /// earlier era or, in a later one, any but the first.
-    pub fn listed<T>(&mut self, reply: Reply<Page<T>>) -> Vec<Change<T>> {
+    pub fn apply_page<T>(&mut self, reply: Reply<Page<T>>) -> Vec<Change<T>> {
         let began = matches!(self.state, State::Listing { after: Some(_), .. });
         if self.is_outdated(reply.era) || (self.enter(reply.era) && began) {
             return Vec::new();
@@ -181,7 +181,7 @@
 
     /// Takes in what followed an offset. An answer of another era says nothing: what
     /// was asked for had its place in this one.
-    pub fn read<T>(&mut self, reply: Reply<Tail<T>>) -> Vec<Change<T>> {
+    pub fn apply_tail<T>(&mut self, reply: Reply<Tail<T>>) -> Vec<Change<T>> {
         if self.is_outdated(reply.era) || self.enter(reply.era) {
             return Vec::new();
         }
--- a/crates/direct/src/feed/tests.rs
+++ b/crates/direct/src/feed/tests.rs
@@ -1,4 +1,4 @@
-use super::{Change, Feed, Next};
+use super::{Change, Feed, Query};
 use crate::source::{Page, Record, Reply, Tail, Value};
 
 fn set(key: &str, offset: u64) -> Record<String> {
@@ -47,11 +47,11 @@
 #[test]
 fn reading_goes_on_from_the_end_of_the_first_page() {
     let mut feed = Feed::default();
-    feed.listed(page(vec![set("a", 3)], true, 5));
-    assert_eq!(feed.next(), Next::List(Some("a".to_owned())));
-    feed.listed(page(vec![set("b", 4)], false, 9));
-    assert_eq!(feed.next(), Next::Read(5));
-    let changes = feed.read(tail(vec![removed("a", 7)], 9));
+    feed.apply_page(page(vec![set("a", 3)], true, 5));
+    assert_eq!(feed.next_query(), Query::List(Some("a".to_owned())));
+    feed.apply_page(page(vec![set("b", 4)], false, 9));
+    assert_eq!(feed.next_query(), Query::Read(5));
+    let changes = feed.apply_tail(tail(vec![removed("a", 7)], 9));
     assert_eq!(changes, [gone("a")]);
 }
 
@@ -60,13 +60,13 @@
 #[test]
 fn a_key_missing_after_lost_history_is_gone() {
     let mut feed = Feed::default();
-    feed.listed(page(vec![set("a", 1), set("b", 2)], false, 3));
-    assert_eq!(feed.read(EXPIRED), []);
-    assert_eq!(feed.next(), Next::List(None));
+    feed.apply_page(page(vec![set("a", 1), set("b", 2)], false, 3));
+    assert_eq!(feed.apply_tail(EXPIRED), []);
+    assert_eq!(feed.next_query(), Query::List(None));
     assert!(!feed.is_listed());
-    let changes = feed.listed(page(vec![set("b", 2)], false, 40));
+    let changes = feed.apply_page(page(vec![set("b", 2)], false, 40));
     assert_eq!(changes, [gone("a")]);
-    assert_eq!(feed.next(), Next::Read(40));
+    assert_eq!(feed.next_query(), Query::Read(40));
 }
 
 /// Listing anew gives an older record of a key than the one already read.
@@ -74,22 +74,22 @@
 #[test]
 fn an_older_record_does_not_undo_a_newer_one() {
     let mut feed = Feed::default();
-    feed.listed(page(vec![set("a", 1)], false, 2));
-    feed.read(tail(vec![set("a", 6)], 7));
-    feed.read(EXPIRED);
-    assert_eq!(feed.listed(page(vec![set("a", 1)], false, 7)), []);
+    feed.apply_page(page(vec![set("a", 1)], false, 2));
+    feed.apply_tail(tail(vec![set("a", 6)], 7));
+    feed.apply_tail(EXPIRED);
+    assert_eq!(feed.apply_page(page(vec![set("a", 1)], false, 7)), []);
 }
 
 #[test]
 fn an_unreadable_value_names_nothing_and_leaves_the_others() {
     let mut feed = Feed::default();
-    feed.listed(page(vec![set("a", 1), set("b", 2)], false, 3));
+    feed.apply_page(page(vec![set("a", 1), set("b", 2)], false, 3));
     let bad = Record {
         key: "a".to_owned(),
         offset: 3,
         value: Value::Unreadable("no address".to_owned()),
     };
-    let changes = feed.read(tail(vec![bad, set("b", 4)], 5));
+    let changes = feed.apply_tail(tail(vec![bad, set("b", 4)], 5));
     assert_eq!(
         changes,
         [
@@ -105,20 +105,20 @@
 #[test]
 fn a_page_without_a_record_of_ours_is_not_the_end() {
     let mut feed = Feed::default();
-    feed.listed::<String>(first_era(Page {
+    feed.apply_page::<String>(first_era(Page {
         records: Vec::new(),
         next: Some("m".to_owned()),
         end: 5,
     }));
-    assert_eq!(feed.next(), Next::List(Some("m".to_owned())));
-    feed.listed(page(vec![set("z", 4)], false, 9));
-    assert_eq!(feed.next(), Next::Read(5));
+    assert_eq!(feed.next_query(), Query::List(Some("m".to_owned())));
+    feed.apply_page(page(vec![set("z", 4)], false, 9));
+    assert_eq!(feed.next_query(), Query::Read(5));
 }
 
 #[test]
 fn keys_known_from_elsewhere_are_gone_if_the_list_does_not_hold_them() {
-    let mut feed = Feed::knowing(["a".to_owned(), "b".to_owned()]);
-    let changes = feed.listed(page(vec![set("b", 0)], false, 3));
+    let mut feed = Feed::with_known_keys(["a".to_owned(), "b".to_owned()]);
+    let changes = feed.apply_page(page(vec![set("b", 0)], false, 3));
     assert_eq!(
         changes,
         [Change::Set("b".to_owned(), "b@0".to_owned()), gone("a")]
@@ -137,13 +137,13 @@
 #[test]
 fn in_a_later_era_smaller_offsets_are_newer() {
     let mut feed = Feed::default();
-    feed.listed(page(vec![set("a", 8), set("b", 2)], false, 9));
-    assert_eq!(feed.read(later(EXPIRED)), []);
-    assert_eq!(feed.next(), Next::List(None));
-    let changes = feed.listed(later(page(vec![set("a", 3)], false, 4)));
+    feed.apply_page(page(vec![set("a", 8), set("b", 2)], false, 9));
+    assert_eq!(feed.apply_tail(later(EXPIRED)), []);
+    assert_eq!(feed.next_query(), Query::List(None));
+    let changes = feed.apply_page(later(page(vec![set("a", 3)], false, 4)));
     let again = Change::Set("a".to_owned(), "a@3".to_owned());
     assert_eq!(changes, [again, gone("b")]);
-    let changes = feed.read(later(tail(vec![set("a", 4)], 5)));
+    let changes = feed.apply_tail(later(tail(vec![set("a", 4)], 5)));
     assert_eq!(changes, [Change::Set("a".to_owned(), "a@4".to_owned())]);
 }
 
@@ -152,9 +152,9 @@
 #[test]
 fn in_a_later_era_nothing_is_read_on_from_the_old_offset() {
     let mut feed = Feed::default();
-    feed.listed(page(vec![set("a", 3)], false, 4));
-    assert_eq!(feed.read(later(tail(vec![set("b", 4)], 5))), []);
-    assert_eq!(feed.next(), Next::List(None));
+    feed.apply_page(page(vec![set("a", 3)], false, 4));
+    assert_eq!(feed.apply_tail(later(tail(vec![set("b", 4)], 5))), []);
+    assert_eq!(feed.next_query(), Query::List(None));
     assert_eq!(feed.position(), None);
 }
 
@@ -162,21 +162,24 @@
 #[test]
 fn a_list_is_begun_anew_if_the_era_changes_between_its_pages() {
     let mut feed = Feed::default();
-    feed.listed(page(vec![set("a", 8)], true, 9));
-    assert_eq!(feed.listed(later(page(vec![set("b", 1)], false, 2))), []);
-    assert_eq!(feed.next(), Next::List(None));
-    feed.listed(later(page(vec![set("b", 1)], false, 2)));
-    assert_eq!(feed.next(), Next::Read(2));
+    feed.apply_page(page(vec![set("a", 8)], true, 9));
+    assert_eq!(
+        feed.apply_page(later(page(vec![set("b", 1)], false, 2))),
+        []
+    );
+    assert_eq!(feed.next_query(), Query::List(None));
+    feed.apply_page(later(page(vec![set("b", 1)], false, 2)));
+    assert_eq!(feed.next_query(), Query::Read(2));
 }
 
 /// Guards against an answer that was on its way while the log came back.
 #[test]
 fn an_answer_of_an_earlier_era_changes_nothing() {
     let mut feed = Feed::default();
-    feed.listed(later(page(vec![set("a", 1)], false, 2)));
+    feed.apply_page(later(page(vec![set("a", 1)], false, 2)));
     assert!(feed.is_outdated(Some(1)) && !feed.is_outdated(None));
-    assert_eq!(feed.read(tail(vec![set("a", 9)], 10)), []);
-    assert_eq!(feed.next(), Next::Read(2));
+    assert_eq!(feed.apply_tail(tail(vec![set("a", 9)], 10)), []);
+    assert_eq!(feed.next_query(), Query::Read(2));
 }
 
 /// Guards against dropped and passed-over records with a log that names no era.
@@ -184,14 +187,14 @@
 fn a_log_that_ends_before_what_was_read_is_listed_anew() {
     let nameless = |reply: Reply<Tail<String>>| Reply { era: None, ..reply };
     let mut feed = Feed::default();
-    feed.listed(page(vec![set("a", 8)], false, 9));
-    assert_eq!(feed.read(nameless(tail(Vec::new(), 4))), []);
-    assert_eq!(feed.next(), Next::List(None));
+    feed.apply_page(page(vec![set("a", 8)], false, 9));
+    assert_eq!(feed.apply_tail(nameless(tail(Vec::new(), 4))), []);
+    assert_eq!(feed.next_query(), Query::List(None));
     let mut feed = Feed::default();
-    feed.listed(page(vec![set("a", 8)], false, 9));
-    feed.read(nameless(EXPIRED));
+    feed.apply_page(page(vec![set("a", 8)], false, 9));
+    feed.apply_tail(nameless(EXPIRED));
     let listed = page(vec![set("a", 3)], false, 4);
-    let changes = feed.listed(Reply {
+    let changes = feed.apply_page(Reply {
         era: None,
         ..listed
     });
@@ -203,7 +206,7 @@
 fn a_log_that_names_its_first_era_is_listed_anew() {
     let nameless = |reply: Reply<Page<String>>| Reply { era: None, ..reply };
     let mut feed = Feed::default();
-    feed.listed(nameless(page(vec![set("a", 3)], false, 4)));
-    assert_eq!(feed.read(tail(vec![set("b", 4)], 5)), []);
-    assert_eq!(feed.next(), Next::List(None));
+    feed.apply_page(nameless(page(vec![set("a", 3)], false, 4)));
+    assert_eq!(feed.apply_tail(tail(vec![set("b", 4)], 5)), []);
+    assert_eq!(feed.next_query(), Query::List(None));
 }
--- a/crates/direct/src/lease.rs
+++ b/crates/direct/src/lease.rs
@@ -32,7 +32,7 @@
     /// Returns whether keys may be acted on, the configuration having last
     /// been confirmed by a read sent at `confirmed`.
     #[must_use]
-    pub fn holds(self, confirmed: Option<Moment>, now: Moment) -> bool {
+    pub fn is_valid(self, confirmed: Option<Moment>, now: Moment) -> bool {
         let Some(confirmed) = confirmed else {
             return false;
         };
--- a/crates/direct/src/lease/tests.rs
+++ b/crates/direct/src/lease/tests.rs
@@ -11,12 +11,12 @@
 #[test]
 fn keys_stop_before_the_bound() {
     let lease = Lease::new(Some(at(5_000)));
-    assert!(lease.holds(Some(at(1_000)), at(5_600)));
-    assert!(!lease.holds(Some(at(1_000)), at(5_800)));
+    assert!(lease.is_valid(Some(at(1_000)), at(5_600)));
+    assert!(!lease.is_valid(Some(at(1_000)), at(5_800)));
 }
 
 #[test]
 fn nothing_is_acted_on_before_the_first_confirmation() {
-    assert!(!Lease::new(None).holds(None, at(1)));
-    assert!(Lease::new(None).holds(Some(at(0)), at(1_000_000)));
+    assert!(!Lease::new(None).is_valid(None, at(1)));
+    assert!(Lease::new(None).is_valid(Some(at(0)), at(1_000_000)));
 }
--- a/crates/direct/src/relay.rs
+++ b/crates/direct/src/relay.rs
@@ -96,7 +96,7 @@
     let mut job = match job(shared, head, facts, arrived) {
         Ok(job) => job,
         Err(reason) => {
-            let revoked_in = key.and_then(|key| shared.view().revoked.by(&key));
+            let revoked_in = key.and_then(|key| shared.view().revoked.revoking_version(&key));
             let who = Who::Head { id, revoked_in };
             return Err(Refused { reason, who });
         }
--- a/crates/direct/src/relay/crash.rs
+++ b/crates/direct/src/relay/crash.rs
@@ -15,7 +15,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::control::peers::pass_on;
+use crate::control::peers::forward_evidence;
 use crate::shared::Shared;
 use crate::suspects::{Evidence, Observed};
 
@@ -54,7 +54,7 @@
         request:% = broken.request, endpoint:% = broken.name, chain = chain;
         "endpoint ended with the request"
     );
-    pass_on(&shared);
+    forward_evidence(&shared);
 }
 
 /// Notes that a request was answered, if that says anything of it.
@@ -65,7 +65,7 @@
         sent_at: sent,
         observed_at: boot_time(),
     });
-    pass_on(shared);
+    forward_evidence(shared);
 }
 
 async fn refuses(address: SocketAddr) -> bool {
--- a/crates/direct/src/revoked.rs
+++ b/crates/direct/src/revoked.rs
@@ -16,27 +16,27 @@
 
 /// The keys that went.
 #[derive(Clone, Debug, Default)]
-pub struct Revoked {
+pub struct RevokedKeys {
     versions: BTreeMap<u64, Version>,
 }
 
 /// How many keys came and went with a version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Changes {
+pub struct KeyChanges {
     /// Keys that are new.
     pub added: usize,
     /// Keys that are gone.
     pub removed: usize,
 }
 
-impl Revoked {
+impl RevokedKeys {
     /// Takes in that `new` replaces `old`.
-    pub fn replaced(&mut self, old: &Policy, new: &Policy) -> Changes {
+    pub fn record_replacement(&mut self, old: &Policy, new: &Policy) -> KeyChanges {
         let none = BTreeMap::new();
         let old = old.content().keys.as_ref().unwrap_or(&none);
         let newer = new.content().keys.as_ref().unwrap_or(&none);
         let added = newer.keys().filter(|key| !old.contains_key(*key));
-        let mut changes = Changes {
+        let mut changes = KeyChanges {
             added: 0,
             removed: 0,
         };
@@ -54,7 +54,7 @@
 
     /// Returns the version that took a key away, if one is remembered to have.
     #[must_use]
-    pub fn by(&self, key: &str) -> Option<Version> {
+    pub fn revoking_version(&self, key: &str) -> Option<Version> {
         self.versions.get(&id::of(key)).copied()
     }
 
--- a/crates/direct/src/running.rs
+++ b/crates/direct/src/running.rs
@@ -151,13 +151,23 @@
 ) {
     let answering = Arc::clone(&shared);
     let answer = move |request| relay::handle_request(Arc::clone(&answering), request);
-    let limits = serve::callers_limits(&shared);
+    let limits = serve::caller_limits(&shared);
     tokio::spawn(run(callers, limits, closed, answer));
     let asked = Arc::clone(&shared);
-    let answer = move |request| ready(serve::ready(&asked, &request));
-    tokio::spawn(run(ready_port, serve::limits(), ended.clone(), answer));
+    let answer = move |request| ready(serve::readiness(&asked, &request));
+    tokio::spawn(run(
+        ready_port,
+        serve::internal_limits(),
+        ended.clone(),
+        answer,
+    ));
     let answer = move |request| ready(serve::metrics(&shared, &request));
-    tokio::spawn(run(metrics, serve::limits(), ended.clone(), answer));
+    tokio::spawn(run(
+        metrics,
+        serve::internal_limits(),
+        ended.clone(),
+        answer,
+    ));
     run_until_ended(std::future::pending(), ended).await;
 }
 
--- a/crates/direct/src/serve.rs
+++ b/crates/direct/src/serve.rs
@@ -26,7 +26,7 @@
 const HEAD_BYTES: usize = 64 << 10;
 
 /// Returns the limits of the ports that only the system's own sides use.
-pub(crate) const fn limits() -> Limits {
+pub(crate) const fn internal_limits() -> Limits {
     Limits {
         head_bytes: HEAD_BYTES,
         head_time: HEAD_TIME,
@@ -35,7 +35,7 @@
 }
 
 /// Returns the limits of the callers' port, by the configuration in force.
-pub(crate) fn callers_limits(shared: &Arc<Shared>) -> Limits {
+pub(crate) fn caller_limits(shared: &Arc<Shared>) -> Limits {
     let shared = Arc::clone(shared);
     let within = move || {
         let view = shared.view();
@@ -46,12 +46,12 @@
     };
     Limits {
         head_within: Some(Arc::new(within)),
-        ..limits()
+        ..internal_limits()
     }
 }
 
 /// Answers whether callers should be sent here.
-pub(crate) fn ready(shared: &Shared, request: &Request<Incoming>) -> Response<Body> {
+pub(crate) fn readiness(shared: &Shared, request: &Request<Incoming>) -> Response<Body> {
     if request.uri().path() != shared.settings.ready_path {
         return text(StatusCode::NOT_FOUND, String::new());
     }
--- a/crates/direct/src/settings.rs
+++ b/crates/direct/src/settings.rs
@@ -62,7 +62,7 @@
     /// of its service.
     pub load_bound: f64,
     /// Bytes of memory that the process may use.
-    pub memory: usize,
+    pub memory_bytes: usize,
     /// Threads that carry traffic, beside the one of control state.
     pub threads: usize,
     /// How much is logged.
@@ -156,7 +156,7 @@
     /// Returns whether others ask this instance instead of the log, so that it
     /// reads the log for as long as it can.
     #[must_use]
-    pub fn reads_for_others(&self) -> bool {
+    pub fn is_seed(&self) -> bool {
         self.listen
             .peers
             .is_some_and(|own| self.seeds.contains(&own))
@@ -164,19 +164,19 @@
 
     /// Returns whether this instance asks others in place of the log.
     #[must_use]
-    pub fn asks_others(&self) -> bool {
-        !self.reads_for_others() && !self.others().is_empty()
+    pub fn polls_peers(&self) -> bool {
+        !self.is_seed() && !self.other_seeds().is_empty()
     }
 
     /// Returns within what time all news of the log has to be acted on.
     #[must_use]
-    pub fn news(&self) -> Duration {
+    pub fn max_update_delay(&self) -> Duration {
         self.versions.min(self.leaving)
     }
 
     /// Returns the instances that can be asked instead of the log.
     #[must_use]
-    pub fn others(&self) -> Vec<SocketAddr> {
+    pub fn other_seeds(&self) -> Vec<SocketAddr> {
         let own = self.listen.peers;
         let mut others = self.seeds.clone();
         others.retain(|seed| Some(*seed) != own);
@@ -230,7 +230,7 @@
         grace: grace?.value,
         retries: retries?,
         load_bound: load_bound.map_or(LOAD_BOUND, |taken| taken.value),
-        memory: memory?.value << 20,
+        memory_bytes: memory?.value << 20,
         threads: threads.map_or(1, |taken| taken.value),
         log_level: log_level.map_or(LevelFilter::Info, |taken| taken.value),
     })
--- a/crates/direct/src/settings/tests.rs
+++ b/crates/direct/src/settings/tests.rs
@@ -28,7 +28,7 @@
     let settings = Settings::parse(WHOLE).expect("valid settings");
     assert_eq!(settings.revocation, Some(Duration::from_secs(5)));
     assert_eq!(settings.refresh, Duration::from_secs(1));
-    assert_eq!(settings.memory, 260 << 20);
+    assert_eq!(settings.memory_bytes, 260 << 20);
     assert_eq!(settings.threads, 1);
     assert!(settings.regions.is_empty());
 }
@@ -82,12 +82,15 @@
         Settings::parse(&text).expect("valid settings")
     };
     let asks = with("10.0.0.5:7");
-    assert!(!asks.reads_for_others());
-    assert_eq!(asks.others().len(), 2);
+    assert!(!asks.is_seed());
+    assert_eq!(asks.other_seeds().len(), 2);
     let reads = with("10.0.0.2:7");
-    assert!(reads.reads_for_others());
-    assert_eq!(reads.others(), ["10.0.0.1:7".parse().expect("an address")]);
+    assert!(reads.is_seed());
+    assert_eq!(
+        reads.other_seeds(),
+        ["10.0.0.1:7".parse().expect("an address")]
+    );
     let alone = Settings::parse(&format!("{WHOLE}seeds:\n")).expect("valid settings");
-    assert!(!alone.reads_for_others());
-    assert_eq!(alone.others(), []);
+    assert!(!alone.is_seed());
+    assert_eq!(alone.other_seeds(), []);
 }
--- a/crates/direct/src/shared.rs
+++ b/crates/direct/src/shared.rs
@@ -28,10 +28,10 @@
 use crate::paths::Paths;
 use crate::policy::{Policy, Ramp, Service};
 use crate::ramp::{InstanceCount, Shares};
-use crate::revoked::Revoked;
+use crate::revoked::RevokedKeys;
 use crate::roster::Registration;
 use crate::settings::Settings;
-use crate::standby::Askers;
+use crate::standby::Pollers;
 use crate::suspects::CrashTracker;
 
 /// How long opening a connection to an endpoint may take. Endpoints are 2 ms
@@ -82,7 +82,7 @@
     /// When endpoints that are warming up will have done so.
     pub(crate) warm_at: BTreeMap<EndpointId, Moment>,
     /// Keys that were seen to be taken away.
-    pub(crate) revoked: Arc<Revoked>,
+    pub(crate) revoked: Arc<RevokedKeys>,
 }
 
 impl View {
@@ -180,7 +180,7 @@
     notices: Mutex<Notices>,
     directory: Mutex<Directory>,
     budget: Mutex<Budget>,
-    askers: Mutex<Askers>,
+    askers: Mutex<Pollers>,
     crash_tracker: Mutex<CrashTracker>,
     paths: Mutex<Paths>,
     shares: Mutex<Shares>,
@@ -263,7 +263,7 @@
 
     /// Returns whether keys may be acted on now.
     pub(crate) fn is_policy_current(&self) -> bool {
-        self.lease.holds(self.policy_confirmed_at(), boot_time())
+        self.lease.is_valid(self.policy_confirmed_at(), boot_time())
     }
 
     /// Returns whether callers should be sent here.
@@ -348,13 +348,13 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn askers(&self) -> MutexGuard<'_, Askers> {
+    pub(crate) fn askers(&self) -> MutexGuard<'_, Pollers> {
         self.askers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns whether others ask this instance instead of the log now, or are to.
     pub(crate) fn serves_peers(&self) -> bool {
-        self.settings.reads_for_others() || self.askers().any(boot_time())
+        self.settings.is_seed() || self.askers().any_recent(boot_time())
     }
 
     pub(crate) fn crash_tracker(&self) -> MutexGuard<'_, CrashTracker> {
@@ -453,7 +453,7 @@
 
     /// Takes room for one request; `None` if there is none.
     pub(crate) fn admit(self: &Arc<Self>) -> Option<Admission> {
-        let limit = self.settings.memory / REQUEST_MEMORY_DIVISOR / BYTES_PER_REQUEST;
+        let limit = self.settings.memory_bytes / REQUEST_MEMORY_DIVISOR / BYTES_PER_REQUEST;
         let before = self.in_flight.fetch_add(1, Ordering::Relaxed);
         let admission = Admission {
             shared: Arc::clone(self),
@@ -473,7 +473,7 @@
 impl Admission {
     /// Takes room for a body; returns whether there was enough.
     pub(crate) fn reserve_body(&mut self, bytes: usize) -> bool {
-        let limit = self.shared.settings.memory / BODY_MEMORY_DIVISOR;
+        let limit = self.shared.settings.memory_bytes / BODY_MEMORY_DIVISOR;
         let before = self.shared.body_bytes.fetch_add(bytes, Ordering::Relaxed);
         self.bytes += bytes;
         before.saturating_add(bytes) <= limit
--- a/crates/direct/src/source.rs
+++ b/crates/direct/src/source.rs
@@ -16,7 +16,7 @@
 
 /// Why a call has no answer.
 #[derive(Debug, displaydoc::Display)]
-pub enum Fault {
+pub enum ReadError {
     /// the log can't be reached ({0}); check that it is up and the address right
     Unreachable(String),
     /// no answer in time; check the log's load
@@ -29,7 +29,7 @@
     Outdated,
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for ReadError {}
 
 /// What a record says of its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -76,7 +76,7 @@
 
 /// What the operator says in one record.
 #[derive(Clone, Debug)]
-pub enum Statement {
+pub enum Directive {
     /// This is the configuration.
     Policy(Policy),
     /// The availability zone of this name is to be kept empty for as long as the
@@ -122,21 +122,21 @@
 }
 
 /// An answer to come.
-pub type Call<A> = Pin<Box<dyn Future<Output = Result<Reply<A>, Fault>> + Send>>;
+pub type Call<A> = Pin<Box<dyn Future<Output = Result<Reply<A>, ReadError>> + Send>>;
 
 /// Lists the keys after the given one.
-pub type List<T> = Box<dyn Fn(Option<String>) -> Call<Page<T>> + Send + Sync>;
+pub type ListFn<T> = Box<dyn Fn(Option<String>) -> Call<Page<T>> + Send + Sync>;
 
 /// Reads on from an offset. It answers when there is a record, or after the
 /// given wait; the call must end by itself soon after that.
-pub type Read<T> = Box<dyn Fn(Offset, Duration) -> Call<Tail<T>> + Send + Sync>;
+pub type ReadFn<T> = Box<dyn Fn(Offset, Duration) -> Call<Tail<T>> + Send + Sync>;
 
 /// One topic.
 pub struct Source<T> {
     /// Lists it.
-    pub list: List<T>,
+    pub list: ListFn<T>,
     /// Reads on in it.
-    pub read: Read<T>,
+    pub read: ReadFn<T>,
 }
 
 impl<T> fmt::Debug for Source<T> {
--- a/crates/direct/src/standby.rs
+++ b/crates/direct/src/standby.rs
@@ -33,17 +33,17 @@
 
 /// The instances that ask this one.
 #[derive(Debug, Default)]
-pub struct Askers {
+pub struct Pollers {
     asked: BTreeMap<SocketAddr, Moment>,
     last: Option<Moment>,
     // What other instances that are asked counted of theirs.
     told: BTreeMap<SocketAddr, (u32, Moment)>,
 }
 
-impl Askers {
+impl Pollers {
     /// Takes in a question from an instance that can be asked at `address`, if it
     /// can be.
-    pub fn asked(&mut self, address: Option<SocketAddr>, now: Moment) {
+    pub fn record_poll(&mut self, address: Option<SocketAddr>, now: Moment) {
         self.last = Some(now);
         let Some(address) = address else { return };
         if self.asked.len() >= REMEMBERED {
@@ -62,7 +62,7 @@
     }
 
     /// Takes in how many another instance that is asked counted.
-    pub fn told(&mut self, peer: SocketAddr, count: u32, now: Moment) {
+    pub fn record_peer_count(&mut self, peer: SocketAddr, count: u32, now: Moment) {
         self.told
             .retain(|_, (_, at)| since(now, *at) < COUNT_BELIEVED);
         if self.told.len() < COUNTING {
@@ -82,7 +82,7 @@
 
     /// Returns whether there was a question lately.
     #[must_use]
-    pub fn any(&self, now: Moment) -> bool {
+    pub fn any_recent(&self, now: Moment) -> bool {
         self.last.is_some_and(|at| since(now, at) < ASKING)
     }
 
@@ -131,7 +131,7 @@
 
     /// Takes in the standbys that a peer names. Only seeds name any: a standby's
     /// own askers are at most as well informed as it is.
-    pub fn named(&mut self, peer: SocketAddr, standbys: Vec<SocketAddr>) {
+    pub fn set_standbys(&mut self, peer: SocketAddr, standbys: Vec<SocketAddr>) {
         if self.seeds.contains(&peer) {
             self.named.insert(peer, standbys);
         }
@@ -147,7 +147,7 @@
 
     /// Returns whom to ask, one after the other: the seeds in turn, and then the
     /// standbys, each instance in an order of its own. A standby asks seeds alone.
-    pub fn turn(&mut self, draw: u64) -> Vec<SocketAddr> {
+    pub fn next_round(&mut self, draw: u64) -> Vec<SocketAddr> {
         let mut turn = self.seeds.clone();
         let count = turn.len().max(1);
         turn.rotate_left(self.next % count);
--- a/crates/direct/src/standby/tests.rs
+++ b/crates/direct/src/standby/tests.rs
@@ -1,7 +1,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::{ASKING, Askers, NAMED, Peers, REMEMBERED};
+use super::{ASKING, NAMED, Peers, Pollers, REMEMBERED};
 
 const fn at(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -11,21 +11,21 @@
     SocketAddr::from(([10, 0, 0, 1], n))
 }
 
-fn asked(count: u16) -> Askers {
-    let mut askers = Askers::default();
+fn polled_by(count: u16) -> Pollers {
+    let mut askers = Pollers::default();
     for n in 1..=count {
-        askers.asked(Some(address(n)), at(1_000));
+        askers.record_poll(Some(address(n)), at(1_000));
     }
     askers
 }
 
 #[test]
 fn standbys_stay_the_same_while_they_ask() {
-    let mut askers = asked(90);
+    let mut askers = polled_by(90);
     let before = askers.standbys(7, at(1_500));
     assert_eq!(before.len(), NAMED);
     for n in 1..=90 {
-        askers.asked(Some(address(n)), at(2_500));
+        askers.record_poll(Some(address(n)), at(2_500));
     }
     assert_eq!(askers.standbys(7, at(3_000)), before);
     // Another seed names others.
@@ -36,27 +36,27 @@
 /// when the seeds are gone as well.
 #[test]
 fn one_that_asks_no_more_is_no_standby() {
-    let mut askers = asked(90);
+    let mut askers = polled_by(90);
     let gone = askers.standbys(7, at(1_500))[0];
     for n in 1..=90 {
         if address(n) != gone {
-            askers.asked(Some(address(n)), at(4_000));
+            askers.record_poll(Some(address(n)), at(4_000));
         }
     }
     let now = at(1_000) + ASKING;
     assert!(!askers.standbys(7, now).contains(&gone));
     assert_eq!(askers.standbys(7, now).len(), NAMED);
-    assert!(askers.any(now));
-    assert!(!askers.any(at(4_000) + ASKING));
+    assert!(askers.any_recent(now));
+    assert!(!askers.any_recent(at(4_000) + ASKING));
 }
 
 /// A stranger at the peers' port asks under a thousand addresses. No more are kept
 /// than a fleet has, and real ones come in again when those are over.
 #[test]
 fn strangers_do_not_fill_the_memory() {
-    let mut askers = asked(u16::try_from(REMEMBERED).unwrap_or(0) + 500);
+    let mut askers = polled_by(u16::try_from(REMEMBERED).unwrap_or(0) + 500);
     assert_eq!(askers.asked.len(), REMEMBERED);
-    askers.asked(Some(address(9_999)), at(1_000) + ASKING);
+    askers.record_poll(Some(address(9_999)), at(1_000) + ASKING);
     assert_eq!(askers.standbys(7, at(1_000) + ASKING), [address(9_999)]);
 }
 
@@ -64,14 +64,14 @@
 fn seeds_are_asked_in_turn_and_then_standbys() {
     let seeds = vec![address(1), address(2), address(3)];
     let mut peers = Peers::new(seeds, Some(address(50)), 1);
-    peers.named(address(2), vec![address(20), address(21)]);
-    peers.named(address(3), vec![address(20), address(30)]);
-    let turn = peers.turn(5);
+    peers.set_standbys(address(2), vec![address(20), address(21)]);
+    peers.set_standbys(address(3), vec![address(20), address(30)]);
+    let turn = peers.next_round(5);
     assert_eq!(turn[..3], [address(2), address(3), address(1)]);
     let mut rest = turn[3..].to_vec();
     rest.sort();
     assert_eq!(rest, [address(20), address(21), address(30)]);
-    assert_eq!(peers.turn(5)[0], address(3));
+    assert_eq!(peers.next_round(5)[0], address(3));
 }
 
 /// All seeds are gone. If the standbys asked each other, each would wait for what
@@ -79,27 +79,27 @@
 #[test]
 fn a_standby_asks_seeds_alone() {
     let mut peers = Peers::new(vec![address(1)], Some(address(20)), 0);
-    peers.named(address(1), vec![address(20), address(21)]);
+    peers.set_standbys(address(1), vec![address(20), address(21)]);
     assert!(peers.is_standby());
-    assert_eq!(peers.turn(5), [address(1)]);
+    assert_eq!(peers.next_round(5), [address(1)]);
     // What another instance than a seed names counts for nothing.
-    peers.named(address(1), vec![address(21)]);
-    peers.named(address(9), vec![address(20)]);
+    peers.set_standbys(address(1), vec![address(21)]);
+    peers.set_standbys(address(9), vec![address(20)]);
     assert!(!peers.is_standby());
-    assert_eq!(peers.turn(5), [address(1), address(21)]);
+    assert_eq!(peers.next_round(5), [address(1), address(21)]);
 }
 
 /// Guards against a fleet that counts itself too small, so that all its instances
 /// take too great a share.
 #[test]
 fn instances_are_counted_over_all_that_are_asked() {
-    let mut askers = Askers::default();
+    let mut askers = Pollers::default();
     assert_eq!(askers.count(at(1_000)), 1);
-    askers.asked(Some(address(1)), at(1_000));
-    askers.asked(Some(address(2)), at(2_000));
-    askers.told(address(8), 30, at(2_000));
-    askers.told(address(9), 20, at(2_000));
-    askers.told(address(9), 25, at(3_000));
+    askers.record_poll(Some(address(1)), at(1_000));
+    askers.record_poll(Some(address(2)), at(2_000));
+    askers.record_peer_count(address(8), 30, at(2_000));
+    askers.record_peer_count(address(9), 20, at(2_000));
+    askers.record_peer_count(address(9), 25, at(3_000));
     assert_eq!(askers.count(at(3_000)), 58);
     assert_eq!(askers.count(at(8_000)), 56);
     assert_eq!(askers.count(at(40_000)), 1);
--- a/crates/direct/src/startup.rs
+++ b/crates/direct/src/startup.rs
@@ -17,35 +17,35 @@
 
 /// What an instance has heard since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Start {
+pub enum StartupState {
     /// Nothing yet.
     #[default]
-    Silent,
+    Unread,
     /// What the log says in this era, since a read sent at this moment.
-    Read(Era, Moment),
+    FirstRead(Era, Moment),
     /// Enough to see what the log lacks.
-    Informed,
+    Verified,
 }
 
-impl Start {
+impl StartupState {
     /// Takes in that a peer told a version.
-    pub const fn told(&mut self) {
-        *self = Self::Informed;
+    pub const fn record_peer_answer(&mut self) {
+        *self = Self::Verified;
     }
 
     /// Takes in a read of the log's version, sent at `asked`; returns whether it may be
     /// relied on.
-    pub fn read(&mut self, era: Era, asked: Moment) -> bool {
+    pub fn record_read(&mut self, era: Era, asked: Moment) -> bool {
         *self = match *self {
-            Self::Silent | Self::Read(..) if era == 0 => Self::Informed,
-            Self::Read(before, first) if before == era && since(asked, first) >= REWRITTEN => {
-                Self::Informed
+            Self::Unread | Self::FirstRead(..) if era == 0 => Self::Verified,
+            Self::FirstRead(before, first) if before == era && since(asked, first) >= REWRITTEN => {
+                Self::Verified
             }
-            Self::Read(before, first) if before == era => Self::Read(era, first),
-            Self::Silent | Self::Read(..) => Self::Read(era, asked),
-            Self::Informed => Self::Informed,
+            Self::FirstRead(before, first) if before == era => Self::FirstRead(era, first),
+            Self::Unread | Self::FirstRead(..) => Self::FirstRead(era, asked),
+            Self::Verified => Self::Verified,
         };
-        *self == Self::Informed
+        *self == Self::Verified
     }
 }
 
--- a/crates/direct/tests/instance/fleet.rs
+++ b/crates/direct/tests/instance/fleet.rs
@@ -12,7 +12,7 @@
 use godwitpost_direct::policy::{Content, Kind, Limits, Policy, Route, Service, Target, Workspace};
 use godwitpost_direct::roster::Registration;
 use godwitpost_direct::settings::Settings;
-use godwitpost_direct::source::{Fault, Page, Record, Reply, Source, Statement, Tail, Value};
+use godwitpost_direct::source::{Directive, Page, ReadError, Record, Reply, Source, Tail, Value};
 use godwitpost_direct::{Running, start};
 use godwitpost_process::logging::queue::Queue;
 use godwitpost_types::endpoint::{Endpoint as Listed, Standing};
@@ -82,11 +82,11 @@
         self.state.lock().expect("the topic").calls
     }
 
-    fn since(&self, from: u64) -> Result<Reply<Since<T>>, Fault> {
+    fn since(&self, from: u64) -> Result<Reply<Since<T>>, ReadError> {
         let mut state = self.state.lock().expect("the topic");
         state.calls += 1;
         if state.down {
-            return Err(Fault::Refused(503));
+            return Err(ReadError::Refused(503));
         }
         let records = (0..)
             .zip(&state.records)
@@ -147,7 +147,7 @@
 /// A running instance and its log.
 pub(crate) struct Fleet {
     pub(crate) running: Running,
-    pub(crate) operator: Topic<Statement>,
+    pub(crate) operator: Topic<Directive>,
     pub(crate) endpoints: Topic<Registration>,
 }
 
@@ -230,7 +230,7 @@
 
     fn start_with(
         settings: &str,
-        operator: Topic<Statement>,
+        operator: Topic<Directive>,
         endpoints: Topic<Registration>,
     ) -> Self {
         let sources = Sources {
@@ -254,7 +254,7 @@
     /// Writes that a zone is to be kept empty, or that it may be used again.
     pub(crate) fn evacuate(&self, zone: &str, evacuated: bool) {
         let value = if evacuated {
-            Value::Set(Statement::Evacuate(zone.to_owned()))
+            Value::Set(Directive::Evacuate(zone.to_owned()))
         } else {
             Value::Removed
         };
@@ -310,7 +310,7 @@
 }
 
 // Topics that hold these endpoints and version 1.
-fn topics(addresses: &[SocketAddr]) -> (Topic<Statement>, Topic<Registration>) {
+fn topics(addresses: &[SocketAddr]) -> (Topic<Directive>, Topic<Registration>) {
     let (operator, endpoints) = (Topic::new(), Topic::new());
     for (n, address) in addresses.iter().enumerate() {
         let name = format!("e{n}");
@@ -321,8 +321,8 @@
     (operator, endpoints)
 }
 
-fn policy(content: Content) -> Value<Statement> {
-    Value::Set(Statement::Policy(Policy::new(content)))
+fn policy(content: Content) -> Value<Directive> {
+    Value::Set(Directive::Policy(Policy::new(content)))
 }
 
 /// Returns addresses at which nobody listens, and which the system gives to nobody
--- a/crates/direct/tests/restores/instance.rs
+++ b/crates/direct/tests/restores/instance.rs
@@ -5,12 +5,12 @@
 
 use godwitpost_direct::board::{Replica, Update, UpdateRequest};
 use godwitpost_direct::evacuation::{EvacuatedZones, Evacuation, TopicState};
-use godwitpost_direct::feed::{Change, Feed, Next};
+use godwitpost_direct::feed::{Change, Feed, Query};
 use godwitpost_direct::lease::Lease;
 use godwitpost_direct::policy::Content;
 use godwitpost_direct::roster::{Origin, Registration, RemoveResult, Roster, SetResult};
 use godwitpost_direct::source::{Page, Position, Reply, Tail};
-use godwitpost_direct::startup::Start;
+use godwitpost_direct::startup::StartupState;
 use godwitpost_types::clock::{Moment, since};
 use godwitpost_types::endpoint::Standing;
 use godwitpost_types::id::{self, Era, Version};
@@ -33,9 +33,9 @@
 
 /// Asks what a feed wants to know.
 pub(crate) fn ask<V: Clone>(platform: &Platform, topic: &Topic<V>, feed: &Feed) -> Answer<V> {
-    match feed.next() {
-        Next::List(after) => Answer::Page(platform.list(topic, after.as_deref()), after.is_none()),
-        Next::Read(from) => Answer::Tail(platform.read(topic, from)),
+    match feed.next_query() {
+        Query::List(after) => Answer::Page(platform.list(topic, after.as_deref()), after.is_none()),
+        Query::Read(from) => Answer::Tail(platform.read(topic, from)),
     }
 }
 
@@ -49,7 +49,7 @@
     pub(crate) empty: EvacuatedZones,
     pub(crate) roster: Roster,
     reading: TopicState,
-    start: Start,
+    start: StartupState,
     confirmed: Moment,
     era: Option<Era>,
     listed: bool,
@@ -75,7 +75,7 @@
             empty: EvacuatedZones::default(),
             roster: Roster::new(HEARTBEAT),
             reading: TopicState::default(),
-            start: Start::default(),
+            start: StartupState::default(),
             confirmed: Duration::ZERO,
             era: None,
             listed: false,
@@ -101,8 +101,8 @@
     pub(crate) fn goes_to_log(&mut self) {
         self.direct = true;
         self.epoch += 1;
-        self.words = Feed::knowing(self.board.endpoint_names());
-        self.entries = Feed::knowing(self.board.endpoint_names());
+        self.words = Feed::with_known_keys(self.board.endpoint_names());
+        self.entries = Feed::with_known_keys(self.board.endpoint_names());
     }
 
     /// Asks peers from now on.
@@ -142,7 +142,7 @@
             let era = if self.lacks(Guard::Positions) { 0 } else { era };
             self.evacuate(self.reading.evacuation_at(Position { era, offset }), now);
         }
-        let starts = self.start.read(era, asked) || self.lacks(Guard::Starts);
+        let starts = self.start.record_read(era, asked) || self.lacks(Guard::Starts);
         if whole && starts && self.reading.version >= self.version {
             self.confirm(asked);
         }
@@ -309,7 +309,7 @@
         }
         self.listed |= told.full;
         self.board.confirm_endpoints(read);
-        self.start.told();
+        self.start.record_peer_answer();
         if told.version >= self.version {
             self.confirm(since(made, policy_age));
         }
@@ -332,7 +332,7 @@
     /// Returns whether it acts on keys.
     pub(crate) fn acts(&self, now: Moment) -> bool {
         let confirmed = Some(self.confirmed).filter(|at| !at.is_zero());
-        Lease::new(Some(REVOCATION)).holds(confirmed, now)
+        Lease::new(Some(REVOCATION)).is_valid(confirmed, now)
     }
 
     /// Returns whether it sends to a server.
@@ -358,13 +358,13 @@
         Answer::Page(mut reply, first) => {
             if !eras {
                 reply.era = None;
-                reply.body.end = reply.body.end.max(feed.reached());
+                reply.body.end = reply.body.end.max(feed.read_offset());
             }
             if feed.is_outdated(reply.era) {
                 return None;
             }
             let whole = first && reply.body.next.is_none();
-            let changes = feed.listed(reply);
+            let changes = feed.apply_page(reply);
             Some((changes, true, whole && feed.is_listed()))
         }
         Answer::Tail(mut reply) => {
@@ -375,7 +375,7 @@
                 return None;
             }
             let whole = matches!(&reply.body, Tail::Records { next, end, .. } if next >= end);
-            let changes = feed.read(reply);
+            let changes = feed.apply_tail(reply);
             Some((changes, false, whole && feed.is_listed()))
         }
     }
