--- a/crates/decide/src/chats.rs
+++ b/crates/decide/src/chats.rs
@@ -68,7 +68,7 @@
 /// A bounded table of chat locations; the least recently used goes first.
 #[derive(Debug)]
 pub struct Table {
-    rows: LruCache<(Pool, ChatId), Location>,
+    locations: LruCache<(Pool, ChatId), Location>,
 }
 
 impl Default for Table {
@@ -82,39 +82,42 @@
     #[must_use]
     pub fn new(capacity: NonZeroUsize) -> Self {
         Self {
-            rows: LruCache::sparse(capacity),
+            locations: LruCache::sparse(capacity),
         }
     }
 
     /// Returns the number of chats remembered.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.rows.len()
+        self.locations.len()
     }
 
     /// Returns whether no chat is remembered.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.rows.is_empty()
+        self.locations.is_empty()
     }
 
     /// Returns a chat's location and marks it as used.
     pub fn get(&mut self, pool: Pool, chat: ChatId) -> Option<Location> {
-        self.rows.get(&(pool, chat)).copied()
+        self.locations.get(&(pool, chat)).copied()
     }
 
     /// Remembers a location unless a later one is known.
     pub fn insert(&mut self, location: Location) {
         let key = (location.pool, location.chat);
-        let newer = self.rows.peek(&key).is_none_or(|l| l.seen <= location.seen);
+        let newer = self
+            .locations
+            .peek(&key)
+            .is_none_or(|l| l.seen <= location.seen);
         if newer {
-            self.rows.put(key, location);
+            self.locations.put(key, location);
         }
     }
 
     /// Forgets a location that proved wrong.
     pub fn remove(&mut self, pool: Pool, chat: ChatId) {
-        self.rows.pop(&(pool, chat));
+        self.locations.pop(&(pool, chat));
     }
 
     /// Takes in an engine's late cache event.
@@ -124,7 +127,7 @@
     /// counts only if the chat has not run there after it.
     pub fn apply_event(&mut self, endpoint: EndpointId, event: &Event) {
         let key = (event.pool, event.chat);
-        match (event.kind, self.rows.peek_mut(&key)) {
+        match (event.kind, self.locations.peek_mut(&key)) {
             (Kind::Stored, None) => self.insert(Location {
                 chat: event.chat,
                 pool: event.pool,
@@ -133,11 +136,15 @@
                 tokens: event.tokens,
                 seen: event.at,
             }),
-            (Kind::Stored, Some(row)) if row.endpoint == endpoint && row.seen <= event.at => {
-                row.tokens = event.tokens;
+            (Kind::Stored, Some(location))
+                if location.endpoint == endpoint && location.seen <= event.at =>
+            {
+                location.tokens = event.tokens;
             }
-            (Kind::Evicted, Some(row)) if row.endpoint == endpoint && row.seen <= event.at => {
-                row.tokens = 0;
+            (Kind::Evicted, Some(location))
+                if location.endpoint == endpoint && location.seen <= event.at =>
+            {
+                location.tokens = 0;
             }
             _ => {}
         }
@@ -146,11 +153,11 @@
     /// Returns a chat's location without marking it as used.
     #[must_use]
     pub fn peek(&self, pool: Pool, chat: ChatId) -> Option<&Location> {
-        self.rows.peek(&(pool, chat))
+        self.locations.peek(&(pool, chat))
     }
 
     /// Returns every location, the most recently used first.
     pub fn iter(&self) -> impl Iterator<Item = &Location> {
-        self.rows.iter().map(|(_, location)| location)
+        self.locations.iter().map(|(_, location)| location)
     }
 }
--- a/crates/decide/src/entry.rs
+++ b/crates/decide/src/entry.rs
@@ -44,13 +44,13 @@
 /// Returns where a request goes first; `zone` is the entry instance's.
 #[must_use]
 pub fn route(view: &View, policy: &Policy, request: &Request, zone: ZoneId) -> Next {
-    match check(policy, request) {
+    match find_violation(policy, request) {
         Some(reason) => Next::Refuse(Refusal::new(reason)),
         None => place(view, request, zone, &[]),
     }
 }
 
-fn check(policy: &Policy, request: &Request) -> Option<Reason> {
+fn find_violation(policy: &Policy, request: &Request) -> Option<Reason> {
     let Some(workspace) = policy.workspaces.get(&request.workspace) else {
         return Some(Reason::UnknownWorkspace);
     };
@@ -86,10 +86,10 @@
 ///
 /// Four reach an endpoint outside a broken zone with near certainty; more
 /// only add to the load of an outage.
-const MOST: u32 = 4;
+const MAX_ATTEMPTS: u32 = 4;
 
 /// The first wait before an attempt is repeated, before jitter; doubles.
-const BACKOFF: Duration = Duration::from_millis(50);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 
 /// What follows a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -115,7 +115,7 @@
 pub struct Attempts {
     count: u32,
     failed: Vec<EndpointId>,
-    unknown: bool,
+    outcome_unknown: bool,
 }
 
 impl Attempts {
@@ -146,8 +146,8 @@
         budgets: &mut Budgets,
         rng: &mut impl Rng,
     ) -> Retry {
-        self.note(endpoint, ending);
-        if !self.may_repeat(request, ending) || self.count >= MOST {
+        self.record_attempt(endpoint, ending);
+        if !self.may_retry(request, ending) || self.count >= MAX_ATTEMPTS {
             return self.give_up();
         }
         let after = backoff(self.count, ending, rng);
@@ -163,23 +163,23 @@
         }
     }
 
-    fn note(&mut self, endpoint: Option<EndpointId>, ending: Ending) {
+    fn record_attempt(&mut self, endpoint: Option<EndpointId>, ending: Ending) {
         self.count += 1;
-        self.unknown |= !ending.proves_not_run();
+        self.outcome_unknown |= !ending.proves_not_run();
         self.failed.extend(endpoint);
     }
 
-    fn may_repeat(&self, request: &Request, ending: Ending) -> bool {
+    fn may_retry(&self, request: &Request, ending: Ending) -> bool {
         match ending {
             Ending::Done | Ending::Abandoned | Ending::Timeout => false,
             Ending::Broken => request.repeatable(),
-            _ => request.repeatable() || !self.unknown,
+            _ => request.repeatable() || !self.outcome_unknown,
         }
     }
 
     // One attempt of unknown fate makes the whole request's fate unknown.
     fn give_up(&self) -> Retry {
-        let outcome = if self.unknown {
+        let outcome = if self.outcome_unknown {
             Outcome::Unknown
         } else {
             Outcome::NotRun
@@ -197,38 +197,38 @@
     if ending == Ending::Leaving && count == 1 {
         return Duration::ZERO;
     }
-    let most = BACKOFF * 2_u32.pow(count.min(6) - 1);
-    most.mul_f64(rng.random::<f64>())
+    let ceiling = INITIAL_BACKOFF * 2_u32.pow(count.min(6) - 1);
+    ceiling.mul_f64(rng.random::<f64>())
 }
 
 /// Part of a budget that each first attempt earns.
 ///
 /// A tenth bounds the load that retries add in an outage to 10%.
-const EARNED: f64 = 0.1;
+const TOKENS_PER_REQUEST: f64 = 0.1;
 
 /// The most that a budget holds, which a quiet workspace starts with.
-const HELD: f64 = 10.0;
+const MAX_TOKENS: f64 = 10.0;
 
 /// What a budget earns a second, so that an idle one recovers.
-const RECOVERED: f64 = 0.1;
+const REFILL_PER_SECOND: f64 = 0.1;
 
 /// Budgets of retries, by workspace and service.
 #[derive(Clone, Debug, Default)]
 pub struct Budgets {
-    spent: BTreeMap<(WorkspaceId, ServiceId), Account>,
+    buckets: BTreeMap<(WorkspaceId, ServiceId), TokenBucket>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Account {
-    held: f64,
-    used: Moment,
+struct TokenBucket {
+    tokens: f64,
+    last_refill: Moment,
 }
 
-impl Account {
-    fn settle(&mut self, now: Moment) {
-        let recovered = since(now, self.used).as_secs_f64() * RECOVERED;
-        self.held = (self.held + recovered).min(HELD);
-        self.used = now;
+impl TokenBucket {
+    fn refill(&mut self, now: Moment) {
+        let recovered = since(now, self.last_refill).as_secs_f64() * REFILL_PER_SECOND;
+        self.tokens = (self.tokens + recovered).min(MAX_TOKENS);
+        self.last_refill = now;
     }
 }
 
@@ -236,10 +236,10 @@
     /// Notes a first attempt, which earns a part of a retry.
     pub fn deposit(&mut self, workspace: WorkspaceId, service: ServiceId) {
         let key = (workspace, service);
-        if let Some(account) = self.spent.get_mut(&key) {
-            account.held += EARNED;
-            if account.held >= HELD {
-                self.spent.remove(&key);
+        if let Some(bucket) = self.buckets.get_mut(&key) {
+            bucket.tokens += TOKENS_PER_REQUEST;
+            if bucket.tokens >= MAX_TOKENS {
+                self.buckets.remove(&key);
             }
         }
     }
@@ -251,16 +251,16 @@
         workspace: WorkspaceId,
         service: ServiceId,
     ) -> bool {
-        let full = Account {
-            held: HELD,
-            used: now,
+        let full = TokenBucket {
+            tokens: MAX_TOKENS,
+            last_refill: now,
         };
-        let account = self.spent.entry((workspace, service)).or_insert(full);
-        account.settle(now);
-        if account.held < 1.0 {
+        let bucket = self.buckets.entry((workspace, service)).or_insert(full);
+        bucket.refill(now);
+        if bucket.tokens < 1.0 {
             return false;
         }
-        account.held -= 1.0;
+        bucket.tokens -= 1.0;
         true
     }
 }
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -16,7 +16,7 @@
 use godwitpost_types::id::Incarnation;
 use statig::blocking::{IntoStateMachineExt, StateMachine};
 
-use self::memory::{Memory, State};
+use self::memory::{Context, State};
 
 /// What the owner saw.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -45,7 +45,7 @@
 /// The health of one endpoint in its present incarnation.
 pub struct Machine {
     incarnation: Incarnation,
-    machine: StateMachine<Memory>,
+    machine: StateMachine<Context>,
 }
 
 impl fmt::Debug for Machine {
@@ -63,7 +63,7 @@
     pub fn new(incarnation: Incarnation) -> Self {
         Self {
             incarnation,
-            machine: Memory::default().state_machine(),
+            machine: Context::default().state_machine(),
         }
     }
 
--- a/crates/decide/src/health/memory.rs
+++ b/crates/decide/src/health/memory.rs
@@ -11,47 +11,47 @@
 ///
 /// One broken connection happens on a healthy network; two without a good
 /// answer between them hardly do.
-const FAILURES: u32 = 2;
+const FAILURES_TO_CLOSE: u32 = 2;
 
 /// Good answers on trial that open an endpoint again.
-const SUCCESSES: u32 = 3;
+const SUCCESSES_TO_OPEN: u32 = 3;
 
 /// The first pause before an endpoint is tried again.
-const PAUSE: Duration = Duration::from_secs(1);
+const INITIAL_PAUSE: Duration = Duration::from_secs(1);
 
 /// The longest pause.
-const LONGEST: Duration = Duration::from_mins(1);
+const MAX_PAUSE: Duration = Duration::from_mins(1);
 
 /// How long an endpoint has to stay open for its relapses to be forgotten.
-const FORGET: Duration = Duration::from_mins(5);
+const RELAPSE_RESET_AFTER: Duration = Duration::from_mins(5);
 
 /// What the machine keeps across its states.
 #[derive(Clone, Debug, Default)]
-pub struct Memory {
+pub struct Context {
     failures: u32,
     successes: u32,
     relapses: u32,
-    since: Moment,
+    last_change: Moment,
 }
 
-impl Memory {
+impl Context {
     fn close(&mut self, now: Moment) -> Outcome<State> {
-        if since(now, self.since) > FORGET {
+        if since(now, self.last_change) > RELAPSE_RESET_AFTER {
             self.relapses = 0;
         }
         self.relapses += 1;
-        self.since = now;
+        self.last_change = now;
         Transition(State::closed())
     }
 
     fn pause(&self) -> Duration {
         let doublings = self.relapses.saturating_sub(1).min(6);
-        (PAUSE * 2_u32.pow(doublings)).min(LONGEST)
+        (INITIAL_PAUSE * 2_u32.pow(doublings)).min(MAX_PAUSE)
     }
 }
 
 #[state_machine(initial = "State::open()", state(derive(Debug, Clone, PartialEq, Eq)))]
-impl Memory {
+impl Context {
     #[state(superstate = "present")]
     fn open(&mut self, event: &Event) -> Outcome<State> {
         match event {
@@ -61,7 +61,7 @@
             }
             Event::Failure(now) => {
                 self.failures += 1;
-                if self.failures >= FAILURES {
+                if self.failures >= FAILURES_TO_CLOSE {
                     self.close(*now)
                 } else {
                     Handled
@@ -74,7 +74,7 @@
     #[state(superstate = "present")]
     fn closed(&mut self, event: &Event) -> Outcome<State> {
         match event {
-            Event::Tick(now) if since(*now, self.since) >= self.pause() => {
+            Event::Tick(now) if since(*now, self.last_change) >= self.pause() => {
                 self.successes = 0;
                 Transition(State::trial())
             }
@@ -87,11 +87,11 @@
         match event {
             Event::Success(now) => {
                 self.successes += 1;
-                if self.successes < SUCCESSES {
+                if self.successes < SUCCESSES_TO_OPEN {
                     return Handled;
                 }
                 self.failures = 0;
-                self.since = *now;
+                self.last_change = *now;
                 Transition(State::open())
             }
             Event::Failure(now) => self.close(*now),
--- a/crates/decide/src/limit.rs
+++ b/crates/decide/src/limit.rs
@@ -19,17 +19,17 @@
 ///
 /// Peers are met once a round, in a new order each round: with a contact a
 /// second, eight instances meet within 13 seconds at worst.
-const FRESH: Duration = Duration::from_secs(15);
+const DEMAND_MAX_AGE: Duration = Duration::from_secs(15);
 
 /// A local share before any demand was heard, in even parts of the limit.
 ///
 /// Balancers spread connections, not requests: with six instances, a busy
 /// connection easily brings one instance twice its part.
-const SLACK: f64 = 2.0;
+const DEFAULT_SHARE_FACTOR: f64 = 2.0;
 
 /// The least rate share, in requests a second; a share of nothing would
 /// never be used and so never be seen to be needed.
-const LEAST: f64 = 1.0;
+const MIN_RATE_SHARE: f64 = 1.0;
 
 /// Demands in one word at most; with 20 bytes each they fit beside the rest
 /// of a gossip message.
@@ -42,18 +42,18 @@
 pub const MIN_REPORTED_PRESSURE: f64 = 0.25;
 
 /// The least time that demand is measured over, just under a gossip period.
-const MEASURED: Duration = Duration::from_millis(900);
+const MIN_MEASURE_INTERVAL: Duration = Duration::from_millis(900);
 
 /// Measures, a second apart, that a demand has to last to be proven.
 ///
 /// By then most of six instances were told of it, at two meetings a second.
-const PROOF: usize = 5;
+const SUSTAINED_SAMPLES: usize = 5;
 
 /// A share at most, in proven demand.
 ///
 /// Without it a surge that reaches all instances at once would meet shares
 /// that each still hold the whole limit, until the instances hear of it.
-const GROWTH: f64 = 2.0;
+const MAX_SUSTAINED_FACTOR: f64 = 2.0;
 
 /// What one instance saw a workspace ask for.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -69,8 +69,8 @@
 // All that one source told last; a workspace that is missing from it is quiet
 // there, unless the word was full and may have had no room for it.
 #[derive(Clone, Debug)]
-struct Word {
-    heard: Moment,
+struct DemandReport {
+    received: Moment,
     full: bool,
     demands: BTreeMap<WorkspaceId, Demand>,
 }
@@ -78,16 +78,16 @@
 #[derive(Clone, Debug, Default)]
 struct Meter {
     tokens: f64,
-    filled: Moment,
+    last_fill: Moment,
     running: u32,
     rate: f64,
-    counted: u32,
-    past: VecDeque<(f64, u32)>,
+    requests: u32,
+    samples: VecDeque<(f64, u32)>,
 }
 
 // What all others told of one workspace, summed.
 #[derive(Clone, Copy, Debug, Default)]
-struct Others {
+struct PeerDemand {
     rate: f64,
     running: f64,
 }
@@ -96,8 +96,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
     meters: BTreeMap<WorkspaceId, Meter>,
-    words: BTreeMap<InstanceId, Word>,
-    rated: Moment,
+    reports: BTreeMap<InstanceId, DemandReport>,
+    measured_at: Moment,
 }
 
 impl Limits {
@@ -114,10 +114,10 @@
         workspace: &Workspace,
         instances: usize,
     ) -> Result<(), Refusal> {
-        let others = self.others(now, id, instances);
+        let peers = self.peer_demand(now, id, instances);
         let meter = self.meters.entry(id).or_default();
-        meter.counted += 1;
-        let rate = meter.rate_share(workspace.rate, others, instances);
+        meter.requests += 1;
+        let rate = meter.rate_share(workspace.rate, peers, instances);
         meter.fill(now, rate);
         if meter.tokens < 1.0 {
             let wait = Duration::from_secs_f64(((1.0 - meter.tokens) / rate).clamp(0.001, 60.0));
@@ -126,7 +126,9 @@
                 retry_after: wait,
             });
         }
-        if f64::from(meter.running) >= meter.room(workspace.concurrency, others, instances) {
+        if f64::from(meter.running)
+            >= meter.concurrency_share(workspace.concurrency, peers, instances)
+        {
             return Err(Refusal::new(Reason::Concurrency));
         }
         meter.tokens -= 1.0;
@@ -168,43 +170,44 @@
     /// Takes in all that another instance told at once, in place of what it
     /// told before.
     pub fn record_demands(&mut self, now: Moment, source: InstanceId, demands: &[Demand]) {
-        let word = Word {
-            heard: now,
+        let report = DemandReport {
+            received: now,
             full: demands.len() >= MAX_DEMANDS,
             demands: demands.iter().map(|d| (d.workspace, *d)).collect(),
         };
-        self.words.insert(source, word);
+        self.reports.insert(source, report);
     }
 
     fn measure(&mut self, now: Moment) {
-        let span = since(now, self.rated);
-        if span < MEASURED {
+        let elapsed = since(now, self.measured_at);
+        if elapsed < MIN_MEASURE_INTERVAL {
             return;
         }
-        self.rated = now;
+        self.measured_at = now;
         let idle = |meter: &Meter| meter.running == 0 && meter.rate < 0.01;
         for meter in self.meters.values_mut() {
-            meter.measure(span.as_secs_f64());
+            meter.measure(elapsed.as_secs_f64());
         }
         self.meters.retain(|_, meter| !idle(meter));
-        self.words.retain(|_, word| since(now, word.heard) < FRESH);
+        self.reports
+            .retain(|_, report| since(now, report.received) < DEMAND_MAX_AGE);
     }
 
     // Nothing unless every other instance's word is known: a sum over some of
     // them would leave each instance more of the limit than there is.
-    fn others(&self, now: Moment, id: WorkspaceId, instances: usize) -> Option<Others> {
-        let mut sum = Others::default();
+    fn peer_demand(&self, now: Moment, id: WorkspaceId, instances: usize) -> Option<PeerDemand> {
+        let mut sum = PeerDemand::default();
         let mut known = 1;
-        for word in self.words.values() {
-            if since(now, word.heard) >= FRESH {
+        for report in self.reports.values() {
+            if since(now, report.received) >= DEMAND_MAX_AGE {
                 continue;
             }
-            match word.demands.get(&id) {
+            match report.demands.get(&id) {
                 Some(demand) => {
                     sum.rate += f64::from(demand.rate);
                     sum.running += f64::from(demand.running);
                 }
-                None if word.full => continue,
+                None if report.full => continue,
                 None => {}
             }
             known += 1;
@@ -215,48 +218,51 @@
 
 impl Meter {
     fn fill(&mut self, now: Moment, rate: f64) {
-        let first = self.filled == Moment::ZERO;
-        let span = if first {
+        let first = self.last_fill == Moment::ZERO;
+        let elapsed = if first {
             1.0
         } else {
-            since(now, self.filled).as_secs_f64()
+            since(now, self.last_fill).as_secs_f64()
         };
-        self.filled = now;
+        self.last_fill = now;
         // A second's worth may come at once.
-        self.tokens = (self.tokens + span * rate).min(rate.max(1.0));
+        self.tokens = (self.tokens + elapsed * rate).min(rate.max(1.0));
     }
 
-    fn measure(&mut self, span: f64) {
-        let rate = f64::from(self.counted) / span;
-        self.counted = 0;
+    fn measure(&mut self, elapsed: f64) {
+        let rate = f64::from(self.requests) / elapsed;
+        self.requests = 0;
         // Half of the newest second: smooth enough to share by, and a surge
         // shows within two seconds.
         self.rate += (rate - self.rate) * 0.5;
-        self.past.push_back((self.rate, self.running));
-        if self.past.len() > PROOF {
-            self.past.pop_front();
+        self.samples.push_back((self.rate, self.running));
+        if self.samples.len() > SUSTAINED_SAMPLES {
+            self.samples.pop_front();
         }
     }
 
-    fn rate_share(&self, limit: f64, others: Option<Others>, instances: usize) -> f64 {
-        let others = others.map(|others| others.rate);
-        let proven = self.proven(|past| past.0);
-        share(limit, self.rate, others, proven, instances).max(LEAST.min(limit))
+    fn rate_share(&self, limit: f64, peers: Option<PeerDemand>, instances: usize) -> f64 {
+        let peers = peers.map(|peers| peers.rate);
+        let sustained = self.sustained(|sample| sample.0);
+        share(limit, self.rate, peers, sustained, instances).max(MIN_RATE_SHARE.min(limit))
     }
 
-    fn room(&self, limit: u32, others: Option<Others>, instances: usize) -> f64 {
-        let others = others.map(|others| others.running);
-        let proven = self.proven(|past| f64::from(past.1));
+    fn concurrency_share(&self, limit: u32, peers: Option<PeerDemand>, instances: usize) -> f64 {
+        let peers = peers.map(|peers| peers.running);
+        let sustained = self.sustained(|sample| f64::from(sample.1));
         let (limit, running) = (f64::from(limit), f64::from(self.running));
-        share(limit, running, others, proven, instances).max(1.0)
+        share(limit, running, peers, sustained, instances).max(1.0)
     }
 
     // The demand that lasted through all of the last measures.
-    fn proven(&self, figure: impl Fn(&(f64, u32)) -> f64) -> f64 {
-        if self.past.len() < PROOF {
+    fn sustained(&self, figure: impl Fn(&(f64, u32)) -> f64) -> f64 {
+        if self.samples.len() < SUSTAINED_SAMPLES {
             return 0.0;
         }
-        self.past.iter().map(figure).fold(f64::INFINITY, f64::min)
+        self.samples
+            .iter()
+            .map(figure)
+            .fold(f64::INFINITY, f64::min)
     }
 
     // The larger of the two demands in even shares.
@@ -283,15 +289,15 @@
 // What the others leave of the limit, or this instance's part of it by
 // demand if together they ask for more. Unless all are heard: an even part.
 #[expect(clippy::cast_precision_loss, reason = "few instances")]
-fn share(limit: f64, own: f64, others: Option<f64>, proven: f64, instances: usize) -> f64 {
+fn share(limit: f64, own: f64, peers: Option<f64>, sustained: f64, instances: usize) -> f64 {
     let even = limit / instances.max(1) as f64;
-    let Some(others) = others else {
-        return (even * SLACK).min(limit);
+    let Some(peers) = peers else {
+        return (even * DEFAULT_SHARE_FACTOR).min(limit);
     };
-    let most = (even * SLACK).max(proven * GROWTH);
-    if own + others <= limit {
-        return (limit - others).min(most);
+    let cap = (even * DEFAULT_SHARE_FACTOR).max(sustained * MAX_SUSTAINED_FACTOR);
+    if own + peers <= limit {
+        return (limit - peers).min(cap);
     }
-    let part = limit * own.max(even) / (own.max(even) + others);
-    part.min(most)
+    let part = limit * own.max(even) / (own.max(even) + peers);
+    part.min(cap)
 }
--- a/crates/decide/src/load.rs
+++ b/crates/decide/src/load.rs
@@ -58,9 +58,9 @@
     /// Takes in a summary unless a newer one of its source is known.
     pub fn record(&mut self, summary: Summary) {
         let sources = self.pools.entry(summary.pool).or_default();
-        let known = sources.entry(summary.source).or_insert(summary);
-        if known.taken < summary.taken {
-            *known = summary;
+        let reported = sources.entry(summary.source).or_insert(summary);
+        if reported.taken < summary.taken {
+            *reported = summary;
         }
     }
 
@@ -87,17 +87,20 @@
     /// themselves, find each at the mean, and let them drown.
     #[must_use]
     pub fn mean_work(&self, own: &Summary, size: usize, floor: f64, now: Moment) -> f64 {
-        let others = || self.fresh(own.pool, now).filter(|s| s.source != own.source);
+        let others = || {
+            self.fresh_summaries(own.pool, now)
+                .filter(|s| s.source != own.source)
+        };
         let recent = others().filter(|summary| since(now, summary.taken) < RECENT_SUMMARY_MAX_AGE);
         let (endpoints, work) = total(own, recent);
         if endpoints >= MIN_RECENT_ENDPOINTS.min(size as u64) {
-            return average(endpoints, work, endpoints, floor);
+            return mean_of(endpoints, work, endpoints, floor);
         }
         let (endpoints, work) = total(own, others());
-        average(endpoints, work, size as u64, floor)
+        mean_of(endpoints, work, size as u64, floor)
     }
 
-    fn fresh(&self, pool: Pool, now: Moment) -> impl Iterator<Item = &Summary> {
+    fn fresh_summaries(&self, pool: Pool, now: Moment) -> impl Iterator<Item = &Summary> {
         self.pools
             .get(&pool)
             .into_iter()
@@ -120,12 +123,12 @@
     clippy::cast_precision_loss,
     reason = "work and counts stay far under 2^52"
 )]
-fn average(endpoints: u64, work: u64, size: u64, floor: f64) -> f64 {
-    let known = work as f64;
-    let unheard = size.saturating_sub(endpoints) as f64;
+fn mean_of(endpoints: u64, work: u64, size: u64, floor: f64) -> f64 {
+    let reported = work as f64;
+    let unreported = size.saturating_sub(endpoints) as f64;
     if endpoints == 0 {
         return floor;
     }
-    let mean = known / endpoints as f64;
-    (known + unheard * mean.min(floor)) / (endpoints as f64 + unheard)
+    let mean = reported / endpoints as f64;
+    (reported + unreported * mean.min(floor)) / (endpoints as f64 + unreported)
 }
--- a/crates/decide/src/owner.rs
+++ b/crates/decide/src/owner.rs
@@ -10,8 +10,8 @@
 //! *Not run* rests on [`Owner::cancel`]: it returns true only if the request
 //! was still in the queue, and then no [`Wake`] will ever dispatch it.
 
-mod book;
 mod change;
+mod endpoint;
 mod job;
 mod place;
 mod room;
@@ -26,14 +26,14 @@
 use godwitpost_types::policy::Policy;
 use godwitpost_types::request::Request;
 
-use self::book::{Book, Solo};
+use self::endpoint::{EndpointState, Isolation};
 use self::job::Job;
-use self::room::Shares;
+use self::room::PoolUsage;
 use crate::chats::{self, Location};
 use crate::ending::Ending;
 use crate::health;
 use crate::hop::Hop;
-use crate::load::{Summary, Table};
+use crate::load::{self, Summary};
 use crate::quarantine::{self, Evidence};
 use crate::queue::{Queue, Ticket};
 use crate::refusal::{Reason, Refusal};
@@ -46,7 +46,7 @@
 ///
 /// At ten requests a second an owner's queue of this length is far past any
 /// deadline; it bounds memory, at some 300 bytes each, to 300 KB a pool.
-const LONGEST: usize = 1024;
+const MAX_QUEUED_REQUESTS: usize = 1024;
 
 /// Leave to dispatch a request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -108,19 +108,19 @@
 pub struct Owner {
     view: Arc<View>,
     policy: Arc<Policy>,
-    books: BTreeMap<EndpointId, Book>,
+    states: BTreeMap<EndpointId, EndpointState>,
     running: BTreeMap<AttemptId, Running>,
     queues: BTreeMap<Pool, Queue<Job>>,
     tickets: BTreeMap<Ticket, Pool>,
-    shares: BTreeMap<Pool, Shares>,
+    usage: BTreeMap<Pool, PoolUsage>,
     chats: chats::Table,
-    means: Table,
+    peer_load: load::Table,
     quarantine: quarantine::Table,
-    outbox: Vec<Evidence>,
-    next: u64,
-    tidied: Moment,
-    strays: VecDeque<(Pool, ChatId)>,
-    former: Arc<View>,
+    unsent_evidence: Vec<Evidence>,
+    next_id: u64,
+    last_expiry: Moment,
+    pending_handover: VecDeque<(Pool, ChatId)>,
+    handover_base: Arc<View>,
 }
 
 impl Owner {
@@ -128,23 +128,23 @@
     #[must_use]
     pub fn new(view: Arc<View>, policy: Arc<Policy>) -> Self {
         let mut owner = Self {
-            former: Arc::clone(&view),
+            handover_base: Arc::clone(&view),
             view,
             policy,
-            books: BTreeMap::new(),
+            states: BTreeMap::new(),
             running: BTreeMap::new(),
             queues: BTreeMap::new(),
             tickets: BTreeMap::new(),
-            shares: BTreeMap::new(),
+            usage: BTreeMap::new(),
             chats: chats::Table::default(),
-            means: Table::default(),
+            peer_load: load::Table::default(),
             quarantine: quarantine::Table::default(),
-            outbox: Vec::new(),
-            next: 0,
-            tidied: Moment::ZERO,
-            strays: VecDeque::new(),
+            unsent_evidence: Vec::new(),
+            next_id: 0,
+            last_expiry: Moment::ZERO,
+            pending_handover: VecDeque::new(),
         };
-        owner.open_books();
+        owner.sync_states();
         owner
     }
 
@@ -169,48 +169,48 @@
         let Some(running) = self.running.remove(&attempt) else {
             return Vec::new();
         };
-        self.settle(now, attempt, &running, ending);
-        self.judge(now, &running, ending);
-        self.drain(now)
+        self.release(now, attempt, &running, ending);
+        self.record_attempt_evidence(now, &running, ending);
+        self.dispatch_waiting(now)
     }
 
-    fn settle(&mut self, now: Moment, attempt: AttemptId, running: &Running, ending: Ending) {
-        if let Some(shares) = self.shares.get_mut(&running.job.pool) {
-            shares.end(&running.job);
+    fn release(&mut self, now: Moment, attempt: AttemptId, running: &Running, ending: Ending) {
+        if let Some(usage) = self.usage.get_mut(&running.job.pool) {
+            usage.remove_running(&running.job);
         }
-        let Some(book) = self.books.get_mut(&running.endpoint) else {
+        let Some(state) = self.states.get_mut(&running.endpoint) else {
             return;
         };
-        book.end(now, running.work);
-        if book.solo == Solo::Running(attempt) {
-            book.solo = Solo::Off;
+        state.remove_request(now, running.work);
+        if state.isolation == Isolation::Running(attempt) {
+            state.isolation = Isolation::Off;
         }
         match ending {
-            Ending::Leaving => book.health.handle(health::Event::Leaving),
+            Ending::Leaving => state.health.handle(health::Event::Leaving),
             ending if ending.counts_against_health() => {
-                book.health.handle(health::Event::Failure(now));
+                state.health.handle(health::Event::Failure(now));
             }
-            Ending::Done => book.health.handle(health::Event::Success(now)),
+            Ending::Done => state.health.handle(health::Event::Success(now)),
             _ => {}
         }
     }
 
     // A break is held against the request at once, since its caller may send
     // it again within milliseconds; a later sign of life takes it back.
-    fn judge(&mut self, now: Moment, running: &Running, ending: Ending) {
-        let Some(book) = self.books.get_mut(&running.endpoint) else {
+    fn record_attempt_evidence(&mut self, now: Moment, running: &Running, ending: Ending) {
+        let Some(state) = self.states.get_mut(&running.endpoint) else {
             return;
         };
-        let incarnation = book.health.incarnation();
+        let incarnation = state.health.incarnation();
         let kind = match ending {
             Ending::Broken => {
-                book.broke = Some(now);
+                state.broken_at = Some(now);
                 quarantine::Kind::Crashed
             }
             Ending::Done if running.job.suspect => quarantine::Kind::Clean,
             _ => return,
         };
-        self.testify(Evidence {
+        self.add_evidence(Evidence {
             digest: running.job.digest,
             endpoint: running.endpoint,
             incarnation,
@@ -219,9 +219,9 @@
         });
     }
 
-    fn testify(&mut self, evidence: Evidence) {
+    fn add_evidence(&mut self, evidence: Evidence) {
         if self.quarantine.insert(evidence) {
-            self.outbox.push(evidence);
+            self.unsent_evidence.push(evidence);
         }
     }
 
@@ -230,55 +230,55 @@
     /// Returns true only if it still waited; it will never be dispatched
     /// then, and *not run* is true as far as this instance goes.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
-        self.withdraw(ticket).is_some()
+        self.dequeue(ticket).is_some()
     }
 
-    fn withdraw(&mut self, ticket: Ticket) -> Option<Job> {
+    fn dequeue(&mut self, ticket: Ticket) -> Option<Job> {
         let pool = self.tickets.remove(&ticket)?;
         let job = self.queues.get_mut(&pool)?.remove(ticket)?;
-        self.left(ticket, &job);
+        self.release_ticket(ticket, &job);
         Some(job)
     }
 
-    fn left(&mut self, ticket: Ticket, job: &Job) {
+    fn release_ticket(&mut self, ticket: Ticket, job: &Job) {
         self.tickets.remove(&ticket);
-        if let Some(shares) = self.shares.get_mut(&job.pool) {
-            shares.leave(job);
+        if let Some(usage) = self.usage.get_mut(&job.pool) {
+            usage.remove_waiting(job);
         }
         if job.suspect {
-            let drained = self.books.values_mut();
+            let drained = self.states.values_mut();
             drained
-                .filter(|book| book.solo == Solo::Draining(ticket))
-                .for_each(|book| book.solo = Solo::Off);
+                .filter(|state| state.isolation == Isolation::Draining(ticket))
+                .for_each(|state| state.isolation = Isolation::Off);
         }
     }
 
     /// Lets time pass: refuses what waited too long, moves on what came here
     /// by mistake, tries closed endpoints again. Called about every 100 ms.
     pub fn tick(&mut self, now: Moment) -> Vec<Wake> {
-        self.tidy(now);
-        for book in self.books.values_mut() {
-            book.health.handle(health::Event::Tick(now));
+        self.expire_tables(now);
+        for state in self.states.values_mut() {
+            state.health.handle(health::Event::Tick(now));
         }
-        let mut wakes = self.time_out(now);
+        let mut wakes = self.refuse_expired(now);
         // An instance that lags may still send here what this one no longer
         // owns. With its forwards used up such a request waits here, where no
         // end of another would ever wake it.
-        wakes.extend(self.evict());
-        wakes.extend(self.drain(now));
+        wakes.extend(self.reroute_waiting());
+        wakes.extend(self.dispatch_waiting(now));
         wakes
     }
 
-    fn tidy(&mut self, now: Moment) {
-        if since(now, self.tidied) < TIDIED {
+    fn expire_tables(&mut self, now: Moment) {
+        if since(now, self.last_expiry) < EXPIRY_INTERVAL {
             return;
         }
-        self.tidied = now;
-        self.means.expire(now);
+        self.last_expiry = now;
+        self.peer_load.expire(now);
         self.quarantine.expire(now);
     }
 
-    fn time_out(&mut self, now: Moment) -> Vec<Wake> {
+    fn refuse_expired(&mut self, now: Moment) -> Vec<Wake> {
         let mut gone = Vec::new();
         for queue in self.queues.values_mut() {
             while let Some(expired) = queue.pop_expired(now) {
@@ -287,7 +287,7 @@
         }
         gone.into_iter()
             .map(|(ticket, job)| {
-                self.left(ticket, &job);
+                self.release_ticket(ticket, &job);
                 Wake {
                     ticket,
                     next: Next::Refuse(Refusal::new(Reason::Deadline)),
@@ -298,37 +298,37 @@
 
     /// Takes in an endpoint's own lagging report.
     pub fn apply_report(&mut self, endpoint: EndpointId, report: &Report) {
-        let Some(book) = self.books.get_mut(&endpoint) else {
+        let Some(state) = self.states.get_mut(&endpoint) else {
             return;
         };
-        if book
+        if state
             .health
             .update_standing(report.incarnation, report.standing)
         {
-            book.broke = None;
+            state.broken_at = None;
         }
-        if report.incarnation == book.health.incarnation() {
-            book.compare(report);
-            self.acquit(endpoint, report.taken);
+        if report.incarnation == state.health.incarnation() {
+            state.apply_report(report);
+            self.retract_crashes(endpoint, report.taken);
         }
     }
 
     // The incarnation that a connection broke to was alive afterwards, so it
     // had not crashed.
-    fn acquit(&mut self, endpoint: EndpointId, alive: Moment) {
-        let Some(book) = self.books.get_mut(&endpoint) else {
+    fn retract_crashes(&mut self, endpoint: EndpointId, alive: Moment) {
+        let Some(state) = self.states.get_mut(&endpoint) else {
             return;
         };
-        if book.broke.is_none_or(|broke| alive <= broke) {
+        if state.broken_at.is_none_or(|broke| alive <= broke) {
             return;
         }
-        book.broke = None;
-        let incarnation = book.health.incarnation();
+        state.broken_at = None;
+        let incarnation = state.health.incarnation();
         for evidence in self
             .quarantine
             .retract_crashes(endpoint, incarnation, alive)
         {
-            self.outbox.push(evidence);
+            self.unsent_evidence.push(evidence);
         }
     }
 
@@ -336,12 +336,12 @@
     pub fn apply_cache_event(&mut self, endpoint: EndpointId, event: &chats::Event) {
         let row = self.chats.peek(event.pool, event.chat);
         let seen = row.filter(|row| row.endpoint == endpoint && row.seen <= event.at);
-        if let (chats::Kind::Evicted, Some(seen), Some(book)) = (
+        if let (chats::Kind::Evicted, Some(seen), Some(state)) = (
             event.kind,
             seen.map(|row| row.seen),
-            self.books.get_mut(&endpoint),
+            self.states.get_mut(&endpoint),
         ) {
-            book.evicted(seen);
+            state.record_eviction(seen);
         }
         self.chats.apply_event(endpoint, event);
     }
@@ -371,7 +371,7 @@
     /// Takes in summaries of other instances.
     pub fn record_summaries(&mut self, summaries: &[Summary]) {
         for summary in summaries {
-            self.means.record(*summary);
+            self.peer_load.record(*summary);
         }
     }
 
@@ -379,7 +379,7 @@
     /// last call. To be sent to every instance at once, not with the gossip:
     /// the caller may send the request again within milliseconds.
     pub fn take_evidence(&mut self) -> Vec<Evidence> {
-        std::mem::take(&mut self.outbox)
+        std::mem::take(&mut self.unsent_evidence)
     }
 
     /// Returns what is known of one digest, to send along with the request.
@@ -416,15 +416,15 @@
     /// Returns the work counted on an endpoint, in tokens.
     #[must_use]
     pub fn load(&self, endpoint: EndpointId) -> u64 {
-        self.books.get(&endpoint).map_or(0, Book::load)
+        self.states.get(&endpoint).map_or(0, EndpointState::load)
     }
 }
 
 /// From one look for what has expired to the next.
-const TIDIED: Duration = Duration::from_secs(5);
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The longest that one call spends on a queue, in requests looked at.
-const LOOKED_AT: usize = 64;
+const MAX_QUEUE_SCAN: usize = 64;
 
 /// How long the first in a queue may be passed by others that fit.
-const PATIENCE: Duration = Duration::from_secs(2);
+const MAX_HEAD_BYPASS: Duration = Duration::from_secs(2);
--- a/crates/decide/src/owner/job.rs
+++ b/crates/decide/src/owner/job.rs
@@ -13,7 +13,7 @@
 
 /// Where a chat is warm.
 #[derive(Clone, Copy, Debug)]
-pub struct Warm {
+pub struct CacheHint {
     /// The endpoint.
     pub endpoint: EndpointId,
     /// Prompt tokens estimated to be cached there; may be none.
@@ -22,7 +22,7 @@
     pub seen: Moment,
 }
 
-impl From<&Location> for Warm {
+impl From<&Location> for CacheHint {
     fn from(location: &Location) -> Self {
         Self {
             endpoint: location.endpoint,
@@ -42,27 +42,27 @@
     /// Its digest.
     pub digest: BodyDigest,
     /// Tokens of prompt.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Tokens of answer.
-    pub answer: u32,
+    pub answer_tokens: u32,
     /// Requests that one endpoint of the service runs at once.
     pub slots: u32,
     /// The set multiple of the mean load.
-    pub bound: f64,
+    pub load_bound: f64,
     /// The weight of reuse against skew.
     pub reuse: f64,
     /// Its place among those that wait.
     pub rank: Rank,
     /// Whether its class may wait at all.
-    pub queues: bool,
+    pub may_queue: bool,
     /// The owner of its chat's home, if that is another instance.
     pub home: Option<InstanceId>,
     /// When it started to wait.
-    pub since: Moment,
+    pub waiting_since: Moment,
     /// Whether it runs alone.
     pub suspect: bool,
     /// Where the chat is warm, and the tokens estimated to be cached there.
-    pub warm: Option<Warm>,
+    pub warm: Option<CacheHint>,
 }
 
 impl Job {
@@ -86,10 +86,10 @@
             pool: Pool::for_request(request),
             chat: request.chat,
             digest: request.digest,
-            prompt: request.prompt_tokens,
-            answer: request.answer_tokens,
+            prompt_tokens: request.prompt_tokens,
+            answer_tokens: request.answer_tokens,
             slots: service.slots,
-            bound: service.load_bound,
+            load_bound: service.load_bound,
             reuse: service.reuse,
             rank: Rank {
                 priority: class.priority,
@@ -98,11 +98,11 @@
                 work: request.work(0),
                 deadline: request.deadline,
             },
-            queues: class.queue,
+            may_queue: class.queue,
             home: hop.home,
-            since: Moment::ZERO,
+            waiting_since: Moment::ZERO,
             suspect: false,
-            warm: (hop.cached > 0).then_some(Warm {
+            warm: (hop.cached > 0).then_some(CacheHint {
                 endpoint: hop.endpoint,
                 tokens: hop.cached,
                 seen: hop.seen,
@@ -114,7 +114,7 @@
     #[must_use]
     pub fn cached(&self, endpoint: EndpointId) -> u32 {
         match self.warm {
-            Some(warm) if warm.endpoint == endpoint => warm.tokens.min(self.prompt),
+            Some(warm) if warm.endpoint == endpoint => warm.tokens.min(self.prompt_tokens),
             _ => 0,
         }
     }
@@ -122,13 +122,13 @@
     /// Returns whether it has nothing to find at an endpoint, and has not
     /// looked for a better place yet.
     #[must_use]
-    pub fn roams(&self, endpoint: EndpointId) -> bool {
-        self.cached(endpoint) == 0 && self.since == Moment::ZERO
+    pub fn should_try_elsewhere(&self, endpoint: EndpointId) -> bool {
+        self.cached(endpoint) == 0 && self.waiting_since == Moment::ZERO
     }
 
     /// Returns its estimated work at an endpoint, in tokens.
     #[must_use]
     pub fn work(&self, endpoint: EndpointId) -> u64 {
-        u64::from(self.prompt - self.cached(endpoint)) + u64::from(self.answer)
+        u64::from(self.prompt_tokens - self.cached(endpoint)) + u64::from(self.answer_tokens)
     }
 }
--- a/crates/decide/src/owner/place.rs
+++ b/crates/decide/src/owner/place.rs
@@ -7,9 +7,9 @@
 use godwitpost_types::id::{EndpointId, NO_MODEL};
 use godwitpost_types::request::Request;
 
-use super::book::{Book, Solo};
-use super::job::{Job, Warm};
-use super::{Grant, LONGEST, Next, Owner, Running};
+use super::endpoint::{EndpointState, Isolation};
+use super::job::{CacheHint, Job};
+use super::{Grant, MAX_QUEUED_REQUESTS, Next, Owner, Running};
 use crate::chats::Location;
 use crate::health;
 use crate::hop::Hop;
@@ -19,13 +19,13 @@
 
 /// Forwards after which a request that nobody owns up to is dispatched by
 /// whoever has it.
-const ASTRAY: u8 = crate::hop::MAX_FORWARDS + 4;
+const MAX_MISROUTED_FORWARDS: u8 = crate::hop::MAX_FORWARDS + 4;
 
 /// Endpoints of a chat's order that a spill looks at.
-const SCANNED: usize = 16;
+const MAX_SPILL_CANDIDATES: usize = 16;
 
 /// Owners of others that a spill chooses from.
-const CHOICES: usize = 2;
+const MAX_REMOTE_CHOICES: usize = 2;
 
 impl Owner {
     pub(super) fn admit(
@@ -44,48 +44,51 @@
             Verdict::Clear => {}
         }
         if job.pool.model != NO_MODEL {
-            self.recall(&mut job, hop);
-            self.doubt(&mut job);
+            self.find_cache_hint(&mut job, hop);
+            self.check_cache_hint(&mut job);
         }
         Ok(job)
     }
 
     // Where the chat is warm, if that is a place it can still go to. Only the
     // owner of the home sends it elsewhere, so no chain of hints is followed.
-    pub(super) fn recall(&mut self, job: &mut Job, hop: &Hop) {
+    pub(super) fn find_cache_hint(&mut self, job: &mut Job, hop: &Hop) {
         let found = self.chats.get(job.pool, job.chat);
-        let Some(known) = found.filter(|known| self.lives(known)) else {
+        let Some(known) = found.filter(|known| self.is_current(known)) else {
             return;
         };
         if known.endpoint == hop.endpoint {
-            job.warm = Some(Warm::from(&known));
+            job.warm = Some(CacheHint::from(&known));
             return;
         }
         let usable = hop.count == 0
             && known.tokens > 0
             && self.view.serves(known.endpoint, job.pool)
             && !hop.tried.contains(&known.endpoint)
-            && self.well(known.endpoint);
+            && self.is_healthy(known.endpoint);
         if usable {
-            job.warm = Some(Warm::from(&known));
+            job.warm = Some(CacheHint::from(&known));
         }
     }
 
     // Engines evict in the order of use, so whatever ran before a chat that
     // was evicted is gone as well, even if its event was lost in a gap.
-    pub(super) fn doubt(&self, job: &mut Job) {
+    pub(super) fn check_cache_hint(&self, job: &mut Job) {
         let Some(warm) = &mut job.warm else {
             return;
         };
-        let horizon = self.books.get(&warm.endpoint).map(Book::horizon);
+        let horizon = self
+            .states
+            .get(&warm.endpoint)
+            .map(EndpointState::eviction_horizon);
         if horizon.is_some_and(|horizon| warm.seen <= horizon) {
             warm.tokens = 0;
         }
     }
 
-    pub(super) fn well(&self, endpoint: EndpointId) -> bool {
-        let book = self.books.get(&endpoint);
-        book.is_none_or(|book| book.health.access() != health::Access::None)
+    pub(super) fn is_healthy(&self, endpoint: EndpointId) -> bool {
+        let state = self.states.get(&endpoint);
+        state.is_none_or(|state| state.health.access() != health::Access::None)
     }
 
     /// Decides where a request goes: to the endpoint where its chat is warm,
@@ -98,10 +101,10 @@
         let mut hop = hop.clone();
         let ours = self.owns(target) && self.view.serves(target, job.pool);
         if ours && !hop.tried.contains(&target) {
-            if self.fits(now, target, &job) {
+            if self.has_room(now, target, &job) {
                 return self.grant(now, target, job);
             }
-            self.note(&mut hop, target);
+            self.record_tried(&mut hop, target);
         }
         self.spill(now, job, hop)
     }
@@ -117,54 +120,57 @@
         hop.spilled = true;
         let mut next: Option<(u64, EndpointId)> = None;
         let mut others = 0;
-        for endpoint in view.ranked(job.pool, job.chat, hop.zone).take(SCANNED) {
+        for endpoint in view
+            .ranked(job.pool, job.chat, hop.zone)
+            .take(MAX_SPILL_CANDIDATES)
+        {
             if hop.tried.contains(&endpoint) {
                 continue;
             }
             if self.owns(endpoint) {
-                if self.fits(now, endpoint, &job) {
+                if self.has_room(now, endpoint, &job) {
                     return self.grant(now, endpoint, job);
                 }
-                self.note(&mut hop, endpoint);
-            } else if let Some(load) = self.heard(now, job.pool, endpoint) {
+                self.record_tried(&mut hop, endpoint);
+            } else if let Some(load) = self.remote_load(now, job.pool, endpoint) {
                 next = next
                     .filter(|(least, _)| *least <= load)
                     .or(Some((load, endpoint)));
                 others += 1;
             }
-            if others == CHOICES {
+            if others == MAX_REMOTE_CHOICES {
                 break;
             }
         }
         match next {
             Some((_, endpoint)) if !hop.forwards_exhausted() => self.forward(&job, hop, endpoint),
-            _ => self.wait(now, job, hop),
+            _ => self.choose_queue(now, job, hop),
         }
     }
 
     // The mean load of the endpoints of an endpoint's owner, if nothing was
     // heard to wait for them.
-    pub(super) fn heard(&self, now: Moment, pool: Pool, endpoint: EndpointId) -> Option<u64> {
+    pub(super) fn remote_load(&self, now: Moment, pool: Pool, endpoint: EndpointId) -> Option<u64> {
         let owner = self.view.owner(endpoint);
-        match self.means.fresh_summary(pool, owner, now) {
+        match self.peer_load.fresh_summary(pool, owner, now) {
             Some(summary) if summary.waiting > 0 => None,
             Some(summary) => Some(summary.work / u64::from(summary.endpoints.max(1))),
             None => Some(0),
         }
     }
 
-    pub(super) fn note(&self, hop: &mut Hop, endpoint: EndpointId) {
+    pub(super) fn record_tried(&self, hop: &mut Hop, endpoint: EndpointId) {
         if !hop.tried.contains(&endpoint) {
             hop.tried.push(endpoint);
         }
-        let load = self.books.get(&endpoint).map_or(0, Book::load);
-        if self.well(endpoint) && hop.least.is_none_or(|(_, least)| load < least) {
+        let load = self.states.get(&endpoint).map_or(0, EndpointState::load);
+        if self.is_healthy(endpoint) && hop.least.is_none_or(|(_, least)| load < least) {
             hop.least = Some((endpoint, load));
         }
     }
 
     // Where to wait: at the owner of the least loaded endpoint seen.
-    pub(super) fn wait(&mut self, now: Moment, mut job: Job, mut hop: Hop) -> Next {
+    pub(super) fn choose_queue(&mut self, now: Moment, mut job: Job, mut hop: Hop) -> Next {
         if let Some((endpoint, _)) = hop.least
             && !self.owns(endpoint)
             && hop.count <= crate::hop::MAX_FORWARDS
@@ -172,14 +178,14 @@
             hop.count = crate::hop::MAX_FORWARDS;
             return self.forward(&job, hop, endpoint);
         }
-        if let Some(endpoint) = self.settle_for(now, &mut job) {
+        if let Some(endpoint) = self.least_loaded_fit(now, &mut job) {
             return self.grant(now, endpoint, job);
         }
-        if !job.queues {
+        if !job.may_queue {
             return Next::Refuse(Refusal::new(Reason::Busy));
         }
         if self.view.owned_in_pool(job.pool).is_empty() {
-            return self.improvise(now, job, hop);
+            return self.place_without_owner(now, job, hop);
         }
         self.enqueue(now, job)
     }
@@ -188,45 +194,45 @@
     // agree within seconds; until then the request goes to the owner in this
     // list, or after too many forwards to the endpoint itself, with whatever
     // room the mean leaves on it.
-    pub(super) fn improvise(&mut self, now: Moment, job: Job, hop: Hop) -> Next {
-        let Some(home) = self.home(&job) else {
+    pub(super) fn place_without_owner(&mut self, now: Moment, job: Job, hop: Hop) -> Next {
+        let Some(home) = self.home_endpoint(&job) else {
             return Next::Refuse(Refusal::new(Reason::NoEndpoint));
         };
-        if hop.count < ASTRAY {
+        if hop.count < MAX_MISROUTED_FORWARDS {
             return self.forward(&job, hop, home);
         }
-        if !self.books.contains_key(&home) {
+        if !self.states.contains_key(&home) {
             let incarnation = self.view.endpoint(home).map_or(0, |e| e.incarnation);
-            let mut book = Book::new(incarnation);
-            book.presume(now, self.mean(now, job.pool));
-            self.books.insert(home, book);
+            let mut state = EndpointState::new(incarnation);
+            state.assume_others_work(now, self.mean_work(now, job.pool));
+            self.states.insert(home, state);
         }
-        if self.fits(now, home, &job) {
+        if self.has_room(now, home, &job) {
             return self.grant(now, home, job);
         }
         Next::Refuse(Refusal::new(Reason::Busy))
     }
 
     // With nowhere else to go, the whole bound is open to a cold request.
-    pub(super) fn settle_for(&self, now: Moment, job: &mut Job) -> Option<EndpointId> {
-        job.since = now;
+    pub(super) fn least_loaded_fit(&self, now: Moment, job: &mut Job) -> Option<EndpointId> {
+        job.waiting_since = now;
         let owned = self.view.owned_in_pool(job.pool).iter().copied();
-        let fitting = owned.filter(|id| self.fits(now, *id, job));
+        let fitting = owned.filter(|id| self.has_room(now, *id, job));
         fitting.min_by_key(|id| self.load(*id))
     }
 
     pub(super) fn enqueue(&mut self, now: Moment, job: Job) -> Next {
         let queue = self.queues.entry(job.pool).or_default();
-        if queue.is_full_for(LONGEST, job.rank.flow) {
+        if queue.is_full_for(MAX_QUEUED_REQUESTS, job.rank.flow) {
             return Next::Refuse(Refusal::new(Reason::QueueFull));
         }
-        let ticket = self.next;
-        self.next += 1;
+        let ticket = self.next_id;
+        self.next_id += 1;
         self.tickets.insert(ticket, job.pool);
         let until = job.rank.deadline;
         let rank = job.rank;
-        let shares = self.shares.entry(job.pool).or_default();
-        shares.arrive(now, &job);
+        let usage = self.usage.entry(job.pool).or_default();
+        usage.add_waiting(now, &job);
         queue.push(ticket, &rank, job);
         Next::Wait { ticket, until }
     }
@@ -245,7 +251,7 @@
 
     // A hint for the chat's next turn: after this one its context, prompt and
     // answer, is at the endpoint.
-    pub(super) fn remember(
+    pub(super) fn record_chat(
         &mut self,
         now: Moment,
         job: &Job,
@@ -259,7 +265,7 @@
             pool: job.pool,
             endpoint,
             incarnation: self.view.endpoint(endpoint).map_or(0, |e| e.incarnation),
-            tokens: job.prompt.saturating_add(job.answer),
+            tokens: job.prompt_tokens.saturating_add(job.answer_tokens),
             seen: now,
         };
         self.chats.insert(location);
@@ -267,19 +273,22 @@
     }
 
     pub(super) fn grant(&mut self, now: Moment, endpoint: EndpointId, job: Job) -> Next {
-        let attempt = self.next;
-        self.next += 1;
+        let attempt = self.next_id;
+        self.next_id += 1;
         let work = job.work(endpoint);
         let cached = job.cached(endpoint);
-        let location = self.remember(now, &job, endpoint);
+        let location = self.record_chat(now, &job, endpoint);
         let notify_home = job.home.zip(location);
-        let book = self.books.entry(endpoint).or_insert_with(|| Book::new(0));
-        book.begin(now, work);
+        let state = self
+            .states
+            .entry(endpoint)
+            .or_insert_with(|| EndpointState::new(0));
+        state.add_request(now, work);
         if job.suspect {
-            book.solo = Solo::Running(attempt);
+            state.isolation = Isolation::Running(attempt);
         }
-        let shares = self.shares.entry(job.pool).or_default();
-        shares.begin(&job);
+        let usage = self.usage.entry(job.pool).or_default();
+        usage.add_running(&job);
         let priority = job.rank.priority;
         let running = Running {
             endpoint,
@@ -296,7 +305,7 @@
         })
     }
 
-    pub(super) fn home(&self, job: &Job) -> Option<EndpointId> {
+    pub(super) fn home_endpoint(&self, job: &Job) -> Option<EndpointId> {
         self.view.ranked(job.pool, job.chat, 0).next()
     }
 }
--- a/crates/decide/src/owner/room.rs
+++ b/crates/decide/src/owner/room.rs
@@ -7,9 +7,9 @@
 use godwitpost_types::clock::{Moment, since};
 use godwitpost_types::id::{EndpointId, WorkspaceId};
 
-use super::book::Solo;
+use super::endpoint::Isolation;
 use super::job::Job;
-use super::{LOOKED_AT, Owner, PATIENCE, Wake};
+use super::{MAX_HEAD_BYPASS, MAX_QUEUE_SCAN, Owner, Wake};
 use crate::load::Summary;
 use crate::queue::{Queue, Ticket};
 use crate::view::Pool;
@@ -18,151 +18,151 @@
 ///
 /// Others that are under theirs find room there at once, instead of after
 /// the next request of a surge ends.
-const RESERVE: f64 = 0.125;
+const RESERVED_FRACTION: f64 = 0.125;
 
 /// Shares that a workspace may use before it leaves the reserve free.
 ///
 /// Chance alone takes a workspace somewhat over its share without any surge.
-const LENIENT: f64 = 1.5;
+const SHARE_TOLERANCE: f64 = 1.5;
 
 /// Part of the bound's room above the mean that a warm request may use.
-const WARM: f64 = 0.45;
+const WARM_HEADROOM: f64 = 0.45;
 
 /// Part of it that a cold request may use before it looks elsewhere.
-const COLD: f64 = 0.0;
+const COLD_HEADROOM: f64 = 0.0;
 
 /// Waiting requests among which one that is warm may go first, at a policy
 /// that weighs reuse alone.
-const PREFERRED: u32 = 32;
+const MAX_WARM_SCAN: u32 = 32;
 
 /// How long after a request had to wait the reserve is kept.
-const CONTENDED: Duration = Duration::from_secs(10);
+const CONTENTION_WINDOW: Duration = Duration::from_secs(10);
 
 /// How fast the largest request is forgotten: by a 256th with each new one.
-const FADE: f64 = 1.0 / 256.0;
+const LARGEST_DECAY: f64 = 1.0 / 256.0;
 
 /// Who uses a pool's endpoints here, and how large its requests are.
 #[derive(Clone, Debug, Default)]
-pub struct Shares {
-    users: BTreeMap<WorkspaceId, User>,
+pub struct PoolUsage {
+    workspaces: BTreeMap<WorkspaceId, WorkspaceUsage>,
     running: u32,
     largest: f64,
-    contended: Moment,
+    last_wait: Moment,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct User {
+struct WorkspaceUsage {
     weight: f64,
     running: u32,
     waiting: u32,
 }
 
-impl Shares {
+impl PoolUsage {
     /// Counts a request that starts to wait.
-    pub fn arrive(&mut self, now: Moment, job: &Job) {
-        self.contended = now;
-        let user = self.users.entry(job.rank.flow.workspace).or_default();
+    pub fn add_waiting(&mut self, now: Moment, job: &Job) {
+        self.last_wait = now;
+        let user = self.workspaces.entry(job.rank.flow.workspace).or_default();
         user.weight = job.rank.weight;
         user.waiting += 1;
     }
 
     /// Counts a request that stops waiting.
-    pub fn leave(&mut self, job: &Job) {
-        self.change(job, |user| user.waiting = user.waiting.saturating_sub(1));
+    pub fn remove_waiting(&mut self, job: &Job) {
+        self.update(job, |user| user.waiting = user.waiting.saturating_sub(1));
     }
 
     /// Counts a request that starts to run.
-    pub fn begin(&mut self, job: &Job) {
-        let user = self.users.entry(job.rank.flow.workspace).or_default();
+    pub fn add_running(&mut self, job: &Job) {
+        let user = self.workspaces.entry(job.rank.flow.workspace).or_default();
         user.weight = job.rank.weight;
         user.running += 1;
         self.running += 1;
         #[expect(clippy::cast_precision_loss, reason = "work is far under 2^52")]
         let work = job.rank.work as f64;
-        self.largest = (self.largest * (1.0 - FADE)).max(work);
+        self.largest = (self.largest * (1.0 - LARGEST_DECAY)).max(work);
     }
 
     /// Counts a request that ended.
-    pub fn end(&mut self, job: &Job) {
+    pub fn remove_running(&mut self, job: &Job) {
         self.running = self.running.saturating_sub(1);
-        self.change(job, |user| user.running = user.running.saturating_sub(1));
+        self.update(job, |user| user.running = user.running.saturating_sub(1));
     }
 
-    fn change(&mut self, job: &Job, change: impl FnOnce(&mut User)) {
+    fn update(&mut self, job: &Job, change: impl FnOnce(&mut WorkspaceUsage)) {
         let id = job.rank.flow.workspace;
-        if let Some(user) = self.users.get_mut(&id) {
+        if let Some(user) = self.workspaces.get_mut(&id) {
             change(user);
             if user.running == 0 && user.waiting == 0 {
-                self.users.remove(&id);
+                self.workspaces.remove(&id);
             }
         }
     }
 
     // Whether one more request takes its workspace over its share of `slots`,
     // among those that run or wait now.
-    fn over(&self, job: &Job, slots: u32) -> bool {
+    fn exceeds_share(&self, job: &Job, slots: u32) -> bool {
         let id = job.rank.flow.workspace;
         let others: f64 = self
-            .users
+            .workspaces
             .iter()
             .filter(|(other, _)| **other != id)
             .map(|(_, user)| user.weight)
             .sum();
-        let running = self.users.get(&id).map_or(0, |user| user.running);
+        let running = self.workspaces.get(&id).map_or(0, |user| user.running);
         let share = job.rank.weight / (job.rank.weight + others);
-        f64::from(running + 1) > f64::from(slots) * share * LENIENT
+        f64::from(running + 1) > f64::from(slots) * share * SHARE_TOLERANCE
     }
 }
 
 impl Owner {
     /// Returns whether an endpoint has room for a request now.
-    pub(super) fn fits(&self, now: Moment, endpoint: EndpointId, job: &Job) -> bool {
-        let Some(book) = self.books.get(&endpoint) else {
+    pub(super) fn has_room(&self, now: Moment, endpoint: EndpointId, job: &Job) -> bool {
+        let Some(state) = self.states.get(&endpoint) else {
             return false;
         };
         if job.suspect {
-            return book.open(job.slots) && book.running() == 0;
+            return state.accepts(job.slots) && state.running() == 0;
         }
-        let over = self.over(now, job);
-        let free = if over { 1.0 - RESERVE } else { 1.0 };
-        if !book.open(part(job.slots, free)) {
+        let over = self.is_over_share(now, job);
+        let free = if over { 1.0 - RESERVED_FRACTION } else { 1.0 };
+        if !state.accepts(scaled_count(job.slots, free)) {
             return false;
         }
-        if book.running() == 0 {
+        if state.running() == 0 {
             return true;
         }
         let mean = self.exact_mean(now, job.pool);
         #[expect(clippy::cast_precision_loss, reason = "work is far under 2^52")]
-        let (load, work) = (book.load() as f64, job.work(endpoint) as f64);
-        let limit = multiple(job, endpoint) * mean.max(self.floor(job.pool));
+        let (load, work) = (state.load() as f64, job.work(endpoint) as f64);
+        let limit = allowed_multiple(job, endpoint) * mean.max(self.mean_floor(job.pool));
         // One more is always right where the load is no more than the mean:
         // with few and equal requests, all at the mean, nobody could else
         // ever take a second. A cold one looks for a better place before.
-        let stays = !job.roams(endpoint) && load <= mean * free;
+        let stays = !job.should_try_elsewhere(endpoint) && load <= mean * free;
         stays || load + work <= limit * free
     }
 
-    fn over(&self, now: Moment, job: &Job) -> bool {
-        let Some(shares) = self.shares.get(&job.pool) else {
+    fn is_over_share(&self, now: Moment, job: &Job) -> bool {
+        let Some(usage) = self.usage.get(&job.pool) else {
             return false;
         };
-        if since(now, shares.contended) > CONTENDED {
+        if since(now, usage.last_wait) > CONTENTION_WINDOW {
             return false;
         }
-        let own = self.own(job.pool);
-        shares.over(job, own.endpoints * job.slots)
+        let own = self.own_summary(job.pool);
+        usage.exceeds_share(job, own.endpoints * job.slots)
     }
 
     // A mean under the largest request is taken as that request: a single one
     // on an idle endpoint would else be over the bound.
-    fn floor(&self, pool: Pool) -> f64 {
-        self.shares.get(&pool).map_or(0.0, |s| s.largest)
+    fn mean_floor(&self, pool: Pool) -> f64 {
+        self.usage.get(&pool).map_or(0.0, |s| s.largest)
     }
 
     fn exact_mean(&self, now: Moment, pool: Pool) -> f64 {
         let size = self.view.pool_size(pool);
-        self.means
-            .mean_work(&self.own(pool), size, self.floor(pool), now)
+        self.peer_load
+            .mean_work(&self.own_summary(pool), size, self.mean_floor(pool), now)
     }
 
     /// Returns the mean work of a pool's endpoints, in tokens.
@@ -171,20 +171,20 @@
         clippy::cast_sign_loss,
         reason = "work is positive and far under 2^52"
     )]
-    pub(super) fn mean(&self, now: Moment, pool: Pool) -> u64 {
+    pub(super) fn mean_work(&self, now: Moment, pool: Pool) -> u64 {
         self.exact_mean(now, pool) as u64
     }
 
-    fn own(&self, pool: Pool) -> Summary {
+    fn own_summary(&self, pool: Pool) -> Summary {
         self.summary(Moment::ZERO, pool)
     }
 
     /// Dispatches what waits and now fits, in the order of the queues.
-    pub(super) fn drain(&mut self, now: Moment) -> Vec<Wake> {
+    pub(super) fn dispatch_waiting(&mut self, now: Moment) -> Vec<Wake> {
         let pools: Vec<Pool> = self.queues.keys().copied().collect();
         let mut wakes = Vec::new();
         for pool in pools {
-            while let Some(wake) = self.advance(now, pool) {
+            while let Some(wake) = self.dispatch_next(now, pool) {
                 wakes.push(wake);
             }
         }
@@ -192,43 +192,45 @@
         wakes
     }
 
-    fn advance(&mut self, now: Moment, pool: Pool) -> Option<Wake> {
-        let (ticket, endpoint) = self.fitting(now, pool)?;
+    fn dispatch_next(&mut self, now: Moment, pool: Pool) -> Option<Wake> {
+        let (ticket, endpoint) = self.next_fitting(now, pool)?;
         let job = self.queues.get_mut(&pool)?.take_for_dispatch(ticket)?;
-        self.left(ticket, &job);
+        self.release_ticket(ticket, &job);
         let next = self.grant(now, endpoint, job);
         Some(Wake { ticket, next })
     }
 
     // The first in the queue for which an owned endpoint has room.
-    fn fitting(&mut self, now: Moment, pool: Pool) -> Option<(Ticket, EndpointId)> {
+    fn next_fitting(&mut self, now: Moment, pool: Pool) -> Option<(Ticket, EndpointId)> {
         let view = Arc::clone(&self.view);
         let owned = view.owned_in_pool(pool);
         let mut drains = None;
         let mut found = None;
-        for (ticket, job) in self.queues.get(&pool)?.iter().take(LOOKED_AT) {
+        for (ticket, job) in self.queues.get(&pool)?.iter().take(MAX_QUEUE_SCAN) {
             let mut ranked = owned.iter().copied();
-            if let Some(endpoint) = ranked.find(|id| self.fits_waiting(now, *id, ticket, job)) {
+            if let Some(endpoint) =
+                ranked.find(|id| self.has_room_for_waiting(now, *id, ticket, job))
+            {
                 found = Some((ticket, endpoint));
                 break;
             }
             if job.suspect && drains.is_none() {
                 drains = Some(ticket);
             }
-            if since(now, job.since) > PATIENCE {
+            if since(now, job.waiting_since) > MAX_HEAD_BYPASS {
                 break;
             }
         }
         if let Some(ticket) = drains {
-            self.set_aside(ticket, owned);
+            self.isolate_endpoint(ticket, owned);
         }
-        found.map(|(ticket, endpoint)| self.warmer(now, pool, ticket, endpoint))
+        found.map(|(ticket, endpoint)| self.prefer_warm(now, pool, ticket, endpoint))
     }
 
     // When all endpoints are full, whoever is first in the queue gets the slot
     // that comes free, and every chat goes cold. One of the next few that is
     // warm there goes before, unless the first has waited long.
-    fn warmer(
+    fn prefer_warm(
         &self,
         now: Moment,
         pool: Pool,
@@ -241,39 +243,43 @@
         let Some((_, head)) = jobs.next() else {
             return (first, endpoint);
         };
-        let settled = head.cached(endpoint) > 0 || since(now, head.since) > PATIENCE;
+        let settled = head.cached(endpoint) > 0 || since(now, head.waiting_since) > MAX_HEAD_BYPASS;
         if settled || head.suspect {
             return (first, endpoint);
         }
-        let peers = jobs.take(part(PREFERRED, head.reuse) as usize);
+        let peers = jobs.take(scaled_count(MAX_WARM_SCAN, head.reuse) as usize);
         let mut warm = peers.filter(|(_, job)| {
             let peer = job.rank.priority == head.rank.priority && !job.suspect;
-            peer && job.cached(endpoint) > 0 && self.fits(now, endpoint, job)
+            peer && job.cached(endpoint) > 0 && self.has_room(now, endpoint, job)
         });
         warm.next()
             .map_or((first, endpoint), |(ticket, _)| (ticket, endpoint))
     }
 
-    fn fits_waiting(&self, now: Moment, id: EndpointId, ticket: Ticket, job: &Job) -> bool {
-        let book = self.books.get(&id);
-        let aside = book.is_some_and(|book| book.solo == Solo::Draining(ticket));
+    fn has_room_for_waiting(&self, now: Moment, id: EndpointId, ticket: Ticket, job: &Job) -> bool {
+        let state = self.states.get(&id);
+        let aside = state.is_some_and(|state| state.isolation == Isolation::Draining(ticket));
         if aside {
-            return book.is_some_and(|book| book.running() == 0);
+            return state.is_some_and(|state| state.running() == 0);
         }
-        self.fits(now, id, job)
+        self.has_room(now, id, job)
     }
 
     // One endpoint at a time takes no more until a suspect has run there.
-    fn set_aside(&mut self, ticket: Ticket, owned: &[EndpointId]) {
-        let busy = |id: &EndpointId| self.books.get(id).is_some_and(|b| b.solo != Solo::Off);
+    fn isolate_endpoint(&mut self, ticket: Ticket, owned: &[EndpointId]) {
+        let busy = |id: &EndpointId| {
+            self.states
+                .get(id)
+                .is_some_and(|b| b.isolation != Isolation::Off)
+        };
         if owned.iter().any(busy) {
             return;
         }
         let load = |id: &&EndpointId| self.load(**id);
         if let Some(id) = owned.iter().min_by_key(load).copied()
-            && let Some(book) = self.books.get_mut(&id)
+            && let Some(state) = self.states.get_mut(&id)
         {
-            book.solo = Solo::Draining(ticket);
+            state.isolation = Isolation::Draining(ticket);
         }
     }
 }
@@ -282,20 +288,20 @@
 // may use most of it; a cold one may go anywhere, so the more the policy
 // weighs skew the earlier it moves on. The rest covers what this owner can't
 // know: means that changed since they were told, and wrong estimates.
-fn multiple(job: &Job, endpoint: EndpointId) -> f64 {
+fn allowed_multiple(job: &Job, endpoint: EndpointId) -> f64 {
     let reuse = job.reuse.clamp(0.0, 1.0);
-    let part = if job.roams(endpoint) {
-        COLD + 0.2 * reuse
+    let part = if job.should_try_elsewhere(endpoint) {
+        COLD_HEADROOM + 0.2 * reuse
     } else {
-        WARM + 0.1 * reuse
+        WARM_HEADROOM + 0.1 * reuse
     };
-    1.0 + (job.bound - 1.0) * part
+    1.0 + (job.load_bound - 1.0) * part
 }
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
     reason = "a part of a count is within the count"
 )]
-fn part(slots: u32, free: f64) -> u32 {
+fn scaled_count(slots: u32, free: f64) -> u32 {
     ((f64::from(slots) * free) as u32).max(1)
 }
--- a/crates/decide/src/place.rs
+++ b/crates/decide/src/place.rs
@@ -24,62 +24,71 @@
 #[derive(Clone, Debug)]
 pub struct Ranked<'a> {
     chat: ChatId,
-    near: RegionId,
+    local_region: RegionId,
     weights: Weights,
     groups: &'a [Group],
-    heads: Vec<Option<Head>>,
+    candidates: Vec<Option<Candidate>>,
     started: bool,
-    taken: Option<(usize, (u64, EndpointId))>,
+    last_returned: Option<(usize, (u64, EndpointId))>,
 }
 
 /// How much zones count in the order of a chat.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Weights {
     /// The zone that is favoured, if any.
-    pub zone: Option<ZoneId>,
+    pub preferred_zone: Option<ZoneId>,
     /// The weight of the favoured zone; every other zone weighs 1.
-    pub favour: f64,
+    pub preferred_weight: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Head {
-    near: bool,
-    weighted: f64,
+struct Candidate {
+    in_local_region: bool,
+    weighted_score: f64,
     score: (u64, EndpointId),
 }
 
 impl<'a> Ranked<'a> {
     /// Returns the order of `chat` over `groups`, those of region `near` first.
     #[must_use]
-    pub fn new(groups: &'a [Group], chat: ChatId, near: RegionId, weights: Weights) -> Self {
+    pub fn new(
+        groups: &'a [Group],
+        chat: ChatId,
+        local_region: RegionId,
+        weights: Weights,
+    ) -> Self {
         Self {
             chat,
-            near,
+            local_region,
             weights,
             groups,
-            heads: Vec::new(),
+            candidates: Vec::new(),
             started: false,
-            taken: None,
+            last_returned: None,
         }
     }
 
-    fn start(&mut self) {
+    fn init_candidates(&mut self) {
         self.started = true;
-        self.heads = (0..self.groups.len())
-            .map(|index| self.head(index, None))
+        self.candidates = (0..self.groups.len())
+            .map(|index| self.best_candidate(index, None))
             .collect();
     }
 
     // The best member of a group whose score is under `below`.
-    fn head(&self, index: usize, below: Option<(u64, EndpointId)>) -> Option<Head> {
+    fn best_candidate(&self, index: usize, below: Option<(u64, EndpointId)>) -> Option<Candidate> {
         let group = &self.groups[index];
         let limit = below.unwrap_or((u64::MAX, EndpointId::MAX));
-        let score = best(self.chat, &group.members, limit)?;
-        let favoured = self.weights.zone == Some(group.zone);
-        let weight = if favoured { self.weights.favour } else { 1.0 };
-        Some(Head {
-            near: group.region == self.near,
-            weighted: hash::weighted(self.chat, score.1, weight),
+        let score = best_below(self.chat, &group.members, limit)?;
+        let preferred = self.weights.preferred_zone == Some(group.zone);
+        let weight = if preferred {
+            self.weights.preferred_weight
+        } else {
+            1.0
+        };
+        Some(Candidate {
+            in_local_region: group.region == self.local_region,
+            weighted_score: hash::weighted(self.chat, score.1, weight),
             score,
         })
     }
@@ -90,29 +99,29 @@
 
     fn next(&mut self) -> Option<EndpointId> {
         if !self.started {
-            self.start();
+            self.init_candidates();
         }
-        if let Some((index, score)) = self.taken.take() {
-            self.heads[index] = self.head(index, Some(score));
+        if let Some((index, score)) = self.last_returned.take() {
+            self.candidates[index] = self.best_candidate(index, Some(score));
         }
-        let (index, head) = self
-            .heads
+        let (index, candidate) = self
+            .candidates
             .iter()
             .enumerate()
-            .filter_map(|(index, head)| head.map(|head| (index, head)))
+            .filter_map(|(index, candidate)| candidate.map(|candidate| (index, candidate)))
             .max_by(|(_, a), (_, b)| {
-                (a.near.cmp(&b.near))
-                    .then(a.weighted.total_cmp(&b.weighted))
+                (a.in_local_region.cmp(&b.in_local_region))
+                    .then(a.weighted_score.total_cmp(&b.weighted_score))
                     .then(a.score.cmp(&b.score))
             })?;
-        self.taken = Some((index, head.score));
-        Some(head.score.1)
+        self.last_returned = Some((index, candidate.score));
+        Some(candidate.score.1)
     }
 }
 
 // The loop that a placement spends its time in: two multiplications and a
 // comparison that seldom holds for each member.
-fn best(
+fn best_below(
     chat: ChatId,
     members: &[EndpointId],
     below: (u64, EndpointId),
--- a/crates/decide/src/quarantine.rs
+++ b/crates/decide/src/quarantine.rs
@@ -78,50 +78,50 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Case {
-    crashes: BTreeMap<Place, Moment>,
-    survived: BTreeMap<Place, Moment>,
-    cleared: Option<Moment>,
+struct History {
+    crashes: BTreeMap<Process, Moment>,
+    survived: BTreeMap<Process, Moment>,
+    last_clean: Option<Moment>,
     latest: Moment,
 }
 
 /// The evidence that one instance knows.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    cases: BTreeMap<BodyDigest, Case>,
+    histories: BTreeMap<BodyDigest, History>,
 }
 
 impl Table {
     /// Takes in evidence; returns whether it was new and worth passing on.
     pub fn insert(&mut self, evidence: Evidence) -> bool {
-        let case = self.cases.entry(evidence.digest).or_default();
-        let fresh = case.add(&evidence);
-        self.shed();
+        let history = self.histories.entry(evidence.digest).or_default();
+        let fresh = history.add(&evidence);
+        self.evict_oldest();
         fresh
     }
 
     /// Returns what to do with the request of a digest.
     #[must_use]
     pub fn verdict(&self, digest: &BodyDigest, now: Moment) -> Verdict {
-        self.cases
+        self.histories
             .get(digest)
-            .map_or(Verdict::Clear, |case| case.verdict(now))
+            .map_or(Verdict::Clear, |history| history.verdict(now))
     }
 
     /// Returns all evidence, for an instance that starts with none.
     #[must_use]
     pub fn records(&self) -> Vec<Evidence> {
-        self.cases
+        self.histories
             .iter()
-            .flat_map(|(digest, case)| case.records(*digest))
+            .flat_map(|(digest, history)| history.records(*digest))
             .collect()
     }
 
     /// Returns all evidence on one digest.
     #[must_use]
     pub fn evidence_for(&self, digest: &BodyDigest) -> Vec<Evidence> {
-        let case = self.cases.get(digest);
-        case.map_or_else(Vec::new, |case| case.records(*digest).collect())
+        let history = self.histories.get(digest);
+        history.map_or_else(Vec::new, |history| history.records(*digest).collect())
     }
 
     /// Takes back the crashes of an incarnation that was alive afterwards;
@@ -132,10 +132,14 @@
         incarnation: Incarnation,
         alive: Moment,
     ) -> Vec<Evidence> {
-        let place = (endpoint, incarnation);
-        let held = |case: &Case| case.crashes.get(&place).is_some_and(|at| *at < alive);
-        let accused = self.cases.iter().filter(|(_, case)| held(case));
-        let acquitted: Vec<Evidence> = accused
+        let process = (endpoint, incarnation);
+        let crashed_here =
+            |history: &History| history.crashes.get(&process).is_some_and(|at| *at < alive);
+        let affected = self
+            .histories
+            .iter()
+            .filter(|(_, history)| crashed_here(history));
+        let retracted: Vec<Evidence> = affected
             .map(|(digest, _)| Evidence {
                 digest: *digest,
                 endpoint,
@@ -144,53 +148,56 @@
                 at: alive,
             })
             .collect();
-        let fresh = acquitted.into_iter();
+        let fresh = retracted.into_iter();
         fresh.filter(|evidence| self.insert(*evidence)).collect()
     }
 
     /// Drops evidence that no longer counts.
     pub fn expire(&mut self, now: Moment) {
-        self.cases
-            .retain(|_, case| since(now, case.latest) < EVIDENCE_MAX_AGE);
+        self.histories
+            .retain(|_, history| since(now, history.latest) < EVIDENCE_MAX_AGE);
     }
 
     /// Returns the number of digests with evidence.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.cases.len()
+        self.histories.len()
     }
 
     /// Returns whether there is no evidence.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.cases.is_empty()
+        self.histories.is_empty()
     }
 
     // Over capacity the case that was quiet longest goes, as it is the least
     // likely to be sent again.
-    fn shed(&mut self) {
-        if self.cases.len() <= MAX_DIGESTS {
+    fn evict_oldest(&mut self) {
+        if self.histories.len() <= MAX_DIGESTS {
             return;
         }
-        let oldest = self.cases.iter().min_by_key(|(_, case)| case.latest);
+        let oldest = self
+            .histories
+            .iter()
+            .min_by_key(|(_, history)| history.latest);
         if let Some(digest) = oldest.map(|(digest, _)| *digest) {
-            self.cases.remove(&digest);
+            self.histories.remove(&digest);
         }
     }
 }
 
-impl Case {
+impl History {
     fn add(&mut self, evidence: &Evidence) -> bool {
         self.latest = self.latest.max(evidence.at);
-        let place = (evidence.endpoint, evidence.incarnation);
+        let process = (evidence.endpoint, evidence.incarnation);
         match evidence.kind {
             Kind::Clean => {
-                let newer = self.cleared < Some(evidence.at);
-                self.cleared = self.cleared.max(Some(evidence.at));
+                let newer = self.last_clean < Some(evidence.at);
+                self.last_clean = self.last_clean.max(Some(evidence.at));
                 newer
             }
-            Kind::Crashed => raise(&mut self.crashes, place, evidence.at),
-            Kind::Survived => raise(&mut self.survived, place, evidence.at),
+            Kind::Crashed => update_latest(&mut self.crashes, process, evidence.at),
+            Kind::Survived => update_latest(&mut self.survived, process, evidence.at),
         }
     }
 
@@ -201,8 +208,8 @@
         let counted = self
             .crashes
             .iter()
-            .filter(|(place, at)| self.survived.get(place) < Some(at))
-            .filter(|(_, at)| Some(**at) > self.cleared && since(now, **at) < EVIDENCE_MAX_AGE);
+            .filter(|(process, at)| self.survived.get(process) < Some(at))
+            .filter(|(_, at)| Some(**at) > self.last_clean && since(now, **at) < EVIDENCE_MAX_AGE);
         match counted.count() {
             0 => Verdict::Clear,
             1 => Verdict::Suspect,
@@ -214,7 +221,7 @@
         let crashed = self.crashes.iter().map(|(p, at)| (*p, Kind::Crashed, *at));
         let survived = self.survived.iter();
         let survived = survived.map(|(p, at)| (*p, Kind::Survived, *at));
-        let cleared = self.cleared.map(|at| ((0, 0), Kind::Clean, at));
+        let cleared = self.last_clean.map(|at| ((0, 0), Kind::Clean, at));
         crashed
             .chain(survived)
             .chain(cleared)
@@ -228,14 +235,14 @@
     }
 }
 
-type Place = (EndpointId, Incarnation);
+type Process = (EndpointId, Incarnation);
 
 // Keeps the latest moment of each place; returns whether it moved.
-fn raise(moments: &mut BTreeMap<Place, Moment>, place: Place, at: Moment) -> bool {
-    let known = moments.get(&place).copied();
+fn update_latest(moments: &mut BTreeMap<Process, Moment>, process: Process, at: Moment) -> bool {
+    let known = moments.get(&process).copied();
     if known >= Some(at) {
         return false;
     }
-    moments.insert(place, at);
+    moments.insert(process, at);
     true
 }
--- a/crates/decide/src/queue.rs
+++ b/crates/decide/src/queue.rs
@@ -16,7 +16,7 @@
 pub type Ticket = u64;
 
 /// Virtual time for one token at weight 1; keeps fractions of weights.
-const SCALE: f64 = 1024.0;
+const VIRTUAL_TIME_SCALE: f64 = 1024.0;
 
 /// One workspace in one class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -43,7 +43,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct Position {
     priority: u8,
     start: u64,
     ticket: Ticket,
@@ -52,15 +52,15 @@
 /// A queue of `T` in the order of priority and fair share.
 #[derive(Clone, Debug)]
 pub struct Queue<T> {
-    order: BTreeMap<Place, (Flow, T)>,
-    places: BTreeMap<Ticket, (Place, Moment)>,
-    until: BTreeSet<(Moment, Ticket)>,
-    levels: BTreeMap<u8, Level>,
-    waiting: BTreeMap<Flow, u32>,
+    order: BTreeMap<Position, (Flow, T)>,
+    positions: BTreeMap<Ticket, (Position, Moment)>,
+    deadlines: BTreeSet<(Moment, Ticket)>,
+    levels: BTreeMap<u8, PriorityLevel>,
+    flow_counts: BTreeMap<Flow, u32>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Level {
+struct PriorityLevel {
     virtual_time: u64,
     finish: BTreeMap<Flow, u64>,
 }
@@ -69,10 +69,10 @@
     fn default() -> Self {
         Self {
             order: BTreeMap::new(),
-            places: BTreeMap::new(),
-            until: BTreeSet::new(),
+            positions: BTreeMap::new(),
+            deadlines: BTreeSet::new(),
             levels: BTreeMap::new(),
-            waiting: BTreeMap::new(),
+            flow_counts: BTreeMap::new(),
         }
     }
 }
@@ -99,7 +99,7 @@
     /// Returns how many requests of a flow wait.
     #[must_use]
     pub fn flow_len(&self, flow: Flow) -> u32 {
-        self.waiting.get(&flow).copied().unwrap_or(0)
+        self.flow_counts.get(&flow).copied().unwrap_or(0)
     }
 
     /// Returns whether a queue of `most` has no place for one more of a flow.
@@ -108,10 +108,11 @@
     /// in, up to twice as many: a surge that fills the queue must not keep
     /// the others out of it.
     #[must_use]
-    pub fn is_full_for(&self, most: usize, flow: Flow) -> bool {
-        let flows = self.waiting.len().max(1);
+    pub fn is_full_for(&self, capacity: usize, flow: Flow) -> bool {
+        let flows = self.flow_counts.len().max(1);
         let own = usize::try_from(self.flow_len(flow)).unwrap_or(usize::MAX);
-        self.len() >= 2 * most || (self.len() >= most && own.saturating_mul(flows) >= most)
+        self.len() >= 2 * capacity
+            || (self.len() >= capacity && own.saturating_mul(flows) >= capacity)
     }
 
     /// Puts a request in its place.
@@ -120,39 +121,39 @@
         let finish = level.finish.get(&rank.flow).copied().unwrap_or(0);
         let start = finish.max(level.virtual_time);
         level.finish.insert(rank.flow, start + cost(rank));
-        let place = Place {
+        let position = Position {
             priority: rank.priority,
             start,
             ticket,
         };
-        self.order.insert(place, (rank.flow, item));
-        self.places.insert(ticket, (place, rank.deadline));
-        self.until.insert((rank.deadline, ticket));
-        *self.waiting.entry(rank.flow).or_insert(0) += 1;
+        self.order.insert(position, (rank.flow, item));
+        self.positions.insert(ticket, (position, rank.deadline));
+        self.deadlines.insert((rank.deadline, ticket));
+        *self.flow_counts.entry(rank.flow).or_insert(0) += 1;
     }
 
     /// Returns the waiting requests, first to go first.
     pub fn iter(&self) -> impl Iterator<Item = (Ticket, &T)> {
         self.order
             .iter()
-            .map(|(place, (_, item))| (place.ticket, item))
+            .map(|(position, (_, item))| (position.ticket, item))
     }
 
     /// Takes a request out to dispatch it, which moves the virtual time on.
     pub fn take_for_dispatch(&mut self, ticket: Ticket) -> Option<T> {
-        let (place, _) = *self.places.get(&ticket)?;
-        if let Some(level) = self.levels.get_mut(&place.priority) {
-            level.virtual_time = level.virtual_time.max(place.start);
+        let (position, _) = *self.positions.get(&ticket)?;
+        if let Some(level) = self.levels.get_mut(&position.priority) {
+            level.virtual_time = level.virtual_time.max(position.start);
         }
         self.remove(ticket)
     }
 
     /// Takes a request out without dispatching it.
     pub fn remove(&mut self, ticket: Ticket) -> Option<T> {
-        let (place, until) = self.places.remove(&ticket)?;
-        self.until.remove(&(until, ticket));
-        let (flow, item) = self.order.remove(&place)?;
-        self.leave(flow);
+        let (position, deadline) = self.positions.remove(&ticket)?;
+        self.deadlines.remove(&(deadline, ticket));
+        let (flow, item) = self.order.remove(&position)?;
+        self.decrement_flow(flow);
         if self.order.is_empty() {
             self.levels.clear();
         }
@@ -161,18 +162,18 @@
 
     /// Takes out one request whose time is up.
     pub fn pop_expired(&mut self, now: Moment) -> Option<(Ticket, T)> {
-        let &(until, ticket) = self.until.first()?;
-        if until > now {
+        let &(deadline, ticket) = self.deadlines.first()?;
+        if deadline > now {
             return None;
         }
         self.remove(ticket).map(|item| (ticket, item))
     }
 
-    fn leave(&mut self, flow: Flow) {
-        if let Some(count) = self.waiting.get_mut(&flow) {
+    fn decrement_flow(&mut self, flow: Flow) {
+        if let Some(count) = self.flow_counts.get_mut(&flow) {
             *count -= 1;
             if *count == 0 {
-                self.waiting.remove(&flow);
+                self.flow_counts.remove(&flow);
             }
         }
     }
@@ -185,5 +186,5 @@
     reason = "work is far under 2^52, and the weight is positive"
 )]
 fn cost(rank: &Rank) -> u64 {
-    (rank.work.max(1) as f64 * SCALE / rank.weight.max(f64::MIN_POSITIVE)) as u64
+    (rank.work.max(1) as f64 * VIRTUAL_TIME_SCALE / rank.weight.max(f64::MIN_POSITIVE)) as u64
 }
--- a/crates/decide/src/resume.rs
+++ b/crates/decide/src/resume.rs
@@ -17,7 +17,7 @@
 ///
 /// A connection that breaks three times under one answer says that the engine
 /// or the way to it is broken, and the caller hears of it sooner.
-const MOST: u32 = 2;
+const MAX_RESUMES: u32 = 2;
 
 /// What an event means for the stream that it came in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -45,21 +45,21 @@
 /// How far one stream has come.
 #[derive(Clone, Debug, Default)]
 pub struct Progress {
-    last: Option<u64>,
+    last_event: Option<u64>,
     unnumbered: bool,
     done: bool,
-    asked: u32,
+    resumes: u32,
 }
 
 impl Progress {
     /// Notes a whole event and its number, if it has one.
     pub fn record_event(&mut self, number: Option<u64>) -> EventOrder {
-        let expected = self.last.and_then(|last| last.checked_add(1));
-        let next = number.is_some() && (self.last.is_none() || number == expected);
+        let expected = self.last_event.and_then(|last| last.checked_add(1));
+        let next = number.is_some() && (self.last_event.is_none() || number == expected);
         if next && !self.done {
-            self.last = number;
+            self.last_event = number;
             EventOrder::Next
-        } else if self.asked > 0 {
+        } else if self.resumes > 0 {
             EventOrder::OutOfSequence
         } else {
             self.unnumbered = true;
@@ -70,7 +70,7 @@
     /// Notes that the events have no boundaries that can be relied on.
     pub const fn record_unbounded(&mut self) -> EventOrder {
         self.unnumbered = true;
-        if self.asked > 0 {
+        if self.resumes > 0 {
             EventOrder::OutOfSequence
         } else {
             EventOrder::Unnumbered
@@ -98,23 +98,23 @@
     ///
     /// Asking again counts as a retry.
     pub fn record_break(&mut self, now: Moment, request: &Request, budgets: &mut Budgets) -> Next {
-        let Some(after) = self.last else {
+        let Some(after) = self.last_event else {
             return Next::GiveUp;
         };
-        if self.unnumbered || self.done || self.asked >= MOST || now >= request.deadline {
+        if self.unnumbered || self.done || self.resumes >= MAX_RESUMES || now >= request.deadline {
             return Next::GiveUp;
         }
         if !budgets.try_withdraw(now, request.workspace, request.service) {
             return Next::GiveUp;
         }
-        self.asked += 1;
+        self.resumes += 1;
         Next::Reconnect { after }
     }
 
     /// Returns the number of the last whole event.
     #[must_use]
     pub const fn last_event(&self) -> Option<u64> {
-        self.last
+        self.last_event
     }
 
     /// Notes that the stream broke off and is asked for again after its last
@@ -126,9 +126,9 @@
         if self.unnumbered || self.done {
             return None;
         }
-        if self.last.is_some() {
-            self.asked += 1;
+        if self.last_event.is_some() {
+            self.resumes += 1;
         }
-        self.last
+        self.last_event
     }
 }
--- a/crates/decide/src/resume/events.rs
+++ b/crates/decide/src/resume/events.rs
@@ -11,7 +11,7 @@
 
 /// Bytes of an unfinished event that are held: far above an event of one
 /// token, and 64 MiB for 1,024 streams that all exceed it.
-const HELD: usize = 64 << 10;
+const MAX_PARTIAL_EVENT: usize = 64 << 10;
 
 /// A resumed stream that doesn't go on where it broke off.
 #[derive(Debug, displaydoc::Display)]
@@ -23,7 +23,7 @@
 /// Cuts frames at the ends of events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    held: BytesMut,
+    partial: BytesMut,
 }
 
 impl EventSplitter {
@@ -32,51 +32,51 @@
     /// # Errors
     ///
     /// Returns an error if a resumed stream doesn't go on where it broke off.
-    pub fn push(&mut self, frame: Bytes, resume: &mut Progress) -> Result<Bytes, OutOfSequence> {
+    pub fn push(&mut self, frame: Bytes, progress: &mut Progress) -> Result<Bytes, OutOfSequence> {
         let mut bytes = self.join(frame);
-        if resume.is_unnumbered() {
+        if progress.is_unnumbered() {
             return Ok(bytes);
         }
-        let whole = match scan(&bytes, resume) {
-            Scan::Whole(whole) => whole,
+        let complete = match scan(&bytes, progress) {
+            Scan::Complete(complete) => complete,
             Scan::Unnumbered => return Ok(bytes),
-            Scan::Astray => return Err(OutOfSequence),
+            Scan::OutOfSequence => return Err(OutOfSequence),
         };
-        let rest = bytes.split_off(whole);
-        if rest.len() > HELD {
-            return match resume.record_unbounded() {
+        let rest = bytes.split_off(complete);
+        if rest.len() > MAX_PARTIAL_EVENT {
+            return match progress.record_unbounded() {
                 EventOrder::OutOfSequence => Err(OutOfSequence),
                 EventOrder::Next | EventOrder::Unnumbered => {
-                    self.held.extend_from_slice(&bytes);
-                    self.held.extend_from_slice(&rest);
+                    self.partial.extend_from_slice(&bytes);
+                    self.partial.extend_from_slice(&rest);
                     Ok(self.take_partial())
                 }
             };
         }
-        self.held.extend_from_slice(&rest);
+        self.partial.extend_from_slice(&rest);
         Ok(bytes)
     }
 
     /// Takes out what is held of an unfinished event.
     #[must_use]
     pub fn take_partial(&mut self) -> Bytes {
-        self.held.split().freeze()
+        self.partial.split().freeze()
     }
 
     fn join(&mut self, frame: Bytes) -> Bytes {
-        if self.held.is_empty() {
+        if self.partial.is_empty() {
             return frame;
         }
-        self.held.extend_from_slice(&frame);
+        self.partial.extend_from_slice(&frame);
         self.take_partial()
     }
 }
 
 enum Scan {
     /// Up to here the events are whole.
-    Whole(usize),
+    Complete(usize),
     Unnumbered,
-    Astray,
+    OutOfSequence,
 }
 
 #[derive(Default)]
@@ -86,8 +86,8 @@
     done: bool,
 }
 
-fn scan(bytes: &[u8], resume: &mut Progress) -> Scan {
-    let mut whole = 0;
+fn scan(bytes: &[u8], progress: &mut Progress) -> Scan {
+    let mut complete = 0;
     let mut at = 0;
     let mut event = Event::default();
     for line in bytes.split_inclusive(|byte| *byte == b'\n') {
@@ -98,58 +98,58 @@
         let text = text.strip_suffix(b"\r").unwrap_or(text);
         // A lone carriage return may end a line, too; no engine known does so.
         if text.contains(&b'\r') {
-            return odd(resume.record_unbounded());
+            return scan_of(progress.record_unbounded());
         }
         if !text.is_empty() {
-            event.field(text);
+            event.add_line(text);
             continue;
         }
-        match event.end(resume) {
-            EventOrder::Next => whole = at,
-            seen => return odd(seen),
+        match event.finish(progress) {
+            EventOrder::Next => complete = at,
+            order => return scan_of(order),
         }
         event = Event::default();
     }
-    Scan::Whole(whole)
+    Scan::Complete(complete)
 }
 
-const fn odd(seen: EventOrder) -> Scan {
-    match seen {
-        EventOrder::OutOfSequence => Scan::Astray,
+const fn scan_of(order: EventOrder) -> Scan {
+    match order {
+        EventOrder::OutOfSequence => Scan::OutOfSequence,
         EventOrder::Next | EventOrder::Unnumbered => Scan::Unnumbered,
     }
 }
 
 impl Event {
-    fn field(&mut self, line: &[u8]) {
+    fn add_line(&mut self, line: &[u8]) {
         let value = |name: &[u8]| line.strip_prefix(name).map(<[u8]>::trim_ascii);
         if let Some(id) = value(b"id:") {
             let text = str::from_utf8(id).ok();
             self.number = text.and_then(|text| text.parse().ok());
         }
-        self.done |= is_mark(line);
+        self.done |= is_end_marker(line);
         // A line that begins with a colon is a comment, which keeps a
         // connection alive and belongs to no event.
         self.fields |= !line.starts_with(b":");
     }
 
-    fn end(&self, resume: &mut Progress) -> EventOrder {
+    fn finish(&self, progress: &mut Progress) -> EventOrder {
         if !self.fields {
             return EventOrder::Next;
         }
         if self.done && self.number.is_none() {
-            resume.record_end();
+            progress.record_end();
             return EventOrder::Next;
         }
-        let seen = resume.record_event(self.number);
+        let order = progress.record_event(self.number);
         if self.done {
-            resume.record_end();
+            progress.record_end();
         }
-        seen
+        order
     }
 }
 
-fn is_mark(line: &[u8]) -> bool {
+fn is_end_marker(line: &[u8]) -> bool {
     let data = line.strip_prefix(b"data:");
     data.is_some_and(|data| data.trim_ascii() == b"[DONE]")
 }
@@ -161,7 +161,7 @@
     lines
         .rev()
         .find(|line| !line.is_empty())
-        .is_some_and(is_mark)
+        .is_some_and(is_end_marker)
 }
 
 #[cfg(test)]
--- a/crates/decide/src/resume/events/tests.rs
+++ b/crates/decide/src/resume/events/tests.rs
@@ -1,11 +1,11 @@
 use bytes::Bytes;
 
-use super::{EventSplitter, HELD};
+use super::{EventSplitter, MAX_PARTIAL_EVENT};
 use crate::resume::Progress;
 
-fn push(events: &mut EventSplitter, resume: &mut Progress, frame: &str) -> String {
+fn push(events: &mut EventSplitter, progress: &mut Progress, frame: &str) -> String {
     let frame = Bytes::from(frame.to_owned());
-    let bytes = events.push(frame, resume).unwrap();
+    let bytes = events.push(frame, progress).unwrap();
     String::from_utf8(bytes.to_vec()).unwrap()
 }
 
@@ -16,13 +16,13 @@
         "id:1\r\ndata:a\r\n\r\nid:2\r\ndata:b\r\n\r\ndata:[DONE]\r\n\r\n",
     ] {
         for at in 0..text.len() {
-            let (mut events, mut resume) = (EventSplitter::default(), Progress::default());
-            let first = push(&mut events, &mut resume, &text[..at]);
+            let (mut events, mut progress) = (EventSplitter::default(), Progress::default());
+            let first = push(&mut events, &mut progress, &text[..at]);
             let end = first.is_empty() || first.trim_end_matches('\r').ends_with('\n');
             assert!(end, "{first:?}");
-            let second = push(&mut events, &mut resume, &text[at..]);
+            let second = push(&mut events, &mut progress, &text[at..]);
             assert_eq!(first + &second, text);
-            assert!(resume.is_done() && !resume.is_unnumbered());
+            assert!(progress.is_done() && !progress.is_unnumbered());
         }
     }
 }
@@ -31,10 +31,10 @@
 // router's memory; it is passed on and the stream can't be resumed any more.
 #[test]
 fn an_endless_event_is_not_held() {
-    let (mut events, mut resume) = (EventSplitter::default(), Progress::default());
-    let long = "x".repeat(HELD + 1);
+    let (mut events, mut progress) = (EventSplitter::default(), Progress::default());
+    let long = "x".repeat(MAX_PARTIAL_EVENT + 1);
     let frame = format!("id: 1\ndata: a\n\nid: 2\ndata: {long}");
-    assert_eq!(push(&mut events, &mut resume, &frame), frame);
-    assert!(resume.is_unnumbered());
-    assert_eq!(push(&mut events, &mut resume, "more"), "more");
+    assert_eq!(push(&mut events, &mut progress, &frame), frame);
+    assert!(progress.is_unnumbered());
+    assert_eq!(push(&mut events, &mut progress, "more"), "more");
 }
--- a/crates/decide/src/view.rs
+++ b/crates/decide/src/view.rs
@@ -74,8 +74,8 @@
     ) -> Self {
         let instances: BTreeMap<_, _> = instances.into_iter().map(|i| (i.id, i)).collect();
         let endpoints: BTreeMap<_, _> = endpoints.into_iter().map(|e| (e.id, e)).collect();
-        let owners = owners(&instances, &endpoints);
-        let pools = pools(endpoints.values());
+        let owners = assign_owners(&instances, &endpoints);
+        let pools = build_pools(endpoints.values());
         let mut fleet = Self {
             instances,
             endpoints,
@@ -83,11 +83,11 @@
             owned: BTreeMap::new(),
             pools,
         };
-        fleet.owned = fleet.by_owner();
+        fleet.owned = fleet.group_by_owner();
         fleet
     }
 
-    fn by_owner(&self) -> BTreeMap<InstanceId, BTreeMap<Pool, Vec<EndpointId>>> {
+    fn group_by_owner(&self) -> BTreeMap<InstanceId, BTreeMap<Pool, Vec<EndpointId>>> {
         let mut owned: BTreeMap<_, BTreeMap<Pool, Vec<EndpointId>>> = BTreeMap::new();
         for (pool, groups) in &self.pools {
             for endpoint in groups.iter().flat_map(|group| &group.members) {
@@ -215,10 +215,10 @@
     #[must_use]
     pub fn ranked(&self, pool: Pool, chat: ChatId, zone: ZoneId) -> Ranked<'_> {
         let groups = self.fleet.pools.get(&pool).map_or(&[][..], Vec::as_slice);
-        let plain = pool.model == NO_MODEL;
+        let is_plain = pool.model == NO_MODEL;
         let weights = Weights {
-            zone: plain.then_some(zone),
-            favour: if plain { PLAIN_ZONE_WEIGHT } else { 1.0 },
+            preferred_zone: is_plain.then_some(zone),
+            preferred_weight: if is_plain { PLAIN_ZONE_WEIGHT } else { 1.0 },
         };
         Ranked::new(groups, chat, self.region, weights)
     }
@@ -234,7 +234,7 @@
     }
 }
 
-fn owners(
+fn assign_owners(
     instances: &BTreeMap<InstanceId, Instance>,
     endpoints: &BTreeMap<EndpointId, Endpoint>,
 ) -> BTreeMap<EndpointId, InstanceId> {
@@ -257,8 +257,8 @@
         .values()
         .filter_map(|endpoint| {
             let weights = Weights {
-                zone: Some(endpoint.zone),
-                favour: OWNER_ZONE_WEIGHT,
+                preferred_zone: Some(endpoint.zone),
+                preferred_weight: OWNER_ZONE_WEIGHT,
             };
             let mut ranked = Ranked::new(&groups, endpoint.id, endpoint.region, weights);
             Some((endpoint.id, ranked.next()?))
@@ -266,7 +266,7 @@
         .collect()
 }
 
-fn pools<'a>(endpoints: impl Iterator<Item = &'a Endpoint>) -> BTreeMap<Pool, Vec<Group>> {
+fn build_pools<'a>(endpoints: impl Iterator<Item = &'a Endpoint>) -> BTreeMap<Pool, Vec<Group>> {
     let mut pools: BTreeMap<Pool, BTreeMap<(RegionId, ZoneId), Vec<u64>>> = BTreeMap::new();
     for endpoint in endpoints.filter(|e| e.standing == Standing::Live) {
         let models = endpoint.models.iter().copied();
