--- a/crates/decide/src/entry.rs
+++ b/crates/decide/src/entry.rs
@@ -1,10 +1,11 @@
-//! Decisions of the instance that a caller's request lands on.
+//! Decisions of the instance that receives a caller's request.
 //!
-//! [`route`] says where a request goes first. After an attempt failed,
-//! [`Attempts`] says whether it may go again. It may if the ending proves
-//! that nothing ran, or if the request is repeatable; an unrepeatable request
-//! whose fate is unknown never goes again. Retries are paid from a budget of
-//! the workspace and service, so that an outage is not answered by a storm.
+//! [`route`] returns where a request goes first. After a failed attempt,
+//! [`Attempts`] decides whether it may be sent again. It may if the ending
+//! proves that nothing ran, or if the request is repeatable. A request that is
+//! not repeatable and may have run is never sent again. Retries are paid from
+//! a budget per workspace and service, so that an outage does not cause a
+//! retry storm.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -22,26 +23,28 @@
 use crate::refusal::{Reason, Refusal};
 use crate::view::{Pool, View};
 
-/// Where a request goes first.
+/// The first step of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// The local instance owns the endpoint: offer it to the local owner.
+    /// The local instance owns the endpoint; offer the request to the local
+    /// owner.
     Local {
-        /// The endpoint that placement names.
+        /// The endpoint selected by placement.
         endpoint: EndpointId,
     },
-    /// Another instance owns the endpoint: send it there.
+    /// Another instance owns the endpoint; send the request there.
     Forward {
         /// The owner.
         instance: InstanceId,
-        /// The endpoint that placement names.
+        /// The endpoint selected by placement.
         endpoint: EndpointId,
     },
-    /// It can't run.
+    /// It cannot run.
     Refuse(Refusal),
 }
 
-/// Returns where a request goes first; `zone` is the entry instance's.
+/// Returns where a request goes first; `zone` is the zone of the entry
+/// instance.
 #[must_use]
 pub fn route(view: &View, policy: &Policy, request: &Request, zone: ZoneId) -> Next {
     match find_violation(policy, request) {
@@ -61,8 +64,8 @@
     (!allowed).then_some(Reason::Forbidden)
 }
 
-// The first endpoint in the chat's order that has not failed this request;
-// the first of all if every one has.
+// Selects the first endpoint in the chat's order that has not failed this
+// request, or the first of all if every one has.
 fn place(view: &View, request: &Request, zone: ZoneId, failed: &[EndpointId]) -> Next {
     let mut ranked = view.ranked(Pool::for_request(request), request.chat, zone);
     let Some(home) = ranked.next() else {
@@ -82,28 +85,29 @@
     }
 }
 
-/// Attempts that one request may have.
+/// Maximum number of attempts for one request.
 ///
-/// Four reach an endpoint outside a broken zone with near certainty; more
-/// only add to the load of an outage.
+/// Four attempts reach an endpoint outside a failed zone with near certainty;
+/// more would only add to the load of an outage.
 const MAX_ATTEMPTS: u32 = 4;
 
-/// The first wait before an attempt is repeated, before jitter; doubles.
+/// Maximum delay before the first retry, before jitter; it doubles with each
+/// further retry.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 
-/// What follows a failed attempt.
+/// What to do after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Retry {
-    /// Go again after a wait.
+    /// Send it again after a delay.
     Again {
         /// How long to wait; may be zero.
         after: Duration,
-        /// Where to go then.
+        /// Where to send it then.
         to: Next,
     },
-    /// Answer the caller at once.
+    /// Answer the caller now.
     GiveUp {
-        /// What the caller is told.
+        /// The outcome to report to the caller.
         outcome: Outcome,
         /// When the caller may send it again; goes into `Retry-After`.
         retry_after: Duration,
@@ -119,9 +123,9 @@
 }
 
 impl Attempts {
-    /// Returns the hop to send along with the next attempt.
+    /// Returns the hop to send with the next attempt.
     ///
-    /// `evidence` is what the local owner knows of the request's digest.
+    /// `evidence` is what the local owner knows about the request's digest.
     #[must_use]
     pub fn hop(&self, zone: ZoneId, endpoint: EndpointId, evidence: Vec<Evidence>) -> Hop {
         Hop {
@@ -131,9 +135,9 @@
         }
     }
 
-    /// Notes that an attempt failed and returns what follows.
+    /// Records a failed attempt and returns what to do next.
     ///
-    /// `endpoint` is where it failed, if it got that far.
+    /// `endpoint` is the endpoint where it failed, if it got that far.
     #[expect(clippy::too_many_arguments, reason = "all of it decides")]
     pub fn record_failure(
         &mut self,
@@ -177,7 +181,8 @@
         }
     }
 
-    // One attempt of unknown fate makes the whole request's fate unknown.
+    // A single attempt with an unknown outcome makes the outcome of the
+    // request unknown.
     fn give_up(&self) -> Retry {
         let outcome = if self.outcome_unknown {
             Outcome::Unknown
@@ -191,8 +196,8 @@
     }
 }
 
-// Full jitter. An endpoint that is leaving says nothing about the others, so
-// the first repeat after it goes at once.
+// Uses full jitter. An endpoint that is leaving tells nothing about the
+// others, so the first retry after that is sent at once.
 fn backoff(count: u32, ending: Ending, rng: &mut impl Rng) -> Duration {
     if ending == Ending::Leaving && count == 1 {
         return Duration::ZERO;
@@ -201,18 +206,18 @@
     ceiling.mul_f64(rng.random::<f64>())
 }
 
-/// Part of a budget that each first attempt earns.
+/// Retry tokens that each first attempt adds to the budget.
 ///
 /// A tenth bounds the load that retries add in an outage to 10%.
 const TOKENS_PER_REQUEST: f64 = 0.1;
 
-/// The most that a budget holds, which a quiet workspace starts with.
+/// Maximum number of retry tokens in a budget; a budget starts full.
 const MAX_TOKENS: f64 = 10.0;
 
-/// What a budget earns a second, so that an idle one recovers.
+/// Retry tokens added per second, so that an idle budget recovers.
 const REFILL_PER_SECOND: f64 = 0.1;
 
-/// Budgets of retries, by workspace and service.
+/// Retry budgets by workspace and service.
 #[derive(Clone, Debug, Default)]
 pub struct Budgets {
     buckets: BTreeMap<(WorkspaceId, ServiceId), TokenBucket>,
@@ -233,7 +238,8 @@
 }
 
 impl Budgets {
-    /// Notes a first attempt, which earns a part of a retry.
+    /// Records a first attempt, which adds a fraction of a retry to the
+    /// budget.
     pub fn deposit(&mut self, workspace: WorkspaceId, service: ServiceId) {
         let key = (workspace, service);
         if let Some(bucket) = self.buckets.get_mut(&key) {
@@ -244,7 +250,7 @@
         }
     }
 
-    /// Spends one retry; returns whether there was one.
+    /// Takes one retry from the budget and returns whether there was one.
     pub fn try_withdraw(
         &mut self,
         now: Moment,
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -1,13 +1,15 @@
-//! Traffic decisions: placement, load bound, queues, limits, retries, quarantine.
+//! Traffic decisions: placement, load bound, queues, limits, retries,
+//! quarantine.
 //!
-//! Nothing here does I/O, reads a clock or draws its own randomness. An event
-//! comes in with its moment, an enum of what to do next goes out; the router
-//! is an adapter around that, and so are the tests and the bench.
+//! Nothing here does I/O, reads a clock or creates its own source of
+//! randomness. Each function takes an event and the current time and returns
+//! an enum that says what to do next. The router, the tests and the benchmarks
+//! are adapters around that.
 //!
-//! A request lands on an entry instance ([`entry::route`]), which sends it to
-//! the [`owner::Owner`] of the endpoint that placement names. The owner alone
-//! dispatches to its endpoints, so it counts, bounds and queues their work
-//! exactly. `docs/design/placement.md` says what was weighed.
+//! A request arrives at an entry instance ([`entry::route`]), which sends it
+//! to the [`owner::Owner`] of the endpoint that placement selects. Only the
+//! owner dispatches to its endpoints, so it can count, bound and queue their
+//! work exactly. `docs/design/placement.md` compares the alternatives.
 
 pub mod chats;
 pub mod ending;
--- a/crates/decide/src/limit.rs
+++ b/crates/decide/src/limit.rs
@@ -1,9 +1,9 @@
-//! Limits of a workspace over the whole fleet, kept without coordination.
+//! Workspace limits over the whole fleet, enforced without coordination.
 //!
-//! Each instance enforces a local share. Shares start at an even part of the
-//! limit, times a slack for unevenly spread callers. While a word of every
-//! other instance is fresh, they follow the demand told instead.
-//! `docs/design/limits.md` says what else was weighed.
+//! Each instance enforces a local share of the limit. A share starts as an
+//! even part of the limit times a factor for unevenly spread callers. While a
+//! recent report of every other instance is known, shares follow the reported
+//! demand instead. `docs/design/limits.md` compares the alternatives.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -15,59 +15,63 @@
 
 use crate::refusal::{Reason, Refusal};
 
-/// How long a word on demand counts, from when it came.
+/// How long a demand report is used after it was received.
 ///
-/// Peers are met once a round, in a new order each round: with a contact a
-/// second, eight instances meet within 13 seconds at worst.
+/// Each round of gossip contacts all peers once, in a new random order. With
+/// one contact per second, eight instances meet within 13 seconds at worst.
 const DEMAND_MAX_AGE: Duration = Duration::from_secs(15);
 
-/// A local share before any demand was heard, in even parts of the limit.
+/// Factor on the even part of the limit that gives the local share while
+/// demand is unknown.
 ///
-/// Balancers spread connections, not requests: with six instances, a busy
-/// connection easily brings one instance twice its part.
+/// Load balancers spread connections, not requests. With six instances, a busy
+/// connection easily brings one instance twice its even part.
 const DEFAULT_SHARE_FACTOR: f64 = 2.0;
 
-/// The least rate share, in requests a second; a share of nothing would
-/// never be used and so never be seen to be needed.
+/// Minimum local share of the rate, in requests per second. A share of zero
+/// would never be used, so the need for it would never show.
 const MIN_RATE_SHARE: f64 = 1.0;
 
-/// Demands in one word at most; with 20 bytes each they fit beside the rest
-/// of a gossip message.
+/// Maximum number of demands in one report. At 20 bytes each, they fit beside
+/// the rest of a gossip message.
 pub const MAX_DEMANDS: usize = 8;
 
-/// The part of an even share under which demand is not told.
+/// Fraction of an even share below which demand is not reported.
 ///
-/// What is not told is taken for none, so the fleet may admit this part of
-/// the limit beyond it.
+/// Demand that is not reported counts as none, so the fleet may admit this
+/// fraction of the limit beyond it.
 pub const MIN_REPORTED_PRESSURE: f64 = 0.25;
 
-/// The least time that demand is measured over, just under a gossip period.
+/// Minimum interval over which demand is measured, just under a gossip period.
 const MIN_MEASURE_INTERVAL: Duration = Duration::from_millis(900);
 
-/// Measures, a second apart, that a demand has to last to be proven.
+/// Number of samples, a second apart, over which demand must last to count as
+/// sustained.
 ///
-/// By then most of six instances were told of it, at two meetings a second.
+/// By then most of six instances have been told of it, at two gossip contacts
+/// per second.
 const SUSTAINED_SAMPLES: usize = 5;
 
-/// A share at most, in proven demand.
+/// Maximum local share as a multiple of the sustained demand.
 ///
-/// Without it a surge that reaches all instances at once would meet shares
-/// that each still hold the whole limit, until the instances hear of it.
+/// Without this limit, a surge that reaches all instances at once would find
+/// each share still at the whole limit until the instances hear of it.
 const MAX_SUSTAINED_FACTOR: f64 = 2.0;
 
-/// What one instance saw a workspace ask for.
+/// The demand of one workspace as seen by one instance.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
-    /// The workspace.
+    /// The workspace concerned.
     pub workspace: WorkspaceId,
-    /// Requests a second, smoothed over some seconds, refused ones included.
+    /// Requests per second, smoothed over some seconds, including refused
+    /// ones.
     pub rate: f32,
-    /// Admitted requests at once.
+    /// Number of admitted requests that are running.
     pub running: u32,
 }
 
-// All that one source told last; a workspace that is missing from it is quiet
-// there, unless the word was full and may have had no room for it.
+// The latest report of one instance. A workspace that is missing from it has
+// little demand there, unless the report was full and had no room for it.
 #[derive(Clone, Debug)]
 struct DemandReport {
     received: Moment,
@@ -85,7 +89,7 @@
     samples: VecDeque<(f64, u32)>,
 }
 
-// What all others told of one workspace, summed.
+// The sum of what all other instances reported for one workspace.
 #[derive(Clone, Copy, Debug, Default)]
 struct PeerDemand {
     rate: f64,
@@ -101,12 +105,13 @@
 }
 
 impl Limits {
-    /// Admits a request of a workspace or refuses it; `instances` are live.
+    /// Admits or refuses a request of a workspace; `instances` is the number
+    /// of live instances.
     ///
     /// # Errors
     ///
-    /// Returns the refusal if the local share of the rate or of the requests
-    /// at once is used up.
+    /// Returns a refusal if the local share of the rate or of the concurrent
+    /// requests is used up.
     pub fn admit(
         &mut self,
         now: Moment,
@@ -136,15 +141,16 @@
         Ok(())
     }
 
-    /// Notes that an admitted request ended, however it did.
+    /// Records that an admitted request ended, whatever its result.
     pub fn release(&mut self, id: WorkspaceId) {
         if let Some(meter) = self.meters.get_mut(&id) {
             meter.running = meter.running.saturating_sub(1);
         }
     }
 
-    /// Returns the demand to tell the others: the [`MAX_DEMANDS`] workspaces that
-    /// press most on their even share, and none under [`MIN_REPORTED_PRESSURE`] of it.
+    /// Returns the demand to report to the other instances: the
+    /// [`MAX_DEMANDS`] workspaces with the highest demand relative to their
+    /// even share, and none under [`MIN_REPORTED_PRESSURE`] of it.
     pub fn demands(
         &mut self,
         now: Moment,
@@ -167,8 +173,7 @@
         pressed.into_iter().map(|(_, demand)| demand).collect()
     }
 
-    /// Takes in all that another instance told at once, in place of what it
-    /// told before.
+    /// Replaces what another instance reported before with its new report.
     pub fn record_demands(&mut self, now: Moment, source: InstanceId, demands: &[Demand]) {
         let report = DemandReport {
             received: now,
@@ -193,8 +198,8 @@
             .retain(|_, report| since(now, report.received) < DEMAND_MAX_AGE);
     }
 
-    // Nothing unless every other instance's word is known: a sum over some of
-    // them would leave each instance more of the limit than there is.
+    // Returns `None` unless a report of every other instance is known. A
+    // partial sum would leave each instance more of the limit than there is.
     fn peer_demand(&self, now: Moment, id: WorkspaceId, instances: usize) -> Option<PeerDemand> {
         let mut sum = PeerDemand::default();
         let mut known = 1;
@@ -225,15 +230,15 @@
             since(now, self.last_fill).as_secs_f64()
         };
         self.last_fill = now;
-        // A second's worth may come at once.
+        // Allows a burst of one second's worth of requests.
         self.tokens = (self.tokens + elapsed * rate).min(rate.max(1.0));
     }
 
     fn measure(&mut self, elapsed: f64) {
         let rate = f64::from(self.requests) / elapsed;
         self.requests = 0;
-        // Half of the newest second: smooth enough to share by, and a surge
-        // shows within two seconds.
+        // The newest second has a weight of one half. That is smooth enough to
+        // compute shares from, and a surge still shows within two seconds.
         self.rate += (rate - self.rate) * 0.5;
         self.samples.push_back((self.rate, self.running));
         if self.samples.len() > SUSTAINED_SAMPLES {
@@ -254,7 +259,7 @@
         share(limit, running, peers, sustained, instances).max(1.0)
     }
 
-    // The demand that lasted through all of the last measures.
+    // Returns the smallest value of all recent samples.
     fn sustained(&self, figure: impl Fn(&(f64, u32)) -> f64) -> f64 {
         if self.samples.len() < SUSTAINED_SAMPLES {
             return 0.0;
@@ -265,7 +270,7 @@
             .fold(f64::INFINITY, f64::min)
     }
 
-    // The larger of the two demands in even shares.
+    // Returns the larger of the two demands, in units of the even share.
     #[expect(clippy::cast_precision_loss, reason = "few instances")]
     fn pressure(&self, workspace: &Workspace, instances: usize) -> f64 {
         let rate = self.rate / workspace.rate;
@@ -286,8 +291,9 @@
     }
 }
 
-// What the others leave of the limit, or this instance's part of it by
-// demand if together they ask for more. Unless all are heard: an even part.
+// Returns what the peers leave of the limit or, if total demand exceeds it, a
+// part in proportion to this instance's demand. Without reports of all peers
+// it is an even part times the default factor.
 #[expect(clippy::cast_precision_loss, reason = "few instances")]
 fn share(limit: f64, own: f64, peers: Option<f64>, sustained: f64, instances: usize) -> f64 {
     let even = limit / instances.max(1) as f64;
--- a/crates/decide/src/owner.rs
+++ b/crates/decide/src/owner.rs
@@ -1,14 +1,15 @@
 //! The owner of endpoints: the one instance that dispatches to them.
 //!
-//! It sees all traffic to its endpoints, so it knows their work exactly,
-//! keeps it under the bound, queues by class and workspace, and remembers
-//! where chats went. Each call is a few microseconds of table work under the
-//! caller's lock. When two instances take themselves for the owner of one
-//! endpoint, each counts its own work and adds what the endpoint's lagging
-//! report shows beyond it.
+//! The owner sees all traffic to its endpoints. It therefore knows their work
+//! exactly, keeps it under the load bound, queues requests by class and
+//! workspace, and records where chats ran. Each call takes a few microseconds
+//! of table lookups under the caller's lock. When two instances both act as
+//! owner of one endpoint, each counts its own work and adds whatever the
+//! endpoint's delayed report shows beyond that.
 //!
-//! *Not run* rests on [`Owner::cancel`]: it returns true only if the request
-//! was still in the queue, and then no [`Wake`] will ever dispatch it.
+//! The outcome *not run* relies on [`Owner::cancel`]: it returns true only if
+//! the request was still in the queue, and then no [`Wake`] will ever dispatch
+//! it.
 
 mod change;
 mod endpoint;
@@ -39,58 +40,59 @@
 use crate::refusal::{Reason, Refusal};
 use crate::view::{Pool, View};
 
-/// A number for a request that runs, unique at its owner.
+/// Identifies a running request; unique at its owner.
 pub type AttemptId = u64;
 
-/// Requests that may wait at one owner for one pool.
+/// Maximum number of requests that wait at one owner for one pool.
 ///
-/// At ten requests a second an owner's queue of this length is far past any
-/// deadline; it bounds memory, at some 300 bytes each, to 300 KB a pool.
+/// At ten requests per second, a request at the end of a queue of this length
+/// would wait far past any deadline. The bound limits memory to 300 KB per
+/// pool, at about 300 bytes per request.
 const MAX_QUEUED_REQUESTS: usize = 1024;
 
-/// Leave to dispatch a request now.
+/// Permission to dispatch a request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// Names the attempt in [`Owner::finish`], which must be called once.
+    /// The attempt's id, to be passed to [`Owner::finish`] exactly once.
     pub attempt: AttemptId,
-    /// Where to send it.
+    /// The endpoint to send it to.
     pub endpoint: EndpointId,
-    /// Prompt tokens estimated to be cached there.
+    /// Prompt tokens estimated to be cached at the endpoint.
     pub cached: u32,
-    /// The priority to tell the engine; 0 goes first.
+    /// The priority to pass to the engine; 0 is the highest.
     pub priority: u8,
-    /// The owner of the chat's home, if it is another instance: it has to be
-    /// told of the location with [`Owner::record_location`].
+    /// The owner of the chat's home endpoint, if it is another instance. The
+    /// location must be passed to its [`Owner::record_location`].
     pub notify_home: Option<(InstanceId, Location)>,
 }
 
-/// What to do with a request that was offered.
+/// What to do with an offered request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Next {
     /// Send it to the endpoint now.
     Dispatch(Grant),
-    /// Keep it; a [`Wake`] with this ticket follows, at `until` the latest.
+    /// Keep it. A [`Wake`] with this ticket follows, no later than `until`.
     Wait {
-        /// Its number in the queue.
+        /// Its ticket in the queue.
         ticket: Ticket,
-        /// When it is refused if nothing came before.
+        /// When it is refused if it has not been dispatched.
         until: Moment,
     },
     /// Send it to another owner, with this hop.
     Forward {
-        /// The owner.
+        /// The owner to send it to.
         instance: InstanceId,
-        /// What to send along; names the endpoint.
+        /// The hop to send with it; it names the endpoint.
         hop: Hop,
     },
-    /// It was not run here and won't be.
+    /// It was not run here and will not be.
     Refuse(Refusal),
 }
 
-/// What to do now with a request that waited.
+/// What to do with a request that was waiting.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Wake {
-    /// Its number in the queue, gone now.
+    /// Its ticket, which is no longer in the queue.
     pub ticket: Ticket,
     /// What to do; never [`Next::Wait`].
     pub next: Next,
@@ -124,7 +126,7 @@
 }
 
 impl Owner {
-    /// Returns an owner with nothing running.
+    /// Returns an owner with no running requests.
     #[must_use]
     pub fn new(view: Arc<View>, policy: Arc<Policy>) -> Self {
         let mut owner = Self {
@@ -148,7 +150,7 @@
         owner
     }
 
-    /// Decides on a request that arrived with its hop.
+    /// Decides what to do with a request that arrived with this hop.
     pub fn offer(&mut self, now: Moment, request: &Request, hop: &Hop) -> Next {
         for evidence in &hop.evidence {
             self.quarantine.insert(*evidence);
@@ -159,12 +161,14 @@
         }
     }
 
-    /// Takes in where another owner placed a chat whose home is here.
+    /// Records where another owner placed a chat whose home endpoint is owned
+    /// here.
     pub fn record_location(&mut self, location: Location) {
         self.chats.insert(location);
     }
 
-    /// Takes in how an attempt ended; returns who goes next.
+    /// Records how an attempt ended and returns the waiting requests to
+    /// proceed with.
     pub fn finish(&mut self, now: Moment, attempt: AttemptId, ending: Ending) -> Vec<Wake> {
         let Some(running) = self.running.remove(&attempt) else {
             return Vec::new();
@@ -195,8 +199,9 @@
         }
     }
 
-    // A break is held against the request at once, since its caller may send
-    // it again within milliseconds; a later sign of life takes it back.
+    // A broken connection counts as a crash at once, because the caller may
+    // resend the request within milliseconds. A later report that the same
+    // incarnation is alive retracts it.
     fn record_attempt_evidence(&mut self, now: Moment, running: &Running, ending: Ending) {
         let Some(state) = self.states.get_mut(&running.endpoint) else {
             return;
@@ -225,10 +230,10 @@
         }
     }
 
-    /// Takes a request out of the queue.
+    /// Cancels a waiting request.
     ///
-    /// Returns true only if it still waited; it will never be dispatched
-    /// then, and *not run* is true as far as this instance goes.
+    /// Returns true only if it was still waiting. It will then never be
+    /// dispatched, and *not run* is true as far as this instance is concerned.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
         self.dequeue(ticket).is_some()
     }
@@ -253,17 +258,19 @@
         }
     }
 
-    /// Lets time pass: refuses what waited too long, moves on what came here
-    /// by mistake, tries closed endpoints again. Called about every 100 ms.
+    /// Performs periodic work: refuses requests whose deadline passed,
+    /// reroutes requests for pools that are not owned here, and tries closed
+    /// endpoints again. Called about every 100 ms.
     pub fn tick(&mut self, now: Moment) -> Vec<Wake> {
         self.expire_tables(now);
         for state in self.states.values_mut() {
             state.health.handle(health::Event::Tick(now));
         }
         let mut wakes = self.refuse_expired(now);
-        // An instance that lags may still send here what this one no longer
-        // owns. With its forwards used up such a request waits here, where no
-        // end of another would ever wake it.
+        // An instance with an outdated view may still send requests for
+        // endpoints that are no longer owned here. A request that has no
+        // forwards left waits here, and because nothing is owned, no finishing
+        // request would ever wake it.
         wakes.extend(self.reroute_waiting());
         wakes.extend(self.dispatch_waiting(now));
         wakes
@@ -296,7 +303,7 @@
             .collect()
     }
 
-    /// Takes in an endpoint's own lagging report.
+    /// Applies an endpoint's own report, which lags behind.
     pub fn apply_report(&mut self, endpoint: EndpointId, report: &Report) {
         let Some(state) = self.states.get_mut(&endpoint) else {
             return;
@@ -313,8 +320,8 @@
         }
     }
 
-    // The incarnation that a connection broke to was alive afterwards, so it
-    // had not crashed.
+    // A report taken after the connection broke shows that the same
+    // incarnation was still alive, so it had not crashed.
     fn retract_crashes(&mut self, endpoint: EndpointId, alive: Moment) {
         let Some(state) = self.states.get_mut(&endpoint) else {
             return;
@@ -332,7 +339,8 @@
         }
     }
 
-    /// Takes in an engine's cache event, which may be late and follow a gap.
+    /// Applies an engine's cache event. Events may be late, and earlier ones
+    /// may have been lost.
     pub fn apply_cache_event(&mut self, endpoint: EndpointId, event: &chats::Event) {
         let row = self.chats.peek(event.pool, event.chat);
         let seen = row.filter(|row| row.endpoint == endpoint && row.seen <= event.at);
@@ -346,15 +354,15 @@
         self.chats.apply_event(endpoint, event);
     }
 
-    /// Returns the load of the owned endpoints of each pool, to be told to
-    /// the others.
+    /// Returns a load summary of the owned endpoints for each pool, to send to
+    /// the other instances.
     #[must_use]
     pub fn summaries(&self, now: Moment) -> Vec<Summary> {
         let pools = self.view.owned_pools().keys();
         pools.map(|pool| self.summary(now, *pool)).collect()
     }
 
-    /// Returns the summary of one pool, to send along with an answer.
+    /// Returns the summary of one pool, to send along with a response.
     #[must_use]
     pub fn summary(&self, now: Moment, pool: Pool) -> Summary {
         let owned = self.view.owned_in_pool(pool);
@@ -368,46 +376,48 @@
         }
     }
 
-    /// Takes in summaries of other instances.
+    /// Records summaries of other instances.
     pub fn record_summaries(&mut self, summaries: &[Summary]) {
         for summary in summaries {
             self.peer_load.record(*summary);
         }
     }
 
-    /// Returns what became known of requests that crash endpoints since the
-    /// last call. To be sent to every instance at once, not with the gossip:
-    /// the caller may send the request again within milliseconds.
+    /// Returns the evidence on requests that crash endpoints collected since
+    /// the last call.
+    ///
+    /// The caller must send it to every instance at once rather than with the
+    /// gossip, because the request may be resent within milliseconds.
     pub fn take_evidence(&mut self) -> Vec<Evidence> {
         std::mem::take(&mut self.unsent_evidence)
     }
 
-    /// Returns what is known of one digest, to send along with the request.
+    /// Returns the evidence on one digest, to send along with the request.
     #[must_use]
     pub fn evidence_for(&self, digest: &BodyDigest) -> Vec<Evidence> {
         self.quarantine.evidence_for(digest)
     }
 
-    /// Returns the quarantine, for operators to look at.
+    /// Returns the quarantine table, for operators to inspect.
     #[must_use]
     pub const fn quarantine(&self) -> &quarantine::Table {
         &self.quarantine
     }
 
-    /// Takes in evidence of other instances; returns what was new, to be
+    /// Records evidence from other instances and returns what was new, to be
     /// passed on.
     pub fn record_evidence(&mut self, evidence: &[Evidence]) -> Vec<Evidence> {
         let fresh = evidence.iter().copied();
         fresh.filter(|e| self.quarantine.insert(*e)).collect()
     }
 
-    /// Returns the number of requests that run.
+    /// Returns the number of running requests.
     #[must_use]
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Returns the number of requests that wait.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.tickets.len()
@@ -420,11 +430,12 @@
     }
 }
 
-/// From one look for what has expired to the next.
+/// How often expired entries are removed from the tables.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The longest that one call spends on a queue, in requests looked at.
+/// Maximum number of queued requests that one call examines.
 const MAX_QUEUE_SCAN: usize = 64;
 
-/// How long the first in a queue may be passed by others that fit.
+/// How long later requests that fit may be dispatched ahead of the first one
+/// in a queue.
 const MAX_HEAD_BYPASS: Duration = Duration::from_secs(2);
--- a/crates/decide/src/owner/change.rs
+++ b/crates/decide/src/owner/change.rs
@@ -1,4 +1,5 @@
-//! What a change of lists moves: homes, owners, and those who wait.
+//! Applies changes of the instance and endpoint lists: moved homes, moved
+//! ownership, and waiting requests that must move.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -15,18 +16,20 @@
 use crate::refusal::{Reason, Refusal};
 use crate::view::{Pool, View};
 
-/// Part of the mean that an endpoint taken over is presumed to be above it:
-/// a fifth, so that it gets little before its first report.
+/// Divisor for the part of the mean work by which an endpoint taken over is
+/// assumed to exceed it. A fifth above the mean keeps it from getting much
+/// work before its first report.
 const PRESUMED_EXCESS_DIVISOR: u64 = 5;
 
-/// Locations looked at in one call of [`Owner::next_handover_batch`], some 200 us.
+/// Locations examined in one call of [`Owner::next_handover_batch`], which
+/// takes about 200 us.
 const HANDOVER_BATCH: usize = 512;
 
 impl Owner {
-    /// Goes over to a new view and policy.
+    /// Switches to a new view and policy.
     ///
-    /// Running requests stay counted until they finish. Those that wait for a
-    /// pool of which nothing is owned here any more move to its owners.
+    /// Running requests stay counted until they finish. Requests that wait for
+    /// a pool without owned endpoints move to the owners of that pool.
     pub fn apply_view(&mut self, now: Moment, view: Arc<View>, policy: Arc<Policy>) -> Vec<Wake> {
         self.start_handover(&view);
         let pools = view.owned_pools().keys();
@@ -42,13 +45,15 @@
         wakes
     }
 
-    // Homes move with the endpoints and with their owners; what is known of
-    // the chats whose home or context moves goes along.
+    // Home endpoints change with the set of endpoints and with their owners.
+    // The locations of chats whose home endpoint or cache moves to another
+    // owner are handed over to it.
     pub(super) fn start_handover(&mut self, next: &View) {
         if self.view.same_ownership(next) {
             return;
         }
-        // With some of the last move left to do, both are done from before it.
+        // If the previous handover is not complete, the new one compares with
+        // the view from before both.
         if self.pending_handover.is_empty() {
             self.handover_base = Arc::clone(&self.view);
         }
@@ -62,13 +67,14 @@
         self.is_current_incarnation(location.endpoint, location.incarnation)
     }
 
-    /// Returns chat locations that belong to other owners in the present
-    /// view, with whom they go to; looks at some of the table in each call,
-    /// and returns `None` when there is no more to look at.
+    /// Returns chat locations that belong to other owners in the current view,
+    /// each with the instance to send it to.
     ///
-    /// Homes move when [`Owner::apply_view`] brings other endpoints or instances;
-    /// on a graceful stop, when the view has the local instance as leaving,
-    /// all of them do. Called at each tick, and on a stop until it is done.
+    /// Each call examines a part of the table; `None` means that nothing is
+    /// left to examine. Home endpoints move when [`Owner::apply_view`] brings
+    /// other endpoints or instances. On a graceful stop, when the view lists
+    /// the local instance as leaving, all of them move. Called at each tick,
+    /// and on a stop until it is done.
     pub fn next_handover_batch(&mut self) -> Option<Vec<(InstanceId, Location)>> {
         if self.pending_handover.is_empty() {
             return None;
@@ -85,8 +91,9 @@
         )
     }
 
-    // The owners of the chat's home and of the endpoint where it is warm, if
-    // they were here in the former view and are elsewhere now.
+    // Returns the owners of the chat's home endpoint and of the endpoint where
+    // it is cached, as far as they were local in the view before the handover
+    // and are remote now.
     pub(super) fn new_owners(&self, location: &Location) -> Vec<(InstanceId, Location)> {
         if !self.is_current(location) || location.tokens == 0 {
             return Vec::new();
@@ -107,18 +114,20 @@
         owners.into_iter().map(|id| (id, *location)).collect()
     }
 
-    /// Takes over chat locations of an instance that stops.
+    /// Takes over the chat locations of an instance that stops.
     pub fn accept_handover(&mut self, locations: &[Location]) {
-        // The most recently used come first and have to be put last.
+        // The sender lists the most recently used first. They must be inserted
+        // last to stay the most recent ones.
         for location in locations.iter().rev() {
             self.record_location(*location);
         }
     }
 
-    // An endpoint that was another's until now has work that no report has
-    // shown here yet, and its last owner may go on for seconds. Taken to be
-    // idle, it would get twice its bound; so it is taken to be somewhat above
-    // the mean until a report that was taken from now on says what is there.
+    // An endpoint that has just changed owners carries work that no report has
+    // shown here yet, and its previous owner may go on dispatching for
+    // seconds. Treated as idle, it would get twice its bound. Its work is
+    // therefore assumed to be somewhat above the mean until a report taken
+    // from now on shows the real figure.
     pub(super) fn add_taken_over(&mut self, now: Moment, last: &View, means: &BTreeMap<Pool, u64>) {
         let view = Arc::clone(&self.view);
         for (pool, owned) in view.owned_pools() {
@@ -141,7 +150,8 @@
         endpoint.is_some_and(|endpoint| endpoint.incarnation == incarnation)
     }
 
-    // Books of endpoints that the view lost stay while something runs there.
+    // Keeps the state of an endpoint that is no longer owned while requests
+    // still run on it.
     pub(super) fn sync_states(&mut self) {
         let view = Arc::clone(&self.view);
         for endpoint in view.endpoints() {
@@ -159,7 +169,8 @@
         });
     }
 
-    // What waits for a pool with no endpoint left here moves on.
+    // Reroutes the requests that wait for a pool without an endpoint owned
+    // here.
     pub(super) fn reroute_waiting(&mut self) -> Vec<Wake> {
         let view = Arc::clone(&self.view);
         let here = |pool: Pool| !view.owned_in_pool(pool).is_empty();
--- a/crates/decide/src/owner/endpoint.rs
+++ b/crates/decide/src/owner/endpoint.rs
@@ -1,4 +1,4 @@
-//! What an owner keeps on one of its endpoints.
+//! The state that an owner keeps for one of its endpoints.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,42 +11,45 @@
 use crate::health::{Access, Machine};
 use crate::queue::Ticket;
 
-/// How far back the owner's own counts are kept, to compare with reports.
+/// How long the owner's own request counts are kept, to compare them with
+/// reports.
 const REQUEST_HISTORY: Duration = Duration::from_secs(10);
 
-/// How far a report's moment may be off the owner's clock.
+/// Maximum difference between a report's time and the owner's clock.
 ///
-/// A request is counted here before it reaches the endpoint, and clocks
-/// differ by some milliseconds; the greatest own count about that moment is
-/// what the report may contain of ours.
+/// A request is counted here before it reaches the endpoint, and clocks differ
+/// by some milliseconds. The highest own count within this distance of the
+/// report's time is what the report may include of this owner's requests.
 const MAX_CLOCK_SKEW: Duration = Duration::from_millis(50);
 
-/// Evictions that the horizon is taken from.
+/// Number of recent evictions that the eviction horizon is computed from.
 const EVICTION_SAMPLES: usize = 8;
 
-/// Whether an endpoint is set aside for one suspect request.
+/// Whether an endpoint is reserved for one suspect request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Isolation {
-    /// It takes requests side by side.
+    /// It runs requests concurrently.
     Off,
-    /// It takes no more until it is idle, for a waiting suspect.
+    /// It accepts no new requests until it is idle; the suspect with this
+    /// ticket waits for it.
     Draining(Ticket),
-    /// It runs a suspect alone.
+    /// It runs a suspect and nothing else.
     Running(AttemptId),
 }
 
-/// What an owner keeps on one of its endpoints.
+/// The state that an owner keeps for one of its endpoints.
 #[derive(Debug)]
 pub struct EndpointState {
-    /// Its health.
+    /// The endpoint's health.
     pub health: Machine,
-    /// Estimated work that this owner has running on it, in tokens.
+    /// Estimated work of this owner's running requests, in tokens.
     pub work: u64,
-    /// Requests that this owner has running on it.
+    /// Number of this owner's running requests.
     pub requests: u32,
-    /// Whether it is set aside for a suspect.
+    /// Whether the endpoint is reserved for a suspect.
     pub isolation: Isolation,
-    /// When the last attempt broke on it without a sign of life since.
+    /// When the last attempt's connection broke, unless the endpoint has been
+    /// seen alive since.
     pub broken_at: Option<Moment>,
     others: (u32, u64),
     last_report: Moment,
@@ -55,7 +58,7 @@
 }
 
 impl EndpointState {
-    /// Returns the book of an idle endpoint.
+    /// Returns the state of an idle endpoint.
     #[must_use]
     pub fn new(incarnation: Incarnation) -> Self {
         Self {
@@ -71,21 +74,21 @@
         }
     }
 
-    /// Returns all work on the endpoint: this owner's and what a report
+    /// Returns all work on the endpoint: this owner's work plus what a report
     /// showed beyond it.
     #[must_use]
     pub const fn load(&self) -> u64 {
         self.work + self.others.1
     }
 
-    /// Returns all requests on the endpoint.
+    /// Returns the number of all requests on the endpoint.
     #[must_use]
     pub const fn running(&self) -> u32 {
         self.requests + self.others.0
     }
 
-    /// Returns whether it may get one more request side by side with others,
-    /// `slots` of which it runs at once.
+    /// Returns whether the endpoint accepts one more concurrent request when
+    /// it runs `slots` requests at once.
     #[must_use]
     pub fn accepts(&self, slots: u32) -> bool {
         let slots = match self.health.access() {
@@ -96,7 +99,7 @@
         self.isolation == Isolation::Off && self.running() < slots
     }
 
-    /// Counts a request that starts.
+    /// Counts a request that starts to run.
     pub fn add_request(&mut self, now: Moment, work: u64) {
         self.work += work;
         self.requests += 1;
@@ -110,15 +113,16 @@
         self.record_request_count(now);
     }
 
-    /// Takes the endpoint to carry `work` of others until a report that was
-    /// taken after `now`.
+    /// Assumes that the endpoint carries `work` of other owners until a report
+    /// taken after `now` arrives.
     pub const fn assume_others_work(&mut self, now: Moment, work: u64) {
         self.others = (0, work);
         self.last_report = now;
     }
 
-    /// Takes in a report: what it shows beyond this owner's own count at its
-    /// moment is another owner's, who sees a different list of instances.
+    /// Applies a report. Requests beyond this owner's own count at the
+    /// report's time belong to another owner, which has a different list of
+    /// instances.
     pub fn apply_report(&mut self, report: &Report) {
         if report.taken <= self.last_report {
             return;
@@ -131,7 +135,7 @@
         self.others = (others, each * u64::from(others));
     }
 
-    /// Notes that a chat which last ran at `seen` was evicted.
+    /// Records the eviction of a chat that last ran at `seen`.
     pub fn record_eviction(&mut self, seen: Moment) {
         self.evictions.push_back(seen);
         if self.evictions.len() > EVICTION_SAMPLES {
@@ -139,10 +143,11 @@
         }
     }
 
-    /// Returns the moment before which chats that ran here are evicted.
+    /// Returns the time at or before which chats that ran here count as
+    /// evicted.
     ///
-    /// It is the earliest of the last few evictions', so that one out of
-    /// order moves nothing.
+    /// This is the earliest `seen` of the last few evictions, so a single
+    /// eviction out of order does not move it.
     #[must_use]
     pub fn eviction_horizon(&self) -> Moment {
         if self.evictions.len() < EVICTION_SAMPLES {
@@ -151,7 +156,7 @@
         self.evictions.iter().min().copied().unwrap_or(Moment::ZERO)
     }
 
-    // The greatest own count within the skew about a moment.
+    // Returns the highest own count within the clock skew of `moment`.
     fn max_own_requests_near(&self, moment: Moment) -> u32 {
         let (from, to) = (
             moment.saturating_sub(MAX_CLOCK_SKEW),
--- a/crates/decide/src/owner/job.rs
+++ b/crates/decide/src/owner/job.rs
@@ -1,4 +1,4 @@
-//! A request as its owner keeps it while it waits or runs.
+//! A request as its owner stores it while it waits or runs.
 
 use godwitpost_types::clock::Moment;
 use godwitpost_types::id::{BodyDigest, ChatId, EndpointId, InstanceId};
@@ -11,12 +11,12 @@
 use crate::refusal::Reason;
 use crate::view::Pool;
 
-/// Where a chat is warm.
+/// Where a chat's context is probably cached.
 #[derive(Clone, Copy, Debug)]
 pub struct CacheHint {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// Prompt tokens estimated to be cached there; may be none.
+    /// Prompt tokens estimated to be cached there; may be zero.
     pub tokens: u32,
     /// When the chat last ran there.
     pub seen: Moment,
@@ -32,36 +32,36 @@
     }
 }
 
-/// A request as its owner keeps it while it waits or runs.
+/// A request as its owner stores it while it waits or runs.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// Endpoints that can run it.
+    /// The endpoints that can run it.
     pub pool: Pool,
-    /// Its chat.
+    /// The chat it belongs to.
     pub chat: ChatId,
-    /// Its digest.
+    /// The digest of its content.
     pub digest: BodyDigest,
-    /// Tokens of prompt.
+    /// Tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Tokens of answer.
+    /// Tokens expected in the answer.
     pub answer_tokens: u32,
-    /// Requests that one endpoint of the service runs at once.
+    /// How many requests one endpoint of the service runs at once.
     pub slots: u32,
-    /// The set multiple of the mean load.
+    /// The configured load bound, as a multiple of the mean load.
     pub load_bound: f64,
-    /// The weight of reuse against skew.
+    /// The weight of cache reuse against an even load.
     pub reuse: f64,
-    /// Its place among those that wait.
+    /// Its position parameters in the queue.
     pub rank: Rank,
-    /// Whether its class may wait at all.
+    /// Whether requests of its class may wait.
     pub may_queue: bool,
-    /// The owner of its chat's home, if that is another instance.
+    /// The owner of the chat's home endpoint, if that is another instance.
     pub home: Option<InstanceId>,
-    /// When it started to wait.
+    /// When it started to wait; zero if it has not waited.
     pub waiting_since: Moment,
-    /// Whether it runs alone.
+    /// Whether it must run alone because it may crash endpoints.
     pub suspect: bool,
-    /// Where the chat is warm, and the tokens estimated to be cached there.
+    /// Where the chat is cached, with the tokens estimated to be cached there.
     pub warm: Option<CacheHint>,
 }
 
@@ -70,7 +70,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the reason if the policy lacks what the request names.
+    /// Returns the reason for a refusal if the policy lacks what the request
+    /// names.
     pub fn new(policy: &Policy, request: &Request, hop: &Hop) -> Result<Self, Reason> {
         let service = policy.services.get(&request.service);
         let service = service.ok_or(Reason::UnknownService)?;
@@ -119,14 +120,14 @@
         }
     }
 
-    /// Returns whether it has nothing to find at an endpoint, and has not
-    /// looked for a better place yet.
+    /// Returns whether nothing of it is cached at an endpoint and it has not
+    /// yet looked for a better one.
     #[must_use]
     pub fn should_try_elsewhere(&self, endpoint: EndpointId) -> bool {
         self.cached(endpoint) == 0 && self.waiting_since == Moment::ZERO
     }
 
-    /// Returns its estimated work at an endpoint, in tokens.
+    /// Returns the estimated work at an endpoint, in tokens.
     #[must_use]
     pub fn work(&self, endpoint: EndpointId) -> u64 {
         u64::from(self.prompt_tokens - self.cached(endpoint)) + u64::from(self.answer_tokens)
--- a/crates/decide/src/owner/place.rs
+++ b/crates/decide/src/owner/place.rs
@@ -1,5 +1,6 @@
-//! Where an offered request goes: to the endpoint where its chat is warm, along
-//! the chat's order while the bound forbids, then into the queue.
+//! Chooses where an offered request goes: to the endpoint where its chat is
+//! cached, else to the next endpoints in the chat's order while the load bound
+//! excludes it, else into the queue.
 
 use std::sync::Arc;
 
@@ -17,14 +18,14 @@
 use crate::refusal::{Reason, Refusal};
 use crate::view::Pool;
 
-/// Forwards after which a request that nobody owns up to is dispatched by
-/// whoever has it.
+/// Maximum number of forwards while no instance considers itself the owner.
+/// After that, the current instance dispatches the request itself.
 const MAX_MISROUTED_FORWARDS: u8 = crate::hop::MAX_FORWARDS + 4;
 
-/// Endpoints of a chat's order that a spill looks at.
+/// Endpoints in a chat's order that a spill examines.
 const MAX_SPILL_CANDIDATES: usize = 16;
 
-/// Owners of others that a spill chooses from.
+/// Endpoints of other owners that a spill chooses from.
 const MAX_REMOTE_CHOICES: usize = 2;
 
 impl Owner {
@@ -50,8 +51,9 @@
         Ok(job)
     }
 
-    // Where the chat is warm, if that is a place it can still go to. Only the
-    // owner of the home sends it elsewhere, so no chain of hints is followed.
+    // Looks up where the chat is cached, if the request can still go there.
+    // Only the owner of the home endpoint redirects it, so hints never form a
+    // chain of forwards.
     pub(super) fn find_cache_hint(&mut self, job: &mut Job, hop: &Hop) {
         let found = self.chats.get(job.pool, job.chat);
         let Some(known) = found.filter(|known| self.is_current(known)) else {
@@ -71,8 +73,9 @@
         }
     }
 
-    // Engines evict in the order of use, so whatever ran before a chat that
-    // was evicted is gone as well, even if its event was lost in a gap.
+    // Engines evict the least recently used chats first. Any chat that ran
+    // before an evicted one is therefore gone as well, even if its own event
+    // was lost.
     pub(super) fn check_cache_hint(&self, job: &mut Job) {
         let Some(warm) = &mut job.warm else {
             return;
@@ -91,8 +94,9 @@
         state.is_none_or(|state| state.health.access() != health::Access::None)
     }
 
-    /// Decides where a request goes: to the endpoint where its chat is warm,
-    /// along the chat's order while the bound forbids, then into the queue.
+    /// Chooses where a request goes: to the endpoint where its chat is cached,
+    /// else to the next endpoints in the chat's order while the load bound
+    /// excludes it, else into the queue.
     pub(super) fn place(&mut self, now: Moment, job: Job, hop: &Hop) -> Next {
         let target = job.warm.map_or(hop.endpoint, |warm| warm.endpoint);
         if !self.owns(target) && !hop.forwards_exhausted() {
@@ -113,8 +117,9 @@
         self.view.owner(endpoint) == self.view.local()
     }
 
-    // The chat's order beyond its own endpoint: owned endpoints are tried
-    // here; of the others', the one whose owner has the least load goes next.
+    // Walks the chat's order beyond its preferred endpoint. Endpoints owned
+    // here are tried at once; among remote ones, the one whose owner reports
+    // the least load is next.
     pub(super) fn spill(&mut self, now: Moment, job: Job, mut hop: Hop) -> Next {
         let view = Arc::clone(&self.view);
         hop.spilled = true;
@@ -148,8 +153,9 @@
         }
     }
 
-    // The mean load of the endpoints of an endpoint's owner, if nothing was
-    // heard to wait for them.
+    // Returns the mean load per endpoint at an endpoint's owner, or `None` if
+    // requests are known to wait there. An owner without a fresh summary
+    // counts as idle.
     pub(super) fn remote_load(&self, now: Moment, pool: Pool, endpoint: EndpointId) -> Option<u64> {
         let owner = self.view.owner(endpoint);
         match self.peer_load.fresh_summary(pool, owner, now) {
@@ -169,7 +175,7 @@
         }
     }
 
-    // Where to wait: at the owner of the least loaded endpoint seen.
+    // Requests wait at the owner of the least loaded endpoint that was tried.
     pub(super) fn choose_queue(&mut self, now: Moment, mut job: Job, mut hop: Hop) -> Next {
         if let Some((endpoint, _)) = hop.least
             && !self.owns(endpoint)
@@ -190,10 +196,10 @@
         self.enqueue(now, job)
     }
 
-    // The sender takes this instance for an owner, this one another. The lists
-    // agree within seconds; until then the request goes to the owner in this
-    // list, or after too many forwards to the endpoint itself, with whatever
-    // room the mean leaves on it.
+    // The sender considers this instance the owner, while this instance
+    // considers another one the owner. The lists agree within seconds. Until
+    // then the request goes to the owner in the local list or, after too many
+    // forwards, directly to the endpoint if the mean load leaves room on it.
     pub(super) fn place_without_owner(&mut self, now: Moment, job: Job, hop: Hop) -> Next {
         let Some(home) = self.home_endpoint(&job) else {
             return Next::Refuse(Refusal::new(Reason::NoEndpoint));
@@ -213,7 +219,8 @@
         Next::Refuse(Refusal::new(Reason::Busy))
     }
 
-    // With nowhere else to go, the whole bound is open to a cold request.
+    // A request with nowhere else to go may use the whole bound even if
+    // nothing of it is cached.
     pub(super) fn least_loaded_fit(&self, now: Moment, job: &mut Job) -> Option<EndpointId> {
         job.waiting_since = now;
         let owned = self.view.owned_in_pool(job.pool).iter().copied();
@@ -249,8 +256,8 @@
         }
     }
 
-    // A hint for the chat's next turn: after this one its context, prompt and
-    // answer, is at the endpoint.
+    // Records a hint for the chat's next turn: after this one the endpoint has
+    // its context cached, both prompt and answer.
     pub(super) fn record_chat(
         &mut self,
         now: Moment,
--- a/crates/decide/src/owner/room.rs
+++ b/crates/decide/src/owner/room.rs
@@ -1,4 +1,5 @@
-//! Whether an endpoint has room for a request, and who in the queue goes next.
+//! Decides whether an endpoint has room for a request, and which waiting
+//! request is dispatched next.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,34 +15,39 @@
 use crate::queue::{Queue, Ticket};
 use crate::view::Pool;
 
-/// Part of an endpoint that a workspace over its share must leave free.
+/// Fraction of an endpoint that a workspace over its share must leave free.
 ///
-/// Others that are under theirs find room there at once, instead of after
-/// the next request of a surge ends.
+/// Workspaces under their share find room there at once instead of after the
+/// next request of a surge ends.
 const RESERVED_FRACTION: f64 = 0.125;
 
-/// Shares that a workspace may use before it leaves the reserve free.
+/// Multiple of its share that a workspace may use before it must leave the
+/// reserved fraction free.
 ///
-/// Chance alone takes a workspace somewhat over its share without any surge.
+/// Random variation alone takes a workspace somewhat over its share without
+/// any surge.
 const SHARE_TOLERANCE: f64 = 1.5;
 
-/// Part of the bound's room above the mean that a warm request may use.
+/// Fraction of the room between the mean and the bound that a request may use
+/// where its chat is cached.
 const WARM_HEADROOM: f64 = 0.45;
 
-/// Part of it that a cold request may use before it looks elsewhere.
+/// Fraction of that room that an uncached request may use before it looks for
+/// another endpoint.
 const COLD_HEADROOM: f64 = 0.0;
 
-/// Waiting requests among which one that is warm may go first, at a policy
-/// that weighs reuse alone.
+/// Number of waiting requests examined for one that is cached at the free
+/// endpoint, at a policy with a reuse weight of 1.
 const MAX_WARM_SCAN: u32 = 32;
 
-/// How long after a request had to wait the reserve is kept.
+/// How long the reserved fraction stays free after a request last had to wait.
 const CONTENTION_WINDOW: Duration = Duration::from_secs(10);
 
-/// How fast the largest request is forgotten: by a 256th with each new one.
+/// Fraction by which the largest request's size decays with each new request.
 const LARGEST_DECAY: f64 = 1.0 / 256.0;
 
-/// Who uses a pool's endpoints here, and how large its requests are.
+/// Which workspaces use a pool's endpoints here, and how large the requests
+/// are.
 #[derive(Clone, Debug, Default)]
 pub struct PoolUsage {
     workspaces: BTreeMap<WorkspaceId, WorkspaceUsage>,
@@ -98,8 +104,8 @@
         }
     }
 
-    // Whether one more request takes its workspace over its share of `slots`,
-    // among those that run or wait now.
+    // Returns whether one more request would put its workspace over its share
+    // of `slots`, among the workspaces that have requests running or waiting.
     fn exceeds_share(&self, job: &Job, slots: u32) -> bool {
         let id = job.rank.flow.workspace;
         let others: f64 = self
@@ -135,9 +141,10 @@
         #[expect(clippy::cast_precision_loss, reason = "work is far under 2^52")]
         let (load, work) = (state.load() as f64, job.work(endpoint) as f64);
         let limit = allowed_multiple(job, endpoint) * mean.max(self.mean_floor(job.pool));
-        // One more is always right where the load is no more than the mean:
-        // with few and equal requests, all at the mean, nobody could else
-        // ever take a second. A cold one looks for a better place before.
+        // One more request always fits where the load is at most the mean.
+        // Otherwise no endpoint could ever take a second request when there
+        // are few of equal size, all at the mean. An uncached request first
+        // looks for a better endpoint.
         let stays = !job.should_try_elsewhere(endpoint) && load <= mean * free;
         stays || load + work <= limit * free
     }
@@ -153,8 +160,8 @@
         usage.exceeds_share(job, own.endpoints * job.slots)
     }
 
-    // A mean under the largest request is taken as that request: a single one
-    // on an idle endpoint would else be over the bound.
+    // A mean below the largest request is raised to that size. Otherwise a
+    // single request on an idle endpoint would exceed the bound.
     fn mean_floor(&self, pool: Pool) -> f64 {
         self.usage.get(&pool).map_or(0.0, |s| s.largest)
     }
@@ -179,7 +186,7 @@
         self.summary(Moment::ZERO, pool)
     }
 
-    /// Dispatches what waits and now fits, in the order of the queues.
+    /// Dispatches the waiting requests that fit now, in queue order.
     pub(super) fn dispatch_waiting(&mut self, now: Moment) -> Vec<Wake> {
         let pools: Vec<Pool> = self.queues.keys().copied().collect();
         let mut wakes = Vec::new();
@@ -200,7 +207,7 @@
         Some(Wake { ticket, next })
     }
 
-    // The first in the queue for which an owned endpoint has room.
+    // Returns the first waiting request for which an owned endpoint has room.
     fn next_fitting(&mut self, now: Moment, pool: Pool) -> Option<(Ticket, EndpointId)> {
         let view = Arc::clone(&self.view);
         let owned = view.owned_in_pool(pool);
@@ -227,9 +234,10 @@
         found.map(|(ticket, endpoint)| self.prefer_warm(now, pool, ticket, endpoint))
     }
 
-    // When all endpoints are full, whoever is first in the queue gets the slot
-    // that comes free, and every chat goes cold. One of the next few that is
-    // warm there goes before, unless the first has waited long.
+    // When all endpoints are full, a free slot would always go to the first
+    // request in the queue, and no chat would run where it is cached. One of
+    // the next few requests that is cached at the free endpoint goes first,
+    // unless the head of the queue has waited long.
     fn prefer_warm(
         &self,
         now: Moment,
@@ -265,7 +273,8 @@
         self.has_room(now, id, job)
     }
 
-    // One endpoint at a time takes no more until a suspect has run there.
+    // Reserves at most one endpoint at a time for a suspect. It accepts no
+    // other requests until the suspect has run there.
     fn isolate_endpoint(&mut self, ticket: Ticket, owned: &[EndpointId]) {
         let busy = |id: &EndpointId| {
             self.states
@@ -284,10 +293,12 @@
     }
 }
 
-// Part of what the bound leaves above the mean. A request whose chat is warm
-// may use most of it; a cold one may go anywhere, so the more the policy
-// weighs skew the earlier it moves on. The rest covers what this owner can't
-// know: means that changed since they were told, and wrong estimates.
+// Returns the multiple of the mean load that a request may fill an endpoint
+// to. It is a part of what the load bound allows above the mean. A request may
+// use most of it where its chat is cached; an uncached one can go anywhere, so
+// it moves on earlier the less the policy weighs cache reuse. The rest covers
+// what this owner cannot know: means that have changed since they were
+// reported, and wrong estimates.
 fn allowed_multiple(job: &Job, endpoint: EndpointId) -> f64 {
     let reuse = job.reuse.clamp(0.0, 1.0);
     let part = if job.should_try_elsewhere(endpoint) {
