--- a/crates/decide/src/chats.rs
+++ b/crates/decide/src/chats.rs
@@ -1,10 +1,12 @@
-//! Where chats have their context: a bounded table from chat to endpoint.
+//! Where chats have their context cached: a bounded table from chat to
+//! endpoint.
 //!
-//! Rendezvous hashing gives a chat's home; this table remembers the chats
-//! whose context is warm elsewhere, or how much of it is warm at home. It
-//! lives with the owner of the home endpoint, is handed over on a graceful
-//! stop, and is rebuilt from the engines' cache events after a crash. An
-//! entry is a hint: a wrong one costs a prefill, never a wrong answer.
+//! Rendezvous hashing gives a chat's home endpoint. This table records the
+//! chats whose context is cached elsewhere, and how much of it is cached at
+//! the home endpoint. It is kept by the owner of the home endpoint, handed
+//! over on a graceful stop, and rebuilt from the engines' cache events after a
+//! crash. An entry is only a hint: a wrong one costs a prefill but never gives
+//! a wrong answer.
 
 use std::num::NonZeroUsize;
 
@@ -15,14 +17,15 @@
 
 use crate::view::Pool;
 
-/// Chats that one instance remembers.
+/// Maximum number of chats that one instance records.
 ///
-/// The letter's 5.5 M chats over 320 instances are 17,200 each; twice that
-/// leaves room for uneven shares. An entry takes about 120 bytes with its
-/// index, so a full table is about 4 MB of the 64 MB allowed for control.
+/// The target deployment has 5.5 M chats over 320 instances, which is
+/// 17,200 per instance; twice that leaves room for uneven shares. An entry
+/// takes about 120 bytes with its index, so a full table takes about 4 MB of
+/// the 64 MB allowed for control.
 pub const MAX_CHATS: NonZeroUsize = NonZeroUsize::new(34_400).unwrap();
 
-/// Where a chat's context is warm.
+/// Where a chat's context is cached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Location {
     /// The chat.
@@ -31,41 +34,41 @@
     pub pool: Pool,
     /// The endpoint that last ran it.
     pub endpoint: EndpointId,
-    /// The endpoint's incarnation, as a restart empties its cache.
+    /// The endpoint's incarnation; a restart empties its cache.
     pub incarnation: Incarnation,
-    /// Prompt tokens that are estimated to be cached there.
+    /// Prompt tokens estimated to be cached there.
     pub tokens: u32,
     /// When the endpoint last ran it.
     pub seen: Moment,
 }
 
-/// What an engine's cache event says of a chat.
+/// A cache event that an engine reports for a chat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// The chat whose prefix it names.
+    /// The chat whose prefix is concerned.
     pub chat: ChatId,
     /// The pool of the engine's model.
     pub pool: Pool,
-    /// What happened.
+    /// Whether the prefix was stored or evicted.
     pub kind: Kind,
-    /// Tokens concerned.
+    /// Number of tokens concerned.
     pub tokens: u32,
     /// The engine's incarnation.
     pub incarnation: Incarnation,
-    /// When the engine says it happened.
+    /// When it happened, by the engine's clock.
     pub at: Moment,
 }
 
-/// The two kinds of cache events.
+/// The kinds of cache events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
-    /// The prefix is cached now.
+    /// The prefix is now cached.
     Stored,
-    /// The prefix is gone.
+    /// The prefix is no longer cached.
     Evicted,
 }
 
-/// A bounded table of chat locations; the least recently used goes first.
+/// A bounded table of chat locations that evicts the least recently used.
 #[derive(Debug)]
 pub struct Table {
     locations: LruCache<(Pool, ChatId), Location>,
@@ -86,13 +89,13 @@
         }
     }
 
-    /// Returns the number of chats remembered.
+    /// Returns the number of chats in the table.
     #[must_use]
     pub fn len(&self) -> usize {
         self.locations.len()
     }
 
-    /// Returns whether no chat is remembered.
+    /// Returns whether the table is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.locations.is_empty()
@@ -103,7 +106,7 @@
         self.locations.get(&(pool, chat)).copied()
     }
 
-    /// Remembers a location unless a later one is known.
+    /// Records a location unless a later one is known.
     pub fn insert(&mut self, location: Location) {
         let key = (location.pool, location.chat);
         let newer = self
@@ -115,16 +118,16 @@
         }
     }
 
-    /// Forgets a location that proved wrong.
+    /// Removes a location that proved wrong.
     pub fn remove(&mut self, pool: Pool, chat: ChatId) {
         self.locations.pop(&(pool, chat));
     }
 
-    /// Takes in an engine's late cache event.
+    /// Applies an engine's cache event, which may be late.
     ///
-    /// A late "stored" must not undo what happened since, so it only fills an
-    /// empty row or corrects the estimate of the same endpoint; an "evicted"
-    /// counts only if the chat has not run there after it.
+    /// A late "stored" must not undo what has happened since. It only adds a
+    /// missing location or corrects the token estimate at the same endpoint.
+    /// An "evicted" counts only if the chat has not run there since.
     pub fn apply_event(&mut self, endpoint: EndpointId, event: &Event) {
         let key = (event.pool, event.chat);
         match (event.kind, self.locations.peek_mut(&key)) {
@@ -156,7 +159,7 @@
         self.locations.peek(&(pool, chat))
     }
 
-    /// Returns every location, the most recently used first.
+    /// Returns all locations, the most recently used first.
     pub fn iter(&self) -> impl Iterator<Item = &Location> {
         self.locations.iter().map(|(_, location)| location)
     }
--- a/crates/decide/src/ending.rs
+++ b/crates/decide/src/ending.rs
@@ -1,17 +1,18 @@
 //! How one attempt at an endpoint ended, and what that proves.
 //!
-//! Whether a request may be sent again, and what its caller may be told, rest
-//! on this alone: only an ending that proves the endpoint never started the
-//! work is worth the words *not run*.
+//! The ending alone decides whether a request may be sent again and what its
+//! caller is told. Only an ending that proves that the endpoint never started
+//! the work allows the outcome *not run*.
 
 use serde::{Deserialize, Serialize};
 
 /// How one attempt at an endpoint ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Ending {
-    /// The endpoint answered whole.
+    /// The endpoint sent a complete answer.
     Done,
-    /// No byte left for the endpoint: connecting failed, or nobody dispatched.
+    /// No byte was sent to the endpoint: the connection attempt failed, or no
+    /// instance dispatched the request.
     NotSent,
     /// The endpoint answered that it refused the request and ran nothing.
     Refused,
--- a/crates/decide/src/entry.rs
+++ b/crates/decide/src/entry.rs
@@ -138,7 +138,10 @@
     /// Records a failed attempt and returns what to do next.
     ///
     /// `endpoint` is the endpoint where it failed, if it got that far.
-    #[expect(clippy::too_many_arguments, reason = "all of it decides")]
+    #[expect(
+        clippy::too_many_arguments,
+        reason = "every argument affects the decision"
+    )]
     pub fn record_failure(
         &mut self,
         now: Moment,
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -1,11 +1,12 @@
-//! Whether an endpoint may get new work, by what was seen of it.
+//! Whether an endpoint may get new work, by what was observed of it.
 //!
-//! One machine for each endpoint, fed by its owner. Two failures in a row
-//! close it; after a pause one request at a time tries it, and only several
-//! good ones open it again. Each relapse doubles the pause, so an endpoint
-//! that flaps stays out longer and its chats don't go back and forth. Leaving
-//! is sticky: only a greater incarnation, which is someone else on the same
-//! address, starts anew.
+//! There is one state machine for each endpoint, fed by its owner. Two
+//! failures in a row close the endpoint, that is, no requests are sent to it.
+//! After a pause it is tried with one request at a time, and only several
+//! successes open it again. Each relapse doubles the pause, so an endpoint
+//! that flaps stays out longer and its chats do not move back and forth.
+//! Leaving is final for an incarnation; only a greater incarnation, which is
+//! another process at the same address, starts anew.
 
 mod memory;
 
@@ -18,14 +19,14 @@
 
 use self::memory::{Context, State};
 
-/// What the owner saw.
+/// An observation of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     /// The endpoint answered.
     Success(Moment),
-    /// An attempt failed in a way that harms.
+    /// An attempt failed in a way that counts against the endpoint.
     Failure(Moment),
-    /// The endpoint or the platform's list says it is leaving.
+    /// The endpoint or the platform's list reports that it is leaving.
     Leaving,
     /// Time passed.
     Tick(Moment),
@@ -34,15 +35,15 @@
 /// How much new work an endpoint may get.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Access {
-    /// As much as the bound allows.
+    /// As much as the load bound allows.
     Full,
-    /// One request at a time, to see whether it is well.
+    /// One request at a time, to check whether it has recovered.
     Trial,
-    /// Nothing.
+    /// No new work.
     None,
 }
 
-/// The health of one endpoint in its present incarnation.
+/// The health of one endpoint in its current incarnation.
 pub struct Machine {
     incarnation: Incarnation,
     machine: StateMachine<Context>,
@@ -58,7 +59,7 @@
 }
 
 impl Machine {
-    /// Returns the machine of an endpoint that nothing is held against.
+    /// Returns the state machine of an endpoint without failures.
     #[must_use]
     pub fn new(incarnation: Incarnation) -> Self {
         Self {
@@ -67,21 +68,22 @@
         }
     }
 
-    /// Returns the incarnation that the machine speaks of.
+    /// Returns the incarnation whose health this is.
     #[must_use]
     pub const fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Takes in an event of the present incarnation.
+    /// Applies an event of the current incarnation.
     pub fn handle(&mut self, event: Event) {
         self.machine.handle(&event);
     }
 
-    /// Takes in what the list or a report says; returns whether a new
-    /// incarnation replaced the present one.
+    /// Applies what the list or a report says; returns whether a new
+    /// incarnation replaced the current one.
     ///
-    /// An older incarnation is a late word on somebody gone, and is ignored.
+    /// An older incarnation comes from outdated information about a process
+    /// that is gone, and is ignored.
     pub fn update_standing(&mut self, incarnation: Incarnation, standing: Standing) -> bool {
         if incarnation < self.incarnation {
             return false;
--- a/crates/decide/src/health/memory.rs
+++ b/crates/decide/src/health/memory.rs
@@ -1,4 +1,4 @@
-//! The states of an endpoint's health and what moves between them.
+//! The states of an endpoint's health and the transitions between them.
 
 use std::time::Duration;
 
@@ -9,23 +9,23 @@
 
 /// Failures in a row that close an endpoint.
 ///
-/// One broken connection happens on a healthy network; two without a good
-/// answer between them hardly do.
+/// One broken connection occurs on a healthy network; two without a success
+/// between them hardly ever do.
 const FAILURES_TO_CLOSE: u32 = 2;
 
-/// Good answers on trial that open an endpoint again.
+/// Successes on trial that open an endpoint again.
 const SUCCESSES_TO_OPEN: u32 = 3;
 
-/// The first pause before an endpoint is tried again.
+/// The pause before an endpoint is first tried again.
 const INITIAL_PAUSE: Duration = Duration::from_secs(1);
 
-/// The longest pause.
+/// The longest pause between trials.
 const MAX_PAUSE: Duration = Duration::from_mins(1);
 
-/// How long an endpoint has to stay open for its relapses to be forgotten.
+/// How long an endpoint must stay open for its relapses to be forgotten.
 const RELAPSE_RESET_AFTER: Duration = Duration::from_mins(5);
 
-/// What the machine keeps across its states.
+/// The data that is shared by all states of the machine.
 #[derive(Clone, Debug, Default)]
 pub struct Context {
     failures: u32,
--- a/crates/decide/src/load.rs
+++ b/crates/decide/src/load.rs
@@ -1,9 +1,9 @@
-//! What an instance knows of the load on a pool: its own part exactly, the
-//! others' from the last summary of each.
+//! What an instance knows about the load on a pool: its own part exactly, the
+//! rest from the latest summary of each other instance.
 //!
-//! A summary is the whole state of one source for one pool, so merging is
-//! keeping the newer, and a lost or repeated one does no harm. Summaries come
-//! by gossip and on the back of every answer between instances.
+//! A summary is the whole state of one source for one pool. Merging keeps the
+//! newer one, so a lost or repeated summary does no harm. Summaries arrive by
+//! gossip and with every response between instances.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,19 +14,22 @@
 
 use crate::view::Pool;
 
-/// How long a summary counts, in time since it was taken.
+/// How long a summary is used after it was taken.
 ///
-/// Longer than gossip takes to come round at the letter's size; a source that
-/// is silent for longer is treated as not heard of.
+/// This is longer than gossip takes to reach all instances of the target
+/// deployment. A source that is silent for longer is treated as
+/// unknown.
 pub const SUMMARY_MAX_AGE: Duration = Duration::from_secs(15);
 
-/// How old the summaries are that a mean is taken from if they are enough.
+/// Maximum age of the summaries that a mean is computed from if they cover
+/// enough endpoints.
 ///
-/// Means follow a surge's end within some seconds; a mean of older figures
-/// is too high then, and the bound with it.
+/// Such a mean follows the end of a surge within some seconds. A mean of older
+/// figures is too high then, and so is the load bound.
 pub const RECENT_SUMMARY_MAX_AGE: Duration = Duration::from_secs(3);
 
-/// Endpoints that recent summaries have to cover for a mean of their own.
+/// Minimum number of endpoints that recent summaries must cover for a mean of
+/// their own.
 ///
 /// With loads that differ by a third, the mean of 16 is off by 8%.
 pub const MIN_RECENT_ENDPOINTS: u64 = 16;
@@ -38,24 +41,24 @@
     pub source: InstanceId,
     /// The pool.
     pub pool: Pool,
-    /// Endpoints of the pool that the source owns.
+    /// Number of endpoints of the pool that the source owns.
     pub endpoints: u32,
-    /// Their estimated work in tokens.
+    /// The estimated work on these endpoints, in tokens.
     pub work: u64,
-    /// Requests that wait for them at the source.
+    /// Number of requests that wait for them at the source.
     pub waiting: u32,
-    /// When the source took the figures, on its clock.
+    /// When the source took the figures, by its clock.
     pub taken: Moment,
 }
 
-/// The last summary of each source, by pool.
+/// The latest summary of each source, by pool.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     pools: BTreeMap<Pool, BTreeMap<InstanceId, Summary>>,
 }
 
 impl Table {
-    /// Takes in a summary unless a newer one of its source is known.
+    /// Records a summary unless a newer one of its source is known.
     pub fn record(&mut self, summary: Summary) {
         let sources = self.pools.entry(summary.pool).or_default();
         let reported = sources.entry(summary.source).or_insert(summary);
@@ -64,7 +67,7 @@
         }
     }
 
-    /// Drops what is no longer fresh; called about once a second.
+    /// Removes summaries that are too old; called about once a second.
     pub fn expire(&mut self, now: Moment) {
         for sources in self.pools.values_mut() {
             sources.retain(|_, summary| since(now, summary.taken) < SUMMARY_MAX_AGE);
@@ -72,7 +75,7 @@
         self.pools.retain(|_, sources| !sources.is_empty());
     }
 
-    /// Returns the last fresh summary of one source.
+    /// Returns the latest summary of one source unless it is too old.
     #[must_use]
     pub fn fresh_summary(&self, pool: Pool, source: InstanceId, now: Moment) -> Option<&Summary> {
         let summary = self.pools.get(&pool)?.get(&source)?;
@@ -81,10 +84,11 @@
 
     /// Returns the mean estimated work of an endpoint in a pool of `size`.
     ///
-    /// `own` is the local instance's exact summary. Endpoints that no fresh
-    /// summary covers are taken to carry `floor` at most: a lone instance
-    /// that heard from nobody would else compare its endpoints with
-    /// themselves, find each at the mean, and let them drown.
+    /// `own` is the local instance's exact summary. Endpoints not covered by a
+    /// summary that is still valid are assumed to carry at most `floor`.
+    /// Without that limit, an instance that has no summaries would compare its
+    /// endpoints only with themselves, find each of them at the mean, and
+    /// overload them.
     #[must_use]
     pub fn mean_work(&self, own: &Summary, size: usize, floor: f64, now: Moment) -> f64 {
         let others = || {
--- a/crates/decide/src/owner.rs
+++ b/crates/decide/src/owner.rs
@@ -251,8 +251,8 @@
             usage.remove_waiting(job);
         }
         if job.suspect {
-            let drained = self.states.values_mut();
-            drained
+            let states = self.states.values_mut();
+            states
                 .filter(|state| state.isolation == Isolation::Draining(ticket))
                 .for_each(|state| state.isolation = Isolation::Off);
         }
@@ -286,13 +286,14 @@
     }
 
     fn refuse_expired(&mut self, now: Moment) -> Vec<Wake> {
-        let mut gone = Vec::new();
+        let mut removed = Vec::new();
         for queue in self.queues.values_mut() {
             while let Some(expired) = queue.pop_expired(now) {
-                gone.push(expired);
+                removed.push(expired);
             }
         }
-        gone.into_iter()
+        removed
+            .into_iter()
             .map(|(ticket, job)| {
                 self.release_ticket(ticket, &job);
                 Wake {
@@ -326,7 +327,7 @@
         let Some(state) = self.states.get_mut(&endpoint) else {
             return;
         };
-        if state.broken_at.is_none_or(|broke| alive <= broke) {
+        if state.broken_at.is_none_or(|broken_at| alive <= broken_at) {
             return;
         }
         state.broken_at = None;
@@ -342,11 +343,12 @@
     /// Applies an engine's cache event. Events may be late, and earlier ones
     /// may have been lost.
     pub fn apply_cache_event(&mut self, endpoint: EndpointId, event: &chats::Event) {
-        let row = self.chats.peek(event.pool, event.chat);
-        let seen = row.filter(|row| row.endpoint == endpoint && row.seen <= event.at);
+        let location = self.chats.peek(event.pool, event.chat);
+        let seen =
+            location.filter(|location| location.endpoint == endpoint && location.seen <= event.at);
         if let (chats::Kind::Evicted, Some(seen), Some(state)) = (
             event.kind,
-            seen.map(|row| row.seen),
+            seen.map(|location| location.seen),
             self.states.get_mut(&endpoint),
         ) {
             state.record_eviction(seen);
@@ -407,8 +409,8 @@
     /// Records evidence from other instances and returns what was new, to be
     /// passed on.
     pub fn record_evidence(&mut self, evidence: &[Evidence]) -> Vec<Evidence> {
-        let fresh = evidence.iter().copied();
-        fresh.filter(|e| self.quarantine.insert(*e)).collect()
+        let candidates = evidence.iter().copied();
+        candidates.filter(|e| self.quarantine.insert(*e)).collect()
     }
 
     /// Returns the number of running requests.
--- a/crates/decide/src/owner/change.rs
+++ b/crates/decide/src/owner/change.rs
@@ -36,9 +36,9 @@
         let means = pools
             .map(|pool| (*pool, self.mean_work(now, *pool)))
             .collect();
-        let last = std::mem::replace(&mut self.view, view);
+        let previous = std::mem::replace(&mut self.view, view);
         self.policy = policy;
-        self.add_taken_over(now, &last, &means);
+        self.add_taken_over(now, &previous, &means);
         self.sync_states();
         let mut wakes = self.reroute_waiting();
         wakes.extend(self.dispatch_waiting(now));
@@ -57,8 +57,8 @@
         if self.pending_handover.is_empty() {
             self.handover_base = Arc::clone(&self.view);
         }
-        let rows = self.chats.iter();
-        self.pending_handover = rows
+        let locations = self.chats.iter();
+        self.pending_handover = locations
             .map(|location| (location.pool, location.chat))
             .collect();
     }
@@ -79,9 +79,9 @@
         if self.pending_handover.is_empty() {
             return None;
         }
-        let most = self.pending_handover.len().min(HANDOVER_BATCH);
-        let some: Vec<(Pool, ChatId)> = self.pending_handover.drain(..most).collect();
-        let known = some
+        let batch_size = self.pending_handover.len().min(HANDOVER_BATCH);
+        let batch: Vec<(Pool, ChatId)> = self.pending_handover.drain(..batch_size).collect();
+        let known = batch
             .iter()
             .filter_map(|(pool, chat)| self.chats.peek(*pool, *chat));
         Some(
@@ -128,14 +128,20 @@
     // seconds. Treated as idle, it would get twice its bound. Its work is
     // therefore assumed to be somewhat above the mean until a report taken
     // from now on shows the real figure.
-    pub(super) fn add_taken_over(&mut self, now: Moment, last: &View, means: &BTreeMap<Pool, u64>) {
+    pub(super) fn add_taken_over(
+        &mut self,
+        now: Moment,
+        previous: &View,
+        means: &BTreeMap<Pool, u64>,
+    ) {
         let view = Arc::clone(&self.view);
         for (pool, owned) in view.owned_pools() {
             for id in owned {
                 let here = self.states.contains_key(id);
-                let known = last.endpoint(*id).map(|endpoint| endpoint.incarnation);
-                let same = known.filter(|life| self.is_current_incarnation(*id, *life));
-                if let Some(incarnation) = same.filter(|_| !here && last.serves(*id, *pool)) {
+                let known = previous.endpoint(*id).map(|endpoint| endpoint.incarnation);
+                let same =
+                    known.filter(|incarnation| self.is_current_incarnation(*id, *incarnation));
+                if let Some(incarnation) = same.filter(|_| !here && previous.serves(*id, *pool)) {
                     let mut state = EndpointState::new(incarnation);
                     let mean = means.get(pool).copied().unwrap_or(0);
                     state.assume_others_work(now, mean + mean / PRESUMED_EXCESS_DIVISOR);
--- a/crates/decide/src/owner/place.rs
+++ b/crates/decide/src/owner/place.rs
@@ -103,8 +103,8 @@
             return self.forward(&job, hop.clone(), target);
         }
         let mut hop = hop.clone();
-        let ours = self.owns(target) && self.view.serves(target, job.pool);
-        if ours && !hop.tried.contains(&target) {
+        let owned_and_serving = self.owns(target) && self.view.serves(target, job.pool);
+        if owned_and_serving && !hop.tried.contains(&target) {
             if self.has_room(now, target, &job) {
                 return self.grant(now, target, job);
             }
@@ -124,7 +124,7 @@
         let view = Arc::clone(&self.view);
         hop.spilled = true;
         let mut next: Option<(u64, EndpointId)> = None;
-        let mut others = 0;
+        let mut remote_candidates = 0;
         for endpoint in view
             .ranked(job.pool, job.chat, hop.zone)
             .take(MAX_SPILL_CANDIDATES)
@@ -141,9 +141,9 @@
                 next = next
                     .filter(|(least, _)| *least <= load)
                     .or(Some((load, endpoint)));
-                others += 1;
+                remote_candidates += 1;
             }
-            if others == MAX_REMOTE_CHOICES {
+            if remote_candidates == MAX_REMOTE_CHOICES {
                 break;
             }
         }
--- a/crates/decide/src/owner/room.rs
+++ b/crates/decide/src/owner/room.rs
@@ -43,7 +43,8 @@
 /// How long the reserved fraction stays free after a request last had to wait.
 const CONTENTION_WINDOW: Duration = Duration::from_secs(10);
 
-/// Fraction by which the largest request's size decays with each new request.
+/// Fraction by which the largest request's size decays with each new request:
+/// a 256th.
 const LARGEST_DECAY: f64 = 1.0 / 256.0;
 
 /// Which workspaces use a pool's endpoints here, and how large the requests
@@ -130,8 +131,8 @@
             return state.accepts(job.slots) && state.running() == 0;
         }
         let over = self.is_over_share(now, job);
-        let free = if over { 1.0 - RESERVED_FRACTION } else { 1.0 };
-        if !state.accepts(scaled_count(job.slots, free)) {
+        let usable = if over { 1.0 - RESERVED_FRACTION } else { 1.0 };
+        if !state.accepts(scaled_count(job.slots, usable)) {
             return false;
         }
         if state.running() == 0 {
@@ -145,8 +146,8 @@
         // Otherwise no endpoint could ever take a second request when there
         // are few of equal size, all at the mean. An uncached request first
         // looks for a better endpoint.
-        let stays = !job.should_try_elsewhere(endpoint) && load <= mean * free;
-        stays || load + work <= limit * free
+        let below_mean = !job.should_try_elsewhere(endpoint) && load <= mean * usable;
+        below_mean || load + work <= limit * usable
     }
 
     fn is_over_share(&self, now: Moment, job: &Job) -> bool {
@@ -211,7 +212,7 @@
     fn next_fitting(&mut self, now: Moment, pool: Pool) -> Option<(Ticket, EndpointId)> {
         let view = Arc::clone(&self.view);
         let owned = view.owned_in_pool(pool);
-        let mut drains = None;
+        let mut waiting_suspect = None;
         let mut found = None;
         for (ticket, job) in self.queues.get(&pool)?.iter().take(MAX_QUEUE_SCAN) {
             let mut ranked = owned.iter().copied();
@@ -221,14 +222,14 @@
                 found = Some((ticket, endpoint));
                 break;
             }
-            if job.suspect && drains.is_none() {
-                drains = Some(ticket);
+            if job.suspect && waiting_suspect.is_none() {
+                waiting_suspect = Some(ticket);
             }
             if since(now, job.waiting_since) > MAX_HEAD_BYPASS {
                 break;
             }
         }
-        if let Some(ticket) = drains {
+        if let Some(ticket) = waiting_suspect {
             self.isolate_endpoint(ticket, owned);
         }
         found.map(|(ticket, endpoint)| self.prefer_warm(now, pool, ticket, endpoint))
@@ -248,16 +249,17 @@
         let queue = self.queues.get(&pool);
         let jobs = queue.into_iter().flat_map(Queue::iter);
         let mut jobs = jobs.skip_while(|(ticket, _)| *ticket != first);
-        let Some((_, head)) = jobs.next() else {
+        let Some((_, first_job)) = jobs.next() else {
             return (first, endpoint);
         };
-        let settled = head.cached(endpoint) > 0 || since(now, head.waiting_since) > MAX_HEAD_BYPASS;
-        if settled || head.suspect {
+        let keep_first =
+            first_job.cached(endpoint) > 0 || since(now, first_job.waiting_since) > MAX_HEAD_BYPASS;
+        if keep_first || first_job.suspect {
             return (first, endpoint);
         }
-        let peers = jobs.take(scaled_count(MAX_WARM_SCAN, head.reuse) as usize);
+        let peers = jobs.take(scaled_count(MAX_WARM_SCAN, first_job.reuse) as usize);
         let mut warm = peers.filter(|(_, job)| {
-            let peer = job.rank.priority == head.rank.priority && !job.suspect;
+            let peer = job.rank.priority == first_job.rank.priority && !job.suspect;
             peer && job.cached(endpoint) > 0 && self.has_room(now, endpoint, job)
         });
         warm.next()
@@ -266,8 +268,9 @@
 
     fn has_room_for_waiting(&self, now: Moment, id: EndpointId, ticket: Ticket, job: &Job) -> bool {
         let state = self.states.get(&id);
-        let aside = state.is_some_and(|state| state.isolation == Isolation::Draining(ticket));
-        if aside {
+        let reserved_for_ticket =
+            state.is_some_and(|state| state.isolation == Isolation::Draining(ticket));
+        if reserved_for_ticket {
             return state.is_some_and(|state| state.running() == 0);
         }
         self.has_room(now, id, job)
@@ -313,6 +316,6 @@
     clippy::cast_sign_loss,
     reason = "a part of a count is within the count"
 )]
-fn scaled_count(slots: u32, free: f64) -> u32 {
-    ((f64::from(slots) * free) as u32).max(1)
+fn scaled_count(count: u32, fraction: f64) -> u32 {
+    ((f64::from(count) * fraction) as u32).max(1)
 }
--- a/crates/decide/src/place.rs
+++ b/crates/decide/src/place.rs
@@ -1,10 +1,11 @@
 //! Placement: the order in which endpoints are tried for a chat.
 //!
-//! Weighted rendezvous hashing. All endpoints of one zone have one weight,
-//! and the weighted score grows with the plain one, so the best of a zone is
-//! found by the plain integer score and only one logarithm a zone is taken:
-//! the order is exactly that of weighted rendezvous at the cost of the plain
-//! one. The order is worked out lazily, as most requests need its first alone.
+//! Placement uses weighted rendezvous hashing. All endpoints of one zone have
+//! the same weight, and the weighted score grows with the unweighted one. The
+//! best endpoint of a zone is therefore found by the unweighted integer score,
+//! and only one logarithm per zone is computed. The order is exactly that of
+//! weighted rendezvous hashing at the cost of the unweighted form. It is
+//! computed lazily because most requests need only its first endpoint.
 
 use godwitpost_types::hash;
 use godwitpost_types::id::{ChatId, EndpointId, RegionId, ZoneId};
@@ -12,11 +13,11 @@
 /// The endpoints of one pool in one zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Group {
-    /// The zone they are in.
+    /// The zone of the endpoints.
     pub zone: ZoneId,
     /// The region of the zone.
     pub region: RegionId,
-    /// Their ids.
+    /// The ids of the endpoints.
     pub members: Vec<EndpointId>,
 }
 
@@ -32,12 +33,12 @@
     last_returned: Option<(usize, (u64, EndpointId))>,
 }
 
-/// How much zones count in the order of a chat.
+/// The weights of zones in the order of a chat.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Weights {
-    /// The zone that is favoured, if any.
+    /// The preferred zone, if any.
     pub preferred_zone: Option<ZoneId>,
-    /// The weight of the favoured zone; every other zone weighs 1.
+    /// The weight of the preferred zone; every other zone has weight 1.
     pub preferred_weight: f64,
 }
 
@@ -49,7 +50,8 @@
 }
 
 impl<'a> Ranked<'a> {
-    /// Returns the order of `chat` over `groups`, those of region `near` first.
+    /// Returns the order of `chat` over `groups`; groups in `local_region`
+    /// come first.
     #[must_use]
     pub fn new(
         groups: &'a [Group],
@@ -75,7 +77,7 @@
             .collect();
     }
 
-    // The best member of a group whose score is under `below`.
+    // Returns the best member of a group whose score is below `below`.
     fn best_candidate(&self, index: usize, below: Option<(u64, EndpointId)>) -> Option<Candidate> {
         let group = &self.groups[index];
         let limit = below.unwrap_or((u64::MAX, EndpointId::MAX));
@@ -119,8 +121,8 @@
     }
 }
 
-// The loop that a placement spends its time in: two multiplications and a
-// comparison that seldom holds for each member.
+// Placement spends most of its time in this loop: two multiplications for each
+// member and a comparison that seldom succeeds.
 fn best_below(
     chat: ChatId,
     members: &[EndpointId],
--- a/crates/decide/src/quarantine.rs
+++ b/crates/decide/src/quarantine.rs
@@ -1,12 +1,12 @@
 //! Quarantine of requests that crash the endpoints that run them.
 //!
 //! When an endpoint crashes, every request in flight on it becomes a suspect.
-//! A suspect runs next alone on its endpoint. If that endpoint crashes too,
-//! the suspect was the only one there: it is convicted, after two endpoints.
-//! An innocent one comes through alone and is cleared. Evidence is a set of
-//! records under the request's digest, so a new key or another entry instance
-//! makes no difference, and merging is a union in any order.
-//! `docs/design/quarantine.md` says what was weighed.
+//! A suspect next runs alone on its endpoint. If that endpoint crashes too, no
+//! other request can be the cause, and the suspect is quarantined after two
+//! endpoints. A harmless request completes alone and is cleared. Evidence is a
+//! set of records keyed by the request's digest, so a new request key or
+//! another entry instance makes no difference, and merging is a union in any
+//! order. `docs/design/quarantine.md` compares the alternatives.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,17 +17,17 @@
 
 /// How long evidence counts.
 ///
-/// Long enough that a caller that resends for a working day stays out, short
-/// enough that a mended engine gets another try the next day.
+/// Long enough to keep out a caller that resends for a whole working day,
+/// short enough that a repaired engine gets another try the next day.
 pub const EVIDENCE_MAX_AGE: Duration = Duration::from_hours(12);
 
-/// Digests that one instance holds evidence on.
+/// Maximum number of digests that one instance keeps evidence on.
 ///
-/// 25 crashes a day with 64 requests in flight are 1,600 suspects a day;
-/// five times that bounds the memory at about a megabyte.
+/// 25 crashes a day with 64 requests in flight give 1,600 suspects a day. Five
+/// times that bounds the memory at about a megabyte.
 pub const MAX_DIGESTS: usize = 8_192;
 
-/// What one crash or one clean run says of a request.
+/// What one crash or one clean run shows about a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Evidence {
     /// The request's digest.
@@ -36,24 +36,25 @@
     pub endpoint: EndpointId,
     /// The endpoint's incarnation at the time.
     pub incarnation: Incarnation,
-    /// What was seen.
+    /// What was observed.
     pub kind: Kind,
-    /// When it was seen.
+    /// When it was observed.
     pub at: Moment,
 }
 
-/// What was seen of a request on an endpoint.
+/// What was observed of a request on an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Kind {
     /// The endpoint crashed while it ran this request.
     Crashed,
-    /// The endpoint ran the request to its end.
+    /// The endpoint completed the request.
     Clean,
-    /// The endpoint's incarnation lived on: only a connection had broken.
+    /// The endpoint's incarnation was alive afterwards; only a connection had
+    /// broken.
     Survived,
 }
 
-/// Returns the digest under which evidence on a request is kept.
+/// Returns the digest that identifies a request in evidence.
 #[must_use]
 pub fn digest(method: &str, path: &str, body: &[u8]) -> BodyDigest {
     let mut hasher = blake3::Hasher::new();
@@ -69,11 +70,11 @@
 /// What to do with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing speaks against it.
+    /// There is no evidence against it.
     Clear,
-    /// It may have crashed an endpoint; it runs alone.
+    /// It may have crashed an endpoint and must run alone.
     Suspect,
-    /// It crashes endpoints; it does not run.
+    /// It crashes endpoints and must not run.
     Quarantined,
 }
 
@@ -85,14 +86,15 @@
     latest: Moment,
 }
 
-/// The evidence that one instance knows.
+/// The evidence known to one instance.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     histories: BTreeMap<BodyDigest, History>,
 }
 
 impl Table {
-    /// Takes in evidence; returns whether it was new and worth passing on.
+    /// Records evidence and returns whether it was new and should be passed
+    /// on.
     pub fn insert(&mut self, evidence: Evidence) -> bool {
         let history = self.histories.entry(evidence.digest).or_default();
         let fresh = history.add(&evidence);
@@ -100,7 +102,7 @@
         fresh
     }
 
-    /// Returns what to do with the request of a digest.
+    /// Returns what to do with the request that has a digest.
     #[must_use]
     pub fn verdict(&self, digest: &BodyDigest, now: Moment) -> Verdict {
         self.histories
@@ -108,7 +110,7 @@
             .map_or(Verdict::Clear, |history| history.verdict(now))
     }
 
-    /// Returns all evidence, for an instance that starts with none.
+    /// Returns all evidence, to send to an instance that starts with none.
     #[must_use]
     pub fn records(&self) -> Vec<Evidence> {
         self.histories
@@ -124,7 +126,7 @@
         history.map_or_else(Vec::new, |history| history.records(*digest).collect())
     }
 
-    /// Takes back the crashes of an incarnation that was alive afterwards;
+    /// Retracts the crashes of an incarnation that was alive afterwards and
     /// returns the evidence to pass on.
     pub fn retract_crashes(
         &mut self,
@@ -133,12 +135,12 @@
         alive: Moment,
     ) -> Vec<Evidence> {
         let process = (endpoint, incarnation);
-        let crashed_here =
+        let is_affected =
             |history: &History| history.crashes.get(&process).is_some_and(|at| *at < alive);
         let affected = self
             .histories
             .iter()
-            .filter(|(_, history)| crashed_here(history));
+            .filter(|(_, history)| is_affected(history));
         let retracted: Vec<Evidence> = affected
             .map(|(digest, _)| Evidence {
                 digest: *digest,
@@ -152,7 +154,7 @@
         fresh.filter(|evidence| self.insert(*evidence)).collect()
     }
 
-    /// Drops evidence that no longer counts.
+    /// Removes evidence that no longer counts.
     pub fn expire(&mut self, now: Moment) {
         self.histories
             .retain(|_, history| since(now, history.latest) < EVIDENCE_MAX_AGE);
@@ -170,8 +172,8 @@
         self.histories.is_empty()
     }
 
-    // Over capacity the case that was quiet longest goes, as it is the least
-    // likely to be sent again.
+    // Over capacity, the digest with the oldest evidence is removed because
+    // its request is the least likely to be sent again.
     fn evict_oldest(&mut self) {
         if self.histories.len() <= MAX_DIGESTS {
             return;
@@ -201,9 +203,10 @@
         }
     }
 
-    // A clean run clears what came before it, whatever order the records
-    // arrive in. Two crashes that nothing cleared convict: the second run was
-    // alone wherever the first was known, so it points at this request only.
+    // A clean run clears all crashes before it, whatever the order in which
+    // the records arrive. Two crashes that nothing cleared quarantine the
+    // request: wherever the first crash was known, the second run was alone,
+    // so it points at this request only.
     fn verdict(&self, now: Moment) -> Verdict {
         let counted = self
             .crashes
@@ -237,7 +240,7 @@
 
 type Process = (EndpointId, Incarnation);
 
-// Keeps the latest moment of each place; returns whether it moved.
+// Keeps the latest time for each process and returns whether it changed.
 fn update_latest(moments: &mut BTreeMap<Process, Moment>, process: Process, at: Moment) -> bool {
     let known = moments.get(&process).copied();
     if known >= Some(at) {
--- a/crates/decide/src/queue.rs
+++ b/crates/decide/src/queue.rs
@@ -1,24 +1,25 @@
-//! Requests that wait at the owner of their endpoints.
+//! The queue of requests that wait at the owner of their endpoints.
 //!
-//! Classes of a lower priority number go strictly first. Among one priority,
-//! start-time fair queueing shares by weight over flows (one workspace in one
-//! class): a request is stamped with the virtual time at which its flow's
-//! earlier work would be done at its weight, and the smallest stamp goes
-//! first. A flow that sent little has an early stamp however long the queue
-//! of a surging one is. Cost is estimated work, so long prompts pay more.
+//! Classes with a lower priority number go strictly first. Within one
+//! priority, start-time fair queueing shares by weight among flows, where a
+//! flow is one workspace in one class. Each request gets as its start tag the
+//! virtual time at which its flow's earlier work would be done at its weight,
+//! and the smallest start tag goes first. A flow that sent little has an early
+//! start tag, however long the queue of a surging flow is. Cost is estimated
+//! work, so long prompts cost more.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use godwitpost_types::clock::Moment;
 use godwitpost_types::id::{ClassId, WorkspaceId};
 
-/// A number for a waiting request, unique at its owner.
+/// Identifies a waiting request; unique at its owner.
 pub type Ticket = u64;
 
-/// Virtual time for one token at weight 1; keeps fractions of weights.
+/// Virtual time per token at weight 1; large enough to keep fractional costs.
 const VIRTUAL_TIME_SCALE: f64 = 1024.0;
 
-/// One workspace in one class.
+/// The requests of one workspace in one class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Flow {
     /// The workspace.
@@ -32,9 +33,9 @@
 pub struct Rank {
     /// The priority of its class; 0 goes first.
     pub priority: u8,
-    /// Its flow.
+    /// The flow it belongs to.
     pub flow: Flow,
-    /// The flow's weight.
+    /// The weight of its flow.
     pub weight: f64,
     /// Estimated work in tokens.
     pub work: u64,
@@ -49,7 +50,7 @@
     ticket: Ticket,
 }
 
-/// A queue of `T` in the order of priority and fair share.
+/// A queue of `T` ordered by priority and fair share.
 #[derive(Clone, Debug)]
 pub struct Queue<T> {
     order: BTreeMap<Position, (Flow, T)>,
@@ -84,29 +85,30 @@
         self.order.len()
     }
 
-    /// Returns the number of waiting requests, as summaries tell it.
+    /// Returns the number of waiting requests as a `u32`, for summaries.
     #[must_use]
     pub fn count(&self) -> u32 {
         u32::try_from(self.order.len()).unwrap_or(u32::MAX)
     }
 
-    /// Returns whether nothing waits.
+    /// Returns whether no request is waiting.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.order.is_empty()
     }
 
-    /// Returns how many requests of a flow wait.
+    /// Returns the number of waiting requests of a flow.
     #[must_use]
     pub fn flow_len(&self, flow: Flow) -> u32 {
         self.flow_counts.get(&flow).copied().unwrap_or(0)
     }
 
-    /// Returns whether a queue of `most` has no place for one more of a flow.
+    /// Returns whether a queue of `capacity` has no room for another request
+    /// of a flow.
     ///
-    /// Past `most`, only flows with less than an even part of it still get
-    /// in, up to twice as many: a surge that fills the queue must not keep
-    /// the others out of it.
+    /// Beyond `capacity`, only flows with less than an even part of it are
+    /// still admitted, up to twice the capacity. A surge that fills the queue
+    /// must not keep the other flows out.
     #[must_use]
     pub fn is_full_for(&self, capacity: usize, flow: Flow) -> bool {
         let flows = self.flow_counts.len().max(1);
@@ -115,7 +117,7 @@
             || (self.len() >= capacity && own.saturating_mul(flows) >= capacity)
     }
 
-    /// Puts a request in its place.
+    /// Adds a request at its position in the order.
     pub fn push(&mut self, ticket: Ticket, rank: &Rank, item: T) {
         let level = self.levels.entry(rank.priority).or_default();
         let finish = level.finish.get(&rank.flow).copied().unwrap_or(0);
@@ -132,14 +134,15 @@
         *self.flow_counts.entry(rank.flow).or_insert(0) += 1;
     }
 
-    /// Returns the waiting requests, first to go first.
+    /// Returns the waiting requests in the order in which they go.
     pub fn iter(&self) -> impl Iterator<Item = (Ticket, &T)> {
         self.order
             .iter()
             .map(|(position, (_, item))| (position.ticket, item))
     }
 
-    /// Takes a request out to dispatch it, which moves the virtual time on.
+    /// Removes a request in order to dispatch it, which advances the virtual
+    /// time.
     pub fn take_for_dispatch(&mut self, ticket: Ticket) -> Option<T> {
         let (position, _) = *self.positions.get(&ticket)?;
         if let Some(level) = self.levels.get_mut(&position.priority) {
@@ -148,7 +151,7 @@
         self.remove(ticket)
     }
 
-    /// Takes a request out without dispatching it.
+    /// Removes a request without dispatching it.
     pub fn remove(&mut self, ticket: Ticket) -> Option<T> {
         let (position, deadline) = self.positions.remove(&ticket)?;
         self.deadlines.remove(&(deadline, ticket));
@@ -160,7 +163,7 @@
         Some(item)
     }
 
-    /// Takes out one request whose time is up.
+    /// Removes one request whose deadline has passed.
     pub fn pop_expired(&mut self, now: Moment) -> Option<(Ticket, T)> {
         let &(deadline, ticket) = self.deadlines.first()?;
         if deadline > now {
--- a/crates/decide/src/refusal.rs
+++ b/crates/decide/src/refusal.rs
@@ -1,16 +1,17 @@
-//! Refusals: a request that was not run, why, and when to come again.
+//! Refusals: a request that was not run, the reason, and when to retry it.
 
 use std::time::Duration;
 
 use displaydoc::Display;
 use serde::{Deserialize, Serialize};
 
-/// A request that was not run and will not be by who refuses it.
+/// A request that was not run and will not be run by the instance that refuses
+/// it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
     /// Why it was refused.
     pub reason: Reason,
-    /// When sending it again may help; goes into `Retry-After`.
+    /// How long to wait before sending it again; goes into `Retry-After`.
     pub retry_after: Duration,
 }
 
@@ -44,11 +45,12 @@
 impl std::error::Error for Reason {}
 
 impl Refusal {
-    /// Returns a refusal with the wait that its reason suggests.
+    /// Returns a refusal with the delay suitable for its reason.
     #[must_use]
     pub const fn new(reason: Reason) -> Self {
-        // Waits in seconds. Load passes within a second or two; what an
-        // operator has to mend does not, so asking often helps nobody.
+        // Delays in seconds. Excess load passes within a second or two. What
+        // an operator has to fix takes longer, so frequent retries do not
+        // help.
         let secs = match reason {
             Reason::Busy | Reason::Concurrency | Reason::Leaving | Reason::Rate => 1,
             Reason::Deadline | Reason::QueueFull | Reason::NoEndpoint => 2,
--- a/crates/decide/src/resume.rs
+++ b/crates/decide/src/resume.rs
@@ -1,10 +1,10 @@
-//! Whether a broken event stream is asked for again at the same engine.
+//! Whether a broken event stream is resumed at the same engine.
 //!
-//! An engine holds a stream for a while after its connection broke, and goes
-//! on after the event that `Last-Event-ID` names. That is worth asking for only
-//! while each event so far had a number one above the last: then what follows
-//! can be checked to leave nothing out and to repeat nothing. A stream without
-//! such numbers is relayed as it comes and never resumed.
+//! An engine keeps a stream for a while after its connection broke, and
+//! continues after the event named by `Last-Event-ID`. Resuming is useful only
+//! while each event so far had a number one above the previous one. Only then
+//! can the continuation be checked to leave nothing out and to repeat nothing.
+//! A stream without such numbers is relayed as it comes and never resumed.
 
 pub mod events;
 
@@ -13,32 +13,33 @@
 
 use crate::entry::Budgets;
 
-/// How often one stream is asked for again.
+/// Maximum number of times that one stream is resumed.
 ///
-/// A connection that breaks three times under one answer says that the engine
-/// or the way to it is broken, and the caller hears of it sooner.
+/// A connection that breaks three times during one answer shows that the
+/// engine or the path to it is broken; the caller learns of it sooner this
+/// way.
 const MAX_RESUMES: u32 = 2;
 
-/// What an event means for the stream that it came in.
+/// How an event fits into the sequence of its stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventOrder {
-    /// It is the next one.
+    /// It is the next event in sequence.
     Next,
-    /// The stream is not numbered; it is relayed but can't be resumed.
+    /// The stream is not numbered; it is relayed but cannot be resumed.
     Unnumbered,
-    /// A resumed stream doesn't go on where it broke off.
+    /// A resumed stream does not continue where it broke off.
     OutOfSequence,
 }
 
-/// What follows a broken stream.
+/// What to do about a broken stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Ask the same engine for what follows this event.
+    /// Ask the same engine for the events after this one.
     Reconnect {
-        /// The number of the last whole event.
+        /// The number of the last complete event.
         after: u64,
     },
-    /// Break the caller's connection off.
+    /// Close the caller's connection.
     GiveUp,
 }
 
@@ -52,7 +53,7 @@
 }
 
 impl Progress {
-    /// Notes a whole event and its number, if it has one.
+    /// Records a complete event and its number, if it has one.
     pub fn record_event(&mut self, number: Option<u64>) -> EventOrder {
         let expected = self.last_event.and_then(|last| last.checked_add(1));
         let next = number.is_some() && (self.last_event.is_none() || number == expected);
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Notes that the events have no boundaries that can be relied on.
+    /// Records that the ends of events cannot be detected reliably.
     pub const fn record_unbounded(&mut self) -> EventOrder {
         self.unnumbered = true;
         if self.resumes > 0 {
@@ -77,26 +78,26 @@
         }
     }
 
-    /// Notes the end mark.
+    /// Records the end marker.
     pub const fn record_end(&mut self) {
         self.done = true;
     }
 
-    /// Returns whether the end mark came.
+    /// Returns whether the end marker was received.
     #[must_use]
     pub const fn is_done(&self) -> bool {
         self.done
     }
 
-    /// Returns whether the stream can't be resumed, whatever comes.
+    /// Returns whether the stream can no longer be resumed.
     #[must_use]
     pub const fn is_unnumbered(&self) -> bool {
         self.unnumbered
     }
 
-    /// Notes that the stream broke off and returns what follows.
+    /// Records that the stream broke off and returns what to do next.
     ///
-    /// Asking again counts as a retry.
+    /// Resuming counts as a retry.
     pub fn record_break(&mut self, now: Moment, request: &Request, budgets: &mut Budgets) -> Next {
         let Some(after) = self.last_event else {
             return Next::GiveUp;
@@ -111,17 +112,17 @@
         Next::Reconnect { after }
     }
 
-    /// Returns the number of the last whole event.
+    /// Returns the number of the last complete event.
     #[must_use]
     pub const fn last_event(&self) -> Option<u64> {
         self.last_event
     }
 
-    /// Notes that the stream broke off and is asked for again after its last
-    /// whole event, at an endpoint that need not be the same.
+    /// Records that the stream broke off and is to be resumed after its last
+    /// complete event, at an endpoint that need not be the same.
     ///
-    /// `None` if it can't be asked for: an event had no number, or the end
-    /// mark came.
+    /// Returns `None` if the stream cannot be resumed: an event had no number,
+    /// or the end marker was received.
     pub const fn begin_resume(&mut self) -> Option<u64> {
         if self.unnumbered || self.done {
             return None;
--- a/crates/decide/src/resume/events.rs
+++ b/crates/decide/src/resume/events.rs
@@ -1,37 +1,39 @@
-//! Whole events of a stream, cut out of frames.
+//! Splits frames into the complete events of a stream.
 //!
 //! A frame may end in the middle of an event. If the connection breaks there,
-//! the half that came must not reach the caller, since the resumed stream
-//! begins with the same event. So an unfinished event is held back, up to a
-//! limit; a stream that exceeds it, or that ends its lines in a way in which
-//! the end of an event can't be seen, is passed on as it comes from then on.
+//! the first part must not reach the caller, because the resumed stream begins
+//! with the same event. An unfinished event is therefore held back, up to a
+//! limit. A stream is passed on unchanged from the point where it exceeds the
+//! limit or ends its lines in a way that hides the end of an event.
 
 use super::{EventOrder, Progress};
 use bytes::{Bytes, BytesMut};
 
-/// Bytes of an unfinished event that are held: far above an event of one
-/// token, and 64 MiB for 1,024 streams that all exceed it.
+/// Maximum size of an unfinished event that is held back, in bytes. This is
+/// far above an event of one token, and 64 MiB for 1,024 streams that all
+/// reach it.
 const MAX_PARTIAL_EVENT: usize = 64 << 10;
 
-/// A resumed stream that doesn't go on where it broke off.
+/// A resumed stream does not continue where it broke off.
 #[derive(Debug, displaydoc::Display)]
 #[displaydoc("the endpoint resumed its stream at another event than the next")]
 pub struct OutOfSequence;
 
 impl std::error::Error for OutOfSequence {}
 
-/// Cuts frames at the ends of events.
+/// Splits frames at the ends of events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     partial: BytesMut,
 }
 
 impl EventSplitter {
-    /// Takes a frame in; returns what may be passed on.
+    /// Adds a frame and returns the bytes that may be passed on.
     ///
     /// # Errors
     ///
-    /// Returns an error if a resumed stream doesn't go on where it broke off.
+    /// Returns an error if a resumed stream does not continue where it broke
+    /// off.
     pub fn push(&mut self, frame: Bytes, progress: &mut Progress) -> Result<Bytes, OutOfSequence> {
         let mut bytes = self.join(frame);
         if progress.is_unnumbered() {
@@ -57,7 +59,7 @@
         Ok(bytes)
     }
 
-    /// Takes out what is held of an unfinished event.
+    /// Takes the bytes of an unfinished event.
     #[must_use]
     pub fn take_partial(&mut self) -> Bytes {
         self.partial.split().freeze()
@@ -73,7 +75,7 @@
 }
 
 enum Scan {
-    /// Up to here the events are whole.
+    /// The events up to this offset are complete.
     Complete(usize),
     Unnumbered,
     OutOfSequence,
@@ -96,7 +98,8 @@
             break;
         };
         let text = text.strip_suffix(b"\r").unwrap_or(text);
-        // A lone carriage return may end a line, too; no engine known does so.
+        // A lone carriage return may also end a line, but no known engine uses
+        // it.
         if text.contains(&b'\r') {
             return scan_of(progress.record_unbounded());
         }
@@ -128,7 +131,7 @@
             self.number = text.and_then(|text| text.parse().ok());
         }
         self.done |= is_end_marker(line);
-        // A line that begins with a colon is a comment, which keeps a
+        // A line that begins with a colon is a comment. It keeps the
         // connection alive and belongs to no event.
         self.fields |= !line.starts_with(b":");
     }
@@ -154,7 +157,7 @@
     data.is_some_and(|data| data.trim_ascii() == b"[DONE]")
 }
 
-/// Returns whether the end mark is the last line of an unfinished event.
+/// Returns whether the end marker is the last line of an unfinished event.
 #[must_use]
 pub fn ends_with_end_marker(bytes: &[u8]) -> bool {
     let lines = bytes.split(|byte| *byte == b'\n').map(<[u8]>::trim_ascii);
--- a/crates/decide/src/resume/events/tests.rs
+++ b/crates/decide/src/resume/events/tests.rs
@@ -27,10 +27,11 @@
     }
 }
 
-// An engine sends an event without an end. Held back whole it would fill the
-// router's memory; it is passed on and the stream can't be resumed any more.
+// An engine sends an event that never ends. Holding back all of it would fill
+// the router's memory, so it is passed on and the stream can no longer be
+// resumed.
 #[test]
-fn an_endless_event_is_not_held() {
+fn endless_event_is_not_held_back() {
     let (mut events, mut progress) = (EventSplitter::default(), Progress::default());
     let long = "x".repeat(MAX_PARTIAL_EVENT + 1);
     let frame = format!("id: 1\ndata: a\n\nid: 2\ndata: {long}");
--- a/crates/decide/src/view.rs
+++ b/crates/decide/src/view.rs
@@ -1,9 +1,9 @@
-//! The snapshot of instances and endpoints that decisions are taken on.
+//! The snapshot of instances and endpoints that decisions are based on.
 //!
-//! The control thread builds a [`View`] whenever its picture of the fleet
-//! changes and publishes it; traffic threads only read. Views of two
+//! The control thread builds and publishes a [`View`] whenever its knowledge
+//! of the fleet changes; traffic threads only read it. The views of two
 //! instances may differ for seconds, and nothing here relies on their being
-//! the same: a request that reaches the wrong owner is served all the same.
+//! equal: a request that reaches the wrong owner is still served.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,21 +18,24 @@
 
 use crate::place::{Group, Ranked, Weights};
 
-/// Favour of the entry's own zone for plain services, against 1 for others.
+/// Weight of the entry instance's zone for plain services; other zones have
+/// weight 1.
 ///
-/// A plain call keeps no context, so a short way is worth taking: with four
-/// zones, 4 keeps about 57% of the calls at home and still uses the rest.
-/// Engines get 1: a home that depends on where the caller came in would lose
-/// the chat's context at each change of zone, for a millisecond's gain.
+/// A plain call keeps no context, so a short path is worth taking. With four
+/// zones, a weight of 4 keeps about 57% of the calls in their zone and still
+/// uses the others. Engines get 1: a home endpoint that depended on the entry
+/// zone would lose the chat's context at each change of zone, to save a
+/// millisecond.
 pub const PLAIN_ZONE_WEIGHT: f64 = 4.0;
 
-/// Favour of an endpoint's own zone when its owner is chosen.
+/// Weight of an endpoint's own zone when its owner is chosen.
 ///
-/// Near owners save a crossing on each request. Greater values let one
-/// instance own most of a zone when its neighbours are gone.
+/// An owner in the same zone saves a zone crossing on each request. Greater
+/// weights let one instance own most of a zone when the other instances there
+/// are gone.
 pub const OWNER_ZONE_WEIGHT: f64 = 4.0;
 
-/// Endpoints that can stand in for each other: one model of one service.
+/// Endpoints that can replace each other: those with one model of one service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Pool {
     /// The service.
@@ -52,10 +55,10 @@
     }
 }
 
-/// The instances and endpoints that one picture of the fleet holds.
+/// The instances and endpoints of one snapshot of the fleet.
 ///
-/// It is the same for every instance that has this picture, so tests and
-/// benches of many instances in one process share it.
+/// All instances with the same lists have the same `Fleet`, so tests and
+/// benchmarks that run many instances in one process share it.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     instances: BTreeMap<InstanceId, Instance>,
@@ -66,7 +69,7 @@
 }
 
 impl Fleet {
-    /// Works out the owners and pools of a picture.
+    /// Computes the owners and pools of a snapshot.
     #[must_use]
     pub fn new(
         instances: impl IntoIterator<Item = Instance>,
@@ -101,7 +104,7 @@
     }
 }
 
-/// An immutable picture of the fleet as one instance sees it.
+/// An immutable snapshot of the fleet as one instance sees it.
 #[derive(Clone, Debug)]
 pub struct View {
     local: InstanceId,
@@ -111,8 +114,8 @@
 }
 
 impl View {
-    /// Builds the view of instance `local`, which must be among `instances`
-    /// to have a region of its own.
+    /// Builds the view of instance `local`, whose region is known only if it
+    /// is among `instances`.
     #[must_use]
     pub fn new(
         local: InstanceId,
@@ -122,7 +125,7 @@
         Self::from_fleet(local, Arc::new(Fleet::new(instances, endpoints)))
     }
 
-    /// Builds the view that instance `local` has of a fleet.
+    /// Builds instance `local`'s view of a fleet.
     #[must_use]
     pub fn from_fleet(local: InstanceId, fleet: Arc<Fleet>) -> Self {
         let region = fleet.instances.get(&local).map_or(0, |i| i.region);
@@ -147,7 +150,7 @@
         self.fleet.instances.get(&id)
     }
 
-    /// Returns every instance, in the order of ids.
+    /// Returns all instances in the order of their ids.
     pub fn instances(&self) -> impl Iterator<Item = &Instance> {
         self.fleet.instances.values()
     }
@@ -158,12 +161,13 @@
         self.fleet.endpoints.get(&id)
     }
 
-    /// Returns every endpoint, in the order of ids.
+    /// Returns all endpoints in the order of their ids.
     pub fn endpoints(&self) -> impl Iterator<Item = &Endpoint> {
         self.fleet.endpoints.values()
     }
 
-    /// Returns the endpoints that the local instance owns, leaving ones too.
+    /// Returns the endpoints that the local instance owns, including leaving
+    /// ones.
     pub fn owned(&self) -> impl Iterator<Item = &Endpoint> {
         self.endpoints()
             .filter(|endpoint| self.owner(endpoint.id) == self.local)
@@ -181,7 +185,8 @@
         self.owned.get(&pool).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns whether another view has the same endpoints in the same hands.
+    /// Returns whether another view has the same endpoints with the same
+    /// owners.
     #[must_use]
     pub fn same_ownership(&self, other: &Self) -> bool {
         Arc::ptr_eq(&self.fleet, &other.fleet)
@@ -190,7 +195,8 @@
 
     /// Returns the instance that dispatches to an endpoint.
     ///
-    /// An endpoint that the view does not know is the local instance's.
+    /// An endpoint that is missing from the view counts as owned by the local
+    /// instance.
     #[must_use]
     pub fn owner(&self, endpoint: EndpointId) -> InstanceId {
         self.fleet
@@ -209,9 +215,11 @@
             .map_or(0, |groups| groups.iter().map(|g| g.members.len()).sum())
     }
 
-    /// Returns the live endpoints of a pool in a chat's order, lazily.
+    /// Returns the live endpoints of a pool in a chat's order, computed
+    /// lazily.
     ///
-    /// `zone` is where the request came in. The local region goes first.
+    /// `zone` is where the request entered the fleet. The local region comes
+    /// first.
     #[must_use]
     pub fn ranked(&self, pool: Pool, chat: ChatId, zone: ZoneId) -> Ranked<'_> {
         let groups = self.fleet.pools.get(&pool).map_or(&[][..], Vec::as_slice);
@@ -223,7 +231,7 @@
         Ranked::new(groups, chat, self.region, weights)
     }
 
-    /// Returns whether an endpoint is known, live and of `pool`.
+    /// Returns whether an endpoint is known, live and in `pool`.
     #[must_use]
     pub fn serves(&self, endpoint: EndpointId, pool: Pool) -> bool {
         self.fleet.endpoints.get(&endpoint).is_some_and(|endpoint| {
--- a/crates/decide/tests/traps/bound.rs
+++ b/crates/decide/tests/traps/bound.rs
@@ -1,4 +1,4 @@
-//! The load bound with lagging reports and two owners.
+//! The load bound when reports lag and two instances act as owner.
 
 use std::time::Duration;
 
@@ -21,8 +21,9 @@
         .count()
 }
 
-// An engine drowns while its neighbours idle. Two routers take themselves for
-// its owner, as their lists differ for seconds, and each fills all its slots.
+// Two routers with different lists both act as owner of an engine for some
+// seconds. Each fills all slots, and the engine is overloaded while others are
+// idle.
 #[test]
 fn work_of_another_owner_is_counted_by_report() {
     let mut owner = Owner::new(fleet::view(0, 1, 1), fleet::policy());
@@ -35,15 +36,15 @@
         work: 3_000,
     };
     owner.apply_report(fleet::runner(0).id, &report);
-    // Four slots, one taken by this owner and two by the other one.
+    // Four slots: this owner uses one and the other owner two.
     assert_eq!(owner.load(fleet::runner(0).id), 3_000);
     assert_eq!(dispatched(&mut owner, 1..9), 1);
 }
 
 // A router takes an engine over from one that is leaving. No report has shown
-// yet what runs there, and taken for idle it gets twice its bound.
+// yet what runs there. Assumed to be idle, the engine gets twice its bound.
 #[test]
-fn endpoint_taken_over_is_not_taken_for_idle() {
+fn endpoint_taken_over_is_not_assumed_idle() {
     let mut owner = Owner::new(fleet::view(0, 6, 2), fleet::policy());
     let local = fleet::instance(0).id;
     let summary = Summary {
@@ -61,10 +62,10 @@
     assert_eq!(owner.load(fleet::runner(0).id), 12_000);
 }
 
-// A router that has heard from nobody compares its one engine with itself,
-// finds it at the mean whatever it carries, and goes on filling it.
+// A router that has received no summaries compares its only engine with
+// itself, finds it at the mean whatever its load, and keeps filling it.
 #[test]
-fn endpoints_unheard_of_do_not_count_as_loaded_as_our_own() {
+fn unreported_endpoints_are_not_assumed_as_loaded_as_own() {
     let own = Summary {
         source: 1,
         pool: Pool::for_request(&fleet::request(0)),
--- a/crates/decide/tests/traps/chats.rs
+++ b/crates/decide/tests/traps/chats.rs
@@ -1,4 +1,4 @@
-//! Chat locations through spills, restarts, late events and stops.
+//! Chat locations across spills, restarts, late events and stops.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     let (home, _) = fleet::home(&fleet::view(0, 1, 3), request);
     let next = owner.offer(at(secs), request, &Hop::first(0, home));
     let Next::Dispatch(grant) = next else {
-        panic!("an idle engine takes it: {next:?}");
+        panic!("an idle engine did not accept it: {next:?}");
     };
     owner.finish(at(secs), grant.attempt, Ending::Done);
     grant
@@ -31,9 +31,9 @@
     Owner::new(fleet::view(0, 1, 3), fleet::policy())
 }
 
-// An editor comes back from lunch to an engine that was restarted meanwhile.
-// The router takes the context for warm, counts the turn as small, and puts
-// far more on the engine than it can bear.
+// An engine restarts and loses its cache. A router that still counts the
+// chat's context as cached underestimates the next turn and puts far more work
+// on the engine than it can handle.
 #[test]
 fn restarted_endpoint_is_cold() {
     let mut owner = owner();
@@ -50,8 +50,8 @@
     assert_eq!(turn(&mut owner, 3, &request).cached, 0);
 }
 
-// A cache event arrives late: the engine evicted the chat, then the chat came
-// back and was cached again. Taken at its word it would be called cold.
+// A cache event arrives late: the engine evicted the chat, then ran and cached
+// it again. Applying the event as it stands would mark the chat as not cached.
 #[test]
 fn late_eviction_does_not_undo_a_later_turn() {
     let mut owner = owner();
@@ -74,10 +74,10 @@
     }
 }
 
-// Events are lost in a gap. The engine evicts in the order of use, so the
-// evictions that did arrive tell of the older ones that did not.
+// Some cache events are lost. Engines evict the least recently used chats
+// first, so the evictions that arrived imply the earlier ones.
 #[test]
-fn eviction_lost_in_a_gap_shows_in_later_ones() {
+fn lost_eviction_is_inferred_from_later_ones() {
     let mut owner = Owner::new(fleet::view(0, 1, 1), fleet::policy());
     for chat in 0..12 {
         turn(&mut owner, chat, &fleet::request(chat));
@@ -90,8 +90,9 @@
     assert_eq!(turn(&mut owner, 60, &fleet::request(11)).cached, 800);
 }
 
-// A router is stopped for an upgrade, and every editor whose chat it knew to
-// be warm away from home waits for a whole prefill.
+// A router is stopped for an upgrade. Unless it hands over the locations of
+// chats that are cached away from their home endpoint, each of them needs a
+// full prefill.
 #[test]
 fn graceful_stop_hands_locations_to_the_new_owners() {
     let local = fleet::instance(0).id;
@@ -103,7 +104,7 @@
     let instances = [leaving, fleet::instance(1)];
     let view = View::new(local, instances, (0..3).map(fleet::runner));
     owner.apply_view(at(1), view.into(), fleet::policy());
-    let moved: Vec<(u64, Location)> = owner.next_handover_batch().expect("some to look at");
+    let moved: Vec<(u64, Location)> = owner.next_handover_batch().expect("a batch of locations");
     assert_eq!(owner.next_handover_batch(), None);
     let places: Vec<_> = moved
         .iter()
--- a/crates/decide/tests/traps/fleet.rs
+++ b/crates/decide/tests/traps/fleet.rs
@@ -1,4 +1,4 @@
-//! A small fleet of views, policies and requests for the tests.
+//! Views, policies and requests of a small fleet, for the tests.
 
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddr};
--- a/crates/decide/tests/traps/health.rs
+++ b/crates/decide/tests/traps/health.rs
@@ -1,4 +1,4 @@
-//! Endpoints that flap, leave and come back.
+//! Endpoints that flap, leave and return.
 
 use std::time::Duration;
 
@@ -14,9 +14,9 @@
     machine.handle(Event::Failure(at(secs)));
 }
 
-// Drafts fail every other second for minutes. An engine flaps: it answers for
-// a second, then refuses connections. Each good answer put it back in, each
-// failure threw its chats to other engines, and so to and fro.
+// An engine flaps for minutes: it answers for a second, then refuses
+// connections. If each success reopened it, every other second's requests
+// would fail and its chats would move back and forth between engines.
 #[test]
 fn flapping_endpoint_stays_out_longer_each_time() {
     let mut machine = Machine::new(1);
@@ -34,8 +34,8 @@
     assert_eq!(out, [1, 2, 4, 8]);
 }
 
-// One answer after a failure is no sign of health: the next callers would all
-// be sent to an engine that is still half down.
+// One success after a failure does not prove recovery. Opening the endpoint
+// would send all following requests to an engine that is still partly down.
 #[test]
 fn endpoint_on_trial_opens_after_several_good_answers() {
     let mut machine = Machine::new(1);
@@ -48,11 +48,11 @@
     assert_eq!(machine.access(), Access::Full);
 }
 
-// A request is cut by an engine that had said it would go. The engine's own
-// report said leaving; then the platform's lagging list said live once more,
-// and it was sent new work until it went.
+// An engine's own report says that it is leaving; then the platform's delayed
+// list says that it is live. If the list won, the engine would get new work
+// until it stops and cuts those requests off.
 #[test]
-fn leaving_is_sticky_and_another_life_is_someone_else() {
+fn leaving_is_final_until_a_new_incarnation() {
     let mut machine = Machine::new(1);
     machine.update_standing(1, Standing::Leaving);
     assert!(!machine.update_standing(1, Standing::Live));
@@ -61,7 +61,8 @@
 
     assert!(machine.update_standing(2, Standing::Live));
     assert_eq!(machine.access(), Access::Full);
-    // A late word on the life before is no word on this one.
+    // Outdated information about the previous incarnation does not affect this
+    // one.
     assert!(!machine.update_standing(1, Standing::Leaving));
     assert_eq!(machine.access(), Access::Full);
 }
--- a/crates/decide/tests/traps/limit.rs
+++ b/crates/decide/tests/traps/limit.rs
@@ -1,4 +1,4 @@
-//! A workspace's limits over several instances.
+//! The limits of a workspace across several instances.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,8 +19,9 @@
     }
 }
 
-// Requests admitted in each of `secs` seconds; `shares` is how many of a
-// hundred a second come to each instance. Demand is told once a second.
+// Returns the number of requests admitted in each of `secs` seconds. `shares`
+// is the number of requests per second that arrive at each instance. Demand is
+// exchanged once a second.
 fn admitted(workspace: &Workspace, shares: [u32; INSTANCES], secs: u64) -> Vec<u64> {
     let mut limits = vec![Limits::default(); INSTANCES];
     let mut seconds = Vec::new();
@@ -52,9 +53,9 @@
     }
 }
 
-// A workspace pays for fifty requests a second and gets three hundred: each of
-// six routers grants it the whole limit. Or it gets eight, as its callers hold
-// one connection, to one router, which keeps to a sixth.
+// A workspace with a limit of 50 requests per second gets 300 if each of six
+// routers grants it the whole limit. It gets 8 if all its callers use one
+// connection to one router, which allows only a sixth.
 #[test]
 fn limit_holds_over_the_fleet_however_callers_spread() {
     for shares in [[100, 0, 0, 0, 0, 0], [50, 30, 20, 0, 0, 0], [20; 6]] {
--- a/crates/decide/tests/traps/main.rs
+++ b/crates/decide/tests/traps/main.rs
@@ -1,4 +1,4 @@
-//! The failures that the decisions are built for, each brought about.
+//! The failures that the decisions guard against, each reproduced by a test.
 
 mod bound;
 mod chats;
--- a/crates/decide/tests/traps/owner.rs
+++ b/crates/decide/tests/traps/owner.rs
@@ -1,4 +1,4 @@
-//! The owner's queue and its promise that a cancelled request never runs.
+//! The owner's queue, and its guarantee that a cancelled request never runs.
 
 use std::time::Duration;
 
@@ -30,9 +30,9 @@
     }
 }
 
-// A caller is told "not run", sends its order again, and gets two. Its first
-// request waited in a queue; the caller's instance gave up on it and said "not
-// run", then a slot came free and the queue dispatched it all the same.
+// A request waits in a queue when the entry instance gives up and tells the
+// caller "not run". If a slot then came free and the queue still dispatched
+// the request, the caller's resend would run it twice.
 #[test]
 fn cancelled_request_is_never_dispatched() {
     let mut owner = lone_owner(1);
@@ -40,7 +40,7 @@
         .map(|chat| grant(&offer(&mut owner, &fleet::request(chat))))
         .collect();
     let Next::Wait { ticket, .. } = offer(&mut owner, &fleet::request(9)) else {
-        panic!("a fifth request on four slots waits");
+        panic!("a fifth request on four slots must wait");
     };
     assert!(owner.cancel(ticket));
     for grant in first {
@@ -49,8 +49,8 @@
     assert!(!owner.cancel(ticket));
 }
 
-// The other order: the slot came free first. Then the word "not run" must not
-// be said, as the request is on its way to the endpoint.
+// The reverse order: the slot comes free first. "Not run" must then not be
+// reported, as the request is on its way to the endpoint.
 #[test]
 fn dispatched_request_is_not_cancelled() {
     let mut owner = lone_owner(1);
@@ -59,7 +59,7 @@
         grant(&offer(&mut owner, &fleet::request(chat)));
     }
     let Next::Wait { ticket, .. } = offer(&mut owner, &fleet::request(9)) else {
-        panic!("a fifth request on four slots waits");
+        panic!("a fifth request on four slots must wait");
     };
     let wakes = owner.finish(NOW, first.attempt, Ending::Done);
     assert_eq!(wakes.len(), 1);
@@ -68,13 +68,13 @@
     assert!(!owner.cancel(ticket));
 }
 
-// A caption brief is not begun for twenty seconds though engines idle. A
-// router is stopped while its endpoint is full; another whose list lags still
-// takes it for the owner of the least loaded endpoint and sends it a request
-// with its forwards used up. Were the request to wait there, no end of another
-// would ever wake it, since nothing there is owned any more: it moves on.
+// A router is stopped while its endpoint is full. Another router with an
+// outdated list still takes it for the owner of the least loaded endpoint and
+// sends it a request with no forwards left. If the request waited there, no
+// finishing request would ever wake it, since nothing is owned there any more.
+// It would start only after 20 seconds or more, although engines are idle.
 #[test]
-fn request_to_who_owns_nothing_moves_on() {
+fn request_at_instance_without_endpoints_is_rerouted() {
     let mut owner = lone_owner(1);
     for chat in 0..4 {
         grant(&offer(&mut owner, &fleet::request(chat)));
@@ -90,7 +90,7 @@
     hop.count = MAX_FORWARDS + 1;
     let next = owner.offer(NOW, &request, &hop);
     let Next::Forward { instance, .. } = &next else {
-        panic!("not moved on: {next:?}");
+        panic!("not rerouted: {next:?}");
     };
     assert_eq!(*instance, successor);
 }
--- a/crates/decide/tests/traps/place.rs
+++ b/crates/decide/tests/traps/place.rs
@@ -1,4 +1,4 @@
-//! Homes of chats, and what moves them.
+//! The home endpoints of chats, and what moves them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -21,8 +21,8 @@
         .collect()
 }
 
-// An engine joins and a third of all chats find their context gone: homes
-// were dealt anew over all engines, as a hash modulo their number does.
+// An engine joins and a third of all chats lose their context, because a hash
+// modulo the number of engines assigns all home endpoints anew.
 #[test]
 fn joining_endpoint_moves_only_the_chats_that_it_wins() {
     let before = homes(&fleet::view(0, 6, 10));
@@ -34,8 +34,8 @@
     assert!((120..250).contains(&moved.len()), "{} moved", moved.len());
 }
 
-// An editor's next turn comes in through another zone, and the draft's context
-// is computed anew: the home must not depend on where the caller came in.
+// A chat's next turn arrives through another zone. If the home endpoint
+// depended on the entry zone, the context would have to be computed again.
 #[test]
 fn home_of_a_chat_is_the_same_from_every_zone() {
     let view = fleet::view(0, 6, 10);
@@ -56,8 +56,8 @@
         prop_assert_eq!(distinct.len(), runners);
     }
 
-    // Two routers disagree on a third; what they both take for live has the
-    // same owner unless the third had it.
+    // Two routers disagree about whether a third is live. The endpoints that
+    // the third did not own must have the same owner for both.
     #[test]
     fn missing_instance_moves_only_what_it_owned(missing in 1_usize..6) {
         let runners = || (0..40).map(fleet::runner);
--- a/crates/decide/tests/traps/quarantine.rs
+++ b/crates/decide/tests/traps/quarantine.rs
@@ -1,4 +1,4 @@
-//! Evidence on requests that crash endpoints.
+//! Evidence about requests that crash endpoints.
 
 use std::time::Duration;
 
@@ -26,12 +26,11 @@
     table.verdict(&DIGEST, NOW)
 }
 
-// A partition cuts an engine off for seconds. Every draft in flight on it
-// breaks, is sent again to the next engine, breaks there as well, and is
-// convicted though nothing ever crashed. Both engines report later that they
-// lived on.
+// A partition cuts off an engine for seconds. Every request in flight on it
+// breaks, is retried on the next engine, breaks there too, and is quarantined
+// although nothing crashed. Both engines later report that they stayed alive.
 #[test]
-fn broken_connections_to_living_engines_convict_nobody() {
+fn broken_connections_to_live_engines_do_not_quarantine() {
     let broken = [
         evidence(1, Kind::Crashed, 10),
         evidence(2, Kind::Crashed, 11),
@@ -52,10 +51,10 @@
     assert_eq!(table.verdict(&DIGEST, NOW), Verdict::Clear);
 }
 
-// A stock check is in flight on each engine that a poison draft crashes, weeks
-// apart in luck and hours apart in time. It ran well in between.
+// A harmless request is in flight on each of two engines that another request
+// crashes, hours apart. It completed normally in between.
 #[test]
-fn clean_run_clears_an_innocent() {
+fn clean_run_clears_earlier_crash() {
     let records = [
         evidence(1, Kind::Crashed, 10),
         evidence(3, Kind::Clean, 20),
@@ -65,10 +64,11 @@
 }
 
 proptest! {
-    // Two routers hear the same evidence in another order and twice over, and
-    // one lets a request run that the other holds to be convicted.
+    // Two routers receive the same evidence in a different order and with
+    // duplicates. Different verdicts would let one router run a request that
+    // the other has quarantined.
     #[test]
-    fn verdict_knows_no_order(
+    fn verdict_does_not_depend_on_record_order(
         records in prop::collection::vec((1_u64..4, 0_u8..3, 0_u64..100), 1..12)
             .prop_map(|rows| {
                 let kinds = [Kind::Crashed, Kind::Clean, Kind::Survived];
--- a/crates/decide/tests/traps/queue.rs
+++ b/crates/decide/tests/traps/queue.rs
@@ -21,8 +21,8 @@
     queue.iter().map(|(_, workspace)| *workspace).collect()
 }
 
-// An artist at a wedding waits for a caption while a fete's workspace has a
-// thousand drafts queued: first come first served would put it last.
+// A workspace has a thousand requests queued when another sends one. In order
+// of arrival, it would go last.
 #[test]
 fn surge_of_one_workspace_does_not_hold_up_another() {
     let mut queue = Queue::default();
@@ -34,11 +34,10 @@
     assert_eq!(place, Some(1));
 }
 
-// A climber stands at the counter asking about ice lines while drafts wait:
-// the stock check has to go before every one of them, however many they are
-// and however long they have waited.
+// An interactive request arrives while drafts wait. It must go before all of
+// them, however many there are and however long they have waited.
 #[test]
-fn order_never_waits_behind_drafts() {
+fn higher_priority_never_waits_behind_lower() {
     let mut queue = Queue::default();
     for ticket in 0..100 {
         queue.push(ticket, &rank(1, 2, 1), 1);
@@ -47,10 +46,10 @@
     assert_eq!(order(&queue).first(), Some(&9));
 }
 
-// A supervisor's lookup is refused with "queue full" at a fete: the workspace
-// of the fete has filled the queue to its last place.
+// A workspace fills the queue to its last place. A request of another
+// workspace would then be refused with "queue full".
 #[test]
-fn surge_that_fills_the_queue_keeps_nobody_out() {
+fn full_queue_still_admits_other_workspaces() {
     let mut queue = Queue::default();
     let (surging, other) = (rank(1, 2, 1), rank(2, 2, 1));
     for ticket in 0..100 {
@@ -65,10 +64,10 @@
     assert!(queue.is_full_for(100, other.flow));
 }
 
-// A workspace that slept through the night must not bank its unused share and
-// hold everybody else up in the morning.
+// A workspace that was idle must not accumulate its unused share and then hold
+// up all the others.
 #[test]
-fn idle_workspace_saves_up_no_share() {
+fn idle_workspace_accumulates_no_share() {
     let mut queue = Queue::default();
     for ticket in 0..100 {
         queue.push(ticket, &rank(1, 2, 100), 1);
--- a/crates/decide/tests/traps/resume.rs
+++ b/crates/decide/tests/traps/resume.rs
@@ -1,4 +1,4 @@
-//! When a broken stream is asked for again, and when it is given up.
+//! When a broken stream is resumed, and when it is given up.
 
 use std::time::Duration;
 
@@ -23,10 +23,11 @@
     resume
 }
 
-// An engine's connection breaks again and again under one draft. Asking for
-// ever would keep its editor waiting and load an engine that is already ill.
+// An engine's connection breaks again and again under one stream. Resuming
+// without a limit would keep the caller waiting and load an engine that is
+// already failing.
 #[test]
-fn a_stream_is_asked_for_twice_at_most_and_in_time() {
+fn stream_is_resumed_at_most_twice_before_its_deadline() {
     let mut resume = numbered(3);
     assert_eq!(broken(&mut resume, NOW), Next::Reconnect { after: 3 });
     assert_eq!(resume.record_event(Some(4)), EventOrder::Next);
@@ -40,10 +41,10 @@
     assert_eq!(broken(&mut done, NOW), Next::GiveUp);
 }
 
-// An engine knows nothing of Last-Event-ID and starts the draft anew; the
-// editor would read its opening twice. Another skips an event.
+// One engine ignores Last-Event-ID and restarts the stream, so the caller
+// would receive its beginning twice. Another one skips an event.
 #[test]
-fn a_resumed_stream_has_to_go_on_at_the_next_event() {
+fn resumed_stream_must_continue_at_the_next_event() {
     for wrong in [Some(1), Some(3), Some(5), None] {
         let mut resume = numbered(3);
         assert_eq!(broken(&mut resume, NOW), Next::Reconnect { after: 3 });
@@ -55,10 +56,10 @@
     }
 }
 
-// An engine numbers no events, or not one by one. What it left out could not
-// be told after a break.
+// An engine numbers no events, or not consecutively. After a break it would be
+// impossible to tell what is missing.
 #[test]
-fn a_stream_without_numbers_is_not_asked_for() {
+fn unnumbered_stream_is_not_resumed() {
     for odd in [Some(1), Some(5), None] {
         let mut resume = numbered(3);
         assert_eq!(resume.record_event(odd), EventOrder::Unnumbered, "{odd:?}");
@@ -66,10 +67,10 @@
     }
 }
 
-// An engine breaks under every stream of a workspace. Each break would double
-// the requests; the budget of retries bounds them.
+// An engine breaks every stream of a workspace. Each break would double the
+// requests unless the retry budget bounds them.
 #[test]
-fn asking_again_spends_the_budget_of_retries() {
+fn resuming_spends_the_retry_budget() {
     let request = fleet::request(1);
     let (mut plain, mut asking) = (Budgets::default(), Budgets::default());
     let retries = (0..1000)
--- a/crates/decide/tests/traps/retry.rs
+++ b/crates/decide/tests/traps/retry.rs
@@ -1,4 +1,4 @@
-//! What may go again, and what the caller is told.
+//! Which requests are retried, and what the caller is told.
 
 use std::time::Duration;
 
@@ -45,10 +45,10 @@
     }
 }
 
-// The Sounkyo guides are billed double. The connection to the print service
-// broke after the order's head was on its way; the router sent it again.
+// The connection to a service breaks after the head of an order was sent. If
+// the router sent the order again, the customer would be billed twice.
 #[test]
-fn unrepeatable_request_of_unknown_fate_never_goes_again() {
+fn unrepeatable_request_with_unknown_outcome_is_not_retried() {
     for ending in [Ending::Broken, Ending::Timeout, Ending::Abandoned] {
         let retry = Caller::new().failed(&order(), ending);
         let unknown = matches!(
@@ -62,10 +62,11 @@
     }
 }
 
-// A draft broke at one engine, which may have run it, and is refused whole by
-// the next. The last ending alone would have the caller told "not run".
+// A request breaks at one engine, which may have run it, and the next engine
+// refuses it. Judged by the last ending alone, the caller would be told "not
+// run".
 #[test]
-fn one_attempt_of_unknown_fate_makes_the_whole_unknown() {
+fn one_unknown_attempt_makes_the_outcome_unknown() {
     let mut caller = Caller::new();
     let draft = fleet::request(1);
     assert!(matches!(
@@ -85,10 +86,10 @@
     ));
 }
 
-// An order meets an engine that is leaving and says so: nothing ran, so it
-// goes elsewhere at once, and not to the same one.
+// An endpoint refuses a request because it is leaving. Nothing ran, so the
+// request goes to another endpoint at once.
 #[test]
-fn refused_order_goes_to_another_endpoint_at_once() {
+fn refused_request_goes_to_another_endpoint_at_once() {
     let view = fleet::view(0, 6, 10);
     let (home, _) = fleet::home(&view, &order());
     let retry = Caller::new().failed(&order(), Ending::Leaving);
@@ -102,10 +103,11 @@
     assert_ne!(endpoint, home);
 }
 
-// All engines are down for a minute and every caller's request is tried four
-// times: the outage ends under four times the load that it began with.
+// All engines are down for a minute. If every request were tried four times,
+// the load would be four times as high at the end of the outage as at its
+// start.
 #[test]
-fn outage_is_not_answered_by_a_storm_of_retries() {
+fn retry_budget_bounds_retries_in_an_outage() {
     let mut budgets = Budgets::default();
     let mut retries = 0;
     for _ in 0..1_000 {
