--- a/crates/decide/src/limit.rs
+++ b/crates/decide/src/limit.rs
@@ -158,19 +158,19 @@
         instances: usize,
     ) -> Vec<Demand> {
         self.measure(now);
-        let mut pressed: Vec<(f64, Demand)> = Vec::new();
+        let mut by_pressure: Vec<(f64, Demand)> = Vec::new();
         for (id, meter) in &self.meters {
             let Some(workspace) = workspaces.get(id) else {
                 continue;
             };
             let pressure = meter.pressure(workspace, instances);
             if pressure >= MIN_REPORTED_PRESSURE {
-                pressed.push((pressure, meter.demand(*id)));
+                by_pressure.push((pressure, meter.demand(*id)));
             }
         }
-        pressed.sort_by(|(a, _), (b, _)| b.total_cmp(a));
-        pressed.truncate(MAX_DEMANDS);
-        pressed.into_iter().map(|(_, demand)| demand).collect()
+        by_pressure.sort_by(|(a, _), (b, _)| b.total_cmp(a));
+        by_pressure.truncate(MAX_DEMANDS);
+        by_pressure.into_iter().map(|(_, demand)| demand).collect()
     }
 
     /// Replaces what another instance reported before with its new report.
@@ -259,7 +259,8 @@
         share(limit, running, peers, sustained, instances).max(1.0)
     }
 
-    // Returns the smallest value of all recent samples.
+    // Returns the demand that lasted through all recent samples, or 0 while
+    // there are too few of them.
     fn sustained(&self, figure: impl Fn(&(f64, u32)) -> f64) -> f64 {
         if self.samples.len() < SUSTAINED_SAMPLES {
             return 0.0;
--- a/crates/decide/src/quarantine.rs
+++ b/crates/decide/src/quarantine.rs
@@ -97,9 +97,9 @@
     /// on.
     pub fn insert(&mut self, evidence: Evidence) -> bool {
         let history = self.histories.entry(evidence.digest).or_default();
-        let fresh = history.add(&evidence);
+        let is_new = history.add(&evidence);
         self.evict_oldest();
-        fresh
+        is_new
     }
 
     /// Returns what to do with the request that has a digest.
@@ -150,8 +150,10 @@
                 at: alive,
             })
             .collect();
-        let fresh = retracted.into_iter();
-        fresh.filter(|evidence| self.insert(*evidence)).collect()
+        let candidates = retracted.into_iter();
+        candidates
+            .filter(|evidence| self.insert(*evidence))
+            .collect()
     }
 
     /// Removes evidence that no longer counts.
--- a/crates/decide/src/resume.rs
+++ b/crates/decide/src/resume.rs
@@ -56,8 +56,8 @@
     /// Records a complete event and its number, if it has one.
     pub fn record_event(&mut self, number: Option<u64>) -> EventOrder {
         let expected = self.last_event.and_then(|last| last.checked_add(1));
-        let next = number.is_some() && (self.last_event.is_none() || number == expected);
-        if next && !self.done {
+        let in_sequence = number.is_some() && (self.last_event.is_none() || number == expected);
+        if in_sequence && !self.done {
             self.last_event = number;
             EventOrder::Next
         } else if self.resumes > 0 {
--- a/crates/decide/tests/traps/bound.rs
+++ b/crates/decide/tests/traps/bound.rs
@@ -13,7 +13,7 @@
 
 const NOW: Moment = Duration::from_secs(100);
 
-fn dispatched(owner: &mut Owner, chats: std::ops::Range<u64>) -> usize {
+fn count_dispatched(owner: &mut Owner, chats: std::ops::Range<u64>) -> usize {
     let home = fleet::runner(0).id;
     let offers = chats.map(|chat| owner.offer(NOW, &fleet::request(chat), &Hop::first(0, home)));
     offers
@@ -27,7 +27,7 @@
 #[test]
 fn work_of_another_owner_is_counted_by_report() {
     let mut owner = Owner::new(fleet::view(0, 1, 1), fleet::policy());
-    assert_eq!(dispatched(&mut owner, 0..1), 1);
+    assert_eq!(count_dispatched(&mut owner, 0..1), 1);
     let report = Report {
         taken: NOW,
         incarnation: 1,
@@ -38,7 +38,7 @@
     owner.apply_report(fleet::runner(0).id, &report);
     // Four slots: this owner uses one and the other owner two.
     assert_eq!(owner.load(fleet::runner(0).id), 3_000);
-    assert_eq!(dispatched(&mut owner, 1..9), 1);
+    assert_eq!(count_dispatched(&mut owner, 1..9), 1);
 }
 
 // A router takes an engine over from one that is leaving. No report has shown
--- a/crates/decide/tests/traps/chats.rs
+++ b/crates/decide/tests/traps/chats.rs
@@ -17,7 +17,7 @@
     Duration::from_secs(100 + secs)
 }
 
-fn turn(owner: &mut Owner, secs: u64, request: &Request) -> Grant {
+fn run_turn(owner: &mut Owner, secs: u64, request: &Request) -> Grant {
     let (home, _) = fleet::home(&fleet::view(0, 1, 3), request);
     let next = owner.offer(at(secs), request, &Hop::first(0, home));
     let Next::Dispatch(grant) = next else {
@@ -38,8 +38,11 @@
 fn restarted_endpoint_is_cold() {
     let mut owner = owner();
     let request = fleet::request(1);
-    let first = turn(&mut owner, 0, &request);
-    assert_eq!(turn(&mut owner, 1, &request).cached, request.prompt_tokens);
+    let first = run_turn(&mut owner, 0, &request);
+    assert_eq!(
+        run_turn(&mut owner, 1, &request).cached,
+        request.prompt_tokens
+    );
     let runners = (0..3).map(|index| {
         let mut runner = fleet::runner(index);
         runner.incarnation += u64::from(runner.id == first.endpoint);
@@ -47,7 +50,7 @@
     });
     let view = View::new(fleet::instance(0).id, [fleet::instance(0)], runners);
     owner.apply_view(at(2), view.into(), fleet::policy());
-    assert_eq!(turn(&mut owner, 3, &request).cached, 0);
+    assert_eq!(run_turn(&mut owner, 3, &request).cached, 0);
 }
 
 // A cache event arrives late: the engine evicted the chat, then ran and cached
@@ -56,11 +59,14 @@
 fn late_eviction_does_not_undo_a_later_turn() {
     let mut owner = owner();
     let request = fleet::request(1);
-    let grant = turn(&mut owner, 10, &request);
+    let grant = run_turn(&mut owner, 10, &request);
     owner.apply_cache_event(grant.endpoint, &evicted(&request, 5));
-    assert_eq!(turn(&mut owner, 11, &request).cached, request.prompt_tokens);
+    assert_eq!(
+        run_turn(&mut owner, 11, &request).cached,
+        request.prompt_tokens
+    );
     owner.apply_cache_event(grant.endpoint, &evicted(&request, 12));
-    assert_eq!(turn(&mut owner, 13, &request).cached, 0);
+    assert_eq!(run_turn(&mut owner, 13, &request).cached, 0);
 }
 
 fn evicted(request: &Request, secs: u64) -> Event {
@@ -80,14 +86,14 @@
 fn lost_eviction_is_inferred_from_later_ones() {
     let mut owner = Owner::new(fleet::view(0, 1, 1), fleet::policy());
     for chat in 0..12 {
-        turn(&mut owner, chat, &fleet::request(chat));
+        run_turn(&mut owner, chat, &fleet::request(chat));
     }
     let engine = fleet::runner(0).id;
     for chat in 2..10 {
         owner.apply_cache_event(engine, &evicted(&fleet::request(chat), 50));
     }
-    assert_eq!(turn(&mut owner, 60, &fleet::request(1)).cached, 0);
-    assert_eq!(turn(&mut owner, 60, &fleet::request(11)).cached, 800);
+    assert_eq!(run_turn(&mut owner, 60, &fleet::request(1)).cached, 0);
+    assert_eq!(run_turn(&mut owner, 60, &fleet::request(11)).cached, 800);
 }
 
 // A router is stopped for an upgrade. Unless it hands over the locations of
@@ -98,7 +104,7 @@
     let local = fleet::instance(0).id;
     let mut owner = Owner::new(fleet::view(0, 1, 3), fleet::policy());
     let request = fleet::request(1);
-    let grant = turn(&mut owner, 0, &request);
+    let grant = run_turn(&mut owner, 0, &request);
     let mut leaving = fleet::instance(0);
     leaving.standing = Standing::Leaving;
     let instances = [leaving, fleet::instance(1)];
--- a/crates/decide/tests/traps/health.rs
+++ b/crates/decide/tests/traps/health.rs
@@ -9,7 +9,7 @@
     Duration::from_secs(1_000 + secs)
 }
 
-fn closed(machine: &mut Machine, secs: u64) {
+fn close(machine: &mut Machine, secs: u64) {
     machine.handle(Event::Failure(at(secs)));
     machine.handle(Event::Failure(at(secs)));
 }
@@ -23,7 +23,7 @@
     let mut out = Vec::new();
     let mut now = 0;
     for _ in 0..4 {
-        closed(&mut machine, now);
+        close(&mut machine, now);
         let from = now;
         while machine.access() == Access::None {
             now += 1;
@@ -39,7 +39,7 @@
 #[test]
 fn endpoint_on_trial_opens_after_several_good_answers() {
     let mut machine = Machine::new(1);
-    closed(&mut machine, 0);
+    close(&mut machine, 0);
     machine.handle(Event::Tick(at(1)));
     machine.handle(Event::Success(at(1)));
     assert_eq!(machine.access(), Access::Trial);
--- a/crates/decide/tests/traps/limit.rs
+++ b/crates/decide/tests/traps/limit.rs
@@ -37,13 +37,13 @@
                 }
             }
         }
-        tell(&mut limits, workspace, Duration::from_secs(101 + sec));
+        exchange_demands(&mut limits, workspace, Duration::from_secs(101 + sec));
         seconds.push(count);
     }
     seconds
 }
 
-fn tell(limits: &mut [Limits], workspace: &Workspace, now: Duration) {
+fn exchange_demands(limits: &mut [Limits], workspace: &Workspace, now: Duration) {
     let workspaces = BTreeMap::from([(1, workspace.clone())]);
     for from in 0..INSTANCES {
         let demands = limits[from].demands(now, &workspaces, INSTANCES);
--- a/crates/decide/tests/traps/owner.rs
+++ b/crates/decide/tests/traps/owner.rs
@@ -72,7 +72,7 @@
 // outdated list still takes it for the owner of the least loaded endpoint and
 // sends it a request with no forwards left. If the request waited there, no
 // finishing request would ever wake it, since nothing is owned there any more.
-// It would start only after 20 seconds or more, although engines are idle.
+// It would not start for 20 seconds although engines are idle.
 #[test]
 fn request_at_instance_without_endpoints_is_rerouted() {
     let mut owner = lone_owner(1);
--- a/crates/decide/tests/traps/resume.rs
+++ b/crates/decide/tests/traps/resume.rs
@@ -10,12 +10,12 @@
 
 const NOW: Moment = Duration::from_secs(100);
 
-fn broken(resume: &mut Progress, now: Moment) -> Next {
+fn break_stream(resume: &mut Progress, now: Moment) -> Next {
     let request = fleet::request(1);
     resume.record_break(now, &request, &mut Budgets::default())
 }
 
-fn numbered(until: u64) -> Progress {
+fn numbered_stream(until: u64) -> Progress {
     let mut resume = Progress::default();
     for number in 1..=until {
         assert_eq!(resume.record_event(Some(number)), EventOrder::Next);
@@ -28,17 +28,17 @@
 // already failing.
 #[test]
 fn stream_is_resumed_at_most_twice_before_its_deadline() {
-    let mut resume = numbered(3);
-    assert_eq!(broken(&mut resume, NOW), Next::Reconnect { after: 3 });
+    let mut resume = numbered_stream(3);
+    assert_eq!(break_stream(&mut resume, NOW), Next::Reconnect { after: 3 });
     assert_eq!(resume.record_event(Some(4)), EventOrder::Next);
-    assert_eq!(broken(&mut resume, NOW), Next::Reconnect { after: 4 });
-    assert_eq!(broken(&mut resume, NOW), Next::GiveUp);
+    assert_eq!(break_stream(&mut resume, NOW), Next::Reconnect { after: 4 });
+    assert_eq!(break_stream(&mut resume, NOW), Next::GiveUp);
     let late = fleet::request(1).deadline;
-    assert_eq!(broken(&mut numbered(3), late), Next::GiveUp);
-    assert_eq!(broken(&mut Progress::default(), NOW), Next::GiveUp);
-    let mut done = numbered(3);
+    assert_eq!(break_stream(&mut numbered_stream(3), late), Next::GiveUp);
+    assert_eq!(break_stream(&mut Progress::default(), NOW), Next::GiveUp);
+    let mut done = numbered_stream(3);
     done.record_end();
-    assert_eq!(broken(&mut done, NOW), Next::GiveUp);
+    assert_eq!(break_stream(&mut done, NOW), Next::GiveUp);
 }
 
 // One engine ignores Last-Event-ID and restarts the stream, so the caller
@@ -46,8 +46,8 @@
 #[test]
 fn resumed_stream_must_continue_at_the_next_event() {
     for wrong in [Some(1), Some(3), Some(5), None] {
-        let mut resume = numbered(3);
-        assert_eq!(broken(&mut resume, NOW), Next::Reconnect { after: 3 });
+        let mut resume = numbered_stream(3);
+        assert_eq!(break_stream(&mut resume, NOW), Next::Reconnect { after: 3 });
         assert_eq!(
             resume.record_event(wrong),
             EventOrder::OutOfSequence,
@@ -61,9 +61,9 @@
 #[test]
 fn unnumbered_stream_is_not_resumed() {
     for odd in [Some(1), Some(5), None] {
-        let mut resume = numbered(3);
+        let mut resume = numbered_stream(3);
         assert_eq!(resume.record_event(odd), EventOrder::Unnumbered, "{odd:?}");
-        assert_eq!(broken(&mut resume, NOW), Next::GiveUp);
+        assert_eq!(break_stream(&mut resume, NOW), Next::GiveUp);
     }
 }
 
@@ -77,7 +77,7 @@
         .take_while(|_| plain.try_withdraw(NOW, request.workspace, request.service))
         .count();
     let asked = (0..1000)
-        .take_while(|_| numbered(1).record_break(NOW, &request, &mut asking) != Next::GiveUp)
+        .take_while(|_| numbered_stream(1).record_break(NOW, &request, &mut asking) != Next::GiveUp)
         .count();
     assert_eq!(asked, retries);
     assert!(asked > 0);
