--- a/crates/bench/src/claims/caller.rs
+++ b/crates/bench/src/claims/caller.rs
@@ -144,5 +144,5 @@
         at.saturating_sub(up_to(off, rng))
     };
     let seconds = issued.as_secs().to_string();
-    Key::read(1, &format!("order-{number}"), Some(&seconds)).expect("the key is well formed")
+    Key::parse(1, &format!("order-{number}"), Some(&seconds)).expect("the key is well formed")
 }
--- a/crates/bench/src/claims/load.rs
+++ b/crates/bench/src/claims/load.rs
@@ -50,8 +50,8 @@
                     answers.insert((now + way * 2, ticket), appends);
                     appends += 1;
                 }
-                Next::Read { .. } => batcher.page(now, &Page::default()),
-                Next::Answer { id, .. } => {
+                Next::Read { .. } => batcher.apply_page(now, &Page::default()),
+                Next::Reply { id, .. } => {
                     let since = asked.remove(&id).unwrap_or(now);
                     took.push(now.saturating_sub(since));
                 }
@@ -133,7 +133,7 @@
             break;
         }
         let record = record(sequence, at);
-        let fate = Item::Fate {
+        let fate = Item::Outcome {
             key: record.key,
             id: record.id,
             outcome: godwitpost_types::outcome::Outcome::Ran,
--- a/crates/bench/src/claims/weak.rs
+++ b/crates/bench/src/claims/weak.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use godwitpost_state::claim::batch;
-use godwitpost_state::claim::{Batcher, Failure, Id, Item, Next, Page, Record, Verdict};
+use godwitpost_state::claim::{AppendFailure, Batcher, Id, Item, Next, Page, Record, Verdict};
 use godwitpost_types::clock::Moment;
 use godwitpost_types::id::{KeyDigest, Offset};
 
@@ -98,7 +98,7 @@
         match (self, item) {
             (Self::Real(batcher), item) => batcher.submit(now, item),
             (Self::Naive(naive), Item::Claim(record)) => naive.submit(record),
-            (Self::Naive(_), Item::Fate { .. }) => {}
+            (Self::Naive(_), Item::Outcome { .. }) => {}
         }
     }
 
@@ -119,7 +119,7 @@
     }
 
     /// Takes an append's failure.
-    pub fn append_failed(&mut self, now: Moment, ticket: u64, failure: Failure) {
+    pub fn append_failed(&mut self, now: Moment, ticket: u64, failure: AppendFailure) {
         match self {
             Self::Real(batcher) => batcher.append_failed(now, ticket, failure),
             Self::Naive(naive) => naive.landed(ticket, false),
@@ -129,7 +129,7 @@
     /// Takes a page.
     pub fn page(&mut self, now: Moment, page: &Page) {
         match self {
-            Self::Real(batcher) => batcher.page(now, page),
+            Self::Real(batcher) => batcher.apply_page(now, page),
             Self::Naive(naive) => naive.page(page),
         }
     }
@@ -166,7 +166,7 @@
 
     fn next(&mut self) -> Next {
         if let Some((id, verdict)) = self.answers.pop_front() {
-            return Next::Answer { id, verdict };
+            return Next::Reply { id, verdict };
         }
         if self.reading {
             return Next::Wait(None);
@@ -223,7 +223,7 @@
         } else {
             Verdict::Taken {
                 by: winner,
-                fate: None,
+                outcome: None,
             }
         };
         self.answers.push_back((record.id, verdict));
--- a/crates/bench/src/claims/world.rs
+++ b/crates/bench/src/claims/world.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use godwitpost_state::claim::{Answers, Holder, Id, Item, Page, Scope, Verdict};
+use godwitpost_state::claim::{Holder, Id, Item, Page, ResponseCache, Scope, Verdict};
 use godwitpost_types::clock::Moment;
 use godwitpost_types::id::Offset;
 use godwitpost_types::outcome::Outcome;
@@ -62,7 +62,7 @@
     paused_until: Moment,
     view: Node,
     holder: Holder,
-    answers: Answers<()>,
+    answers: ResponseCache<()>,
     asked: BTreeMap<Attempt, (Id, Item)>,
     seat: Option<Seat>,
 }
@@ -274,7 +274,7 @@
             paused_until: Moment::ZERO,
             view: 0,
             holder: Holder::new(node as u64, incarnation),
-            answers: Answers::new(2, Duration::from_secs(5)),
+            answers: ResponseCache::new(2, Duration::from_secs(5)),
             asked: BTreeMap::new(),
             seat: None,
         }
--- a/crates/bench/src/claims/world/batching.rs
+++ b/crates/bench/src/claims/world/batching.rs
@@ -1,6 +1,6 @@
 //! The batcher's messages to and from dispatchers and the log.
 
-use godwitpost_state::claim::{Failure, Id, Item, Next, Page, Stored, Verdict, batch};
+use godwitpost_state::claim::{AppendFailure, Id, Item, Next, Page, StoredRecord, Verdict, batch};
 use godwitpost_types::clock::Moment;
 use godwitpost_types::id::Offset;
 
@@ -33,7 +33,7 @@
                     let life = self.instances[node].life;
                     self.after(way, Event::Serve(node, life, from, limit as usize));
                 }
-                Next::Answer { id, verdict } => self.answer(id, verdict),
+                Next::Reply { id, verdict } => self.answer(id, verdict),
                 Next::Wait(Some(until)) => {
                     self.local(until.saturating_sub(now), node, Local::Wake);
                     return;
@@ -102,8 +102,10 @@
         };
         match (append.reply, append.landed) {
             (Reply::Done, Some((offset, time))) => seat.appended(now, append.ticket, offset, time),
-            (Reply::NotDone, _) => seat.append_failed(now, append.ticket, Failure::NotDone),
-            _ => seat.append_failed(now, append.ticket, Failure::Unknown),
+            (Reply::NotDone, _) => {
+                seat.append_failed(now, append.ticket, AppendFailure::NotApplied);
+            }
+            _ => seat.append_failed(now, append.ticket, AppendFailure::Unknown),
         }
         self.drive(node);
     }
@@ -142,7 +144,7 @@
 // A page as a reader sees it that takes lost records for empty ones.
 fn pad(from: Offset, mut page: Page) -> Page {
     let lost = from..page.first;
-    let empty = lost.map(|offset| Stored {
+    let empty = lost.map(|offset| StoredRecord {
         offset,
         time: Moment::ZERO,
         body: Vec::new(),
--- a/crates/bench/src/claims/world/dispatch.rs
+++ b/crates/bench/src/claims/world/dispatch.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use godwitpost_state::claim::key::Key;
-use godwitpost_state::claim::{Abandon, Found, Id, Item, Refusal, Scope, Step, Verdict};
+use godwitpost_state::claim::{AbandonResult, Id, Item, Lookup, Refusal, Scope, Step, Verdict};
 use godwitpost_types::id::BodyDigest;
 use godwitpost_types::outcome::Outcome;
 use rand::RngExt;
@@ -26,7 +26,7 @@
         if self.replay(node, attempt, &key, body) {
             return;
         }
-        if key.check(now, WINDOW).is_err() {
+        if key.check_issue_time(now, WINDOW).is_err() {
             self.tell(attempt, Outcome::NotRun, Scope::Attempt);
             return;
         }
@@ -41,8 +41,8 @@
 
     fn replay(&mut self, node: Node, attempt: Attempt, key: &Key, body: BodyDigest) -> bool {
         let now = self.clock(node);
-        let found = self.instances[node].answers.find(now, &key.digest, &body);
-        if found != Found::Answer(&()) {
+        let found = self.instances[node].answers.get(now, &key.digest, &body);
+        if found != Lookup::Hit(&()) {
             return false;
         }
         self.tell(attempt, Outcome::Ran, Scope::Key);
@@ -65,12 +65,12 @@
             return;
         };
         match self.instances[node].holder.abandon(id) {
-            Abandon::NotRun(fate) => {
+            AbandonResult::NotRun(fate) => {
                 self.forget(node, attempt);
                 self.fate(node, Some(fate));
                 self.tell(attempt, Outcome::NotRun, Scope::Attempt);
             }
-            Abandon::TooLate => self.tell(attempt, Outcome::Unknown, Scope::Attempt),
+            AbandonResult::TooLate => self.tell(attempt, Outcome::Unknown, Scope::Attempt),
         }
     }
 
@@ -92,7 +92,7 @@
         let instance = &mut self.instances[node];
         let asked = instance.asked.iter().find(|(_, (asked, _))| *asked == id);
         let attempt = asked.map(|(attempt, _)| *attempt);
-        let step = instance.holder.verdict(now, id, verdict);
+        let step = instance.holder.apply_verdict(now, id, verdict);
         let given_up = !matches!(step, Step::Claimed | Step::Ignore);
         if self.weakness == Weakness::StartsAfterGivingUp
             && verdict == Verdict::Claimed
@@ -107,12 +107,12 @@
                 let queued = up_to(2.0, &mut self.rng);
                 self.local(queued, node, Local::Start(attempt));
             }
-            (Step::Refuse { refusal, fate }, Some(attempt)) => {
+            (Step::Refuse { refusal, report }, Some(attempt)) => {
                 self.forget(node, attempt);
-                self.fate(node, fate);
+                self.fate(node, report);
                 self.refuse(attempt, refusal);
             }
-            (Step::Spent(fate), _) => self.fate(node, Some(fate)),
+            (Step::Report(fate), _) => self.fate(node, Some(fate)),
             _ => {}
         }
     }
@@ -126,7 +126,7 @@
         let Some(&(id, _)) = self.instances[node].asked.get(&attempt) else {
             return;
         };
-        if self.instances[node].holder.start(now, id) {
+        if self.instances[node].holder.try_start(now, id) {
             let pause = up_to(0.02, &mut self.rng);
             self.local(pause, node, Local::FirstByte(attempt));
         }
@@ -150,7 +150,7 @@
         let fate = self.instances[node].holder.finish(id, Outcome::Ran);
         self.fate(node, fate);
         let instance = &mut self.instances[node];
-        instance.answers.hold(now, record.key, record.body, (), 1);
+        instance.answers.insert(now, record.key, record.body, (), 1);
         self.tell(attempt, Outcome::Ran, Scope::Key);
     }
 }
--- a/crates/bench/src/state/lease/world.rs
+++ b/crates/bench/src/state/lease/world.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use godwitpost_state::claim::{Failure, Page};
+use godwitpost_state::claim::{AppendFailure, Page};
 use godwitpost_state::lease::{Holder, Next};
-use godwitpost_state::order::WAIT;
+use godwitpost_state::order::FIRST_ORDER_DELAY;
 use godwitpost_types::clock::Moment;
 use godwitpost_types::id::{InstanceId, Offset};
 use rand::{RngExt, SeedableRng};
@@ -269,8 +269,8 @@
         let holder = &mut self.nodes[n].holder;
         match reply {
             Reply::Done => holder.appended(now, ticket),
-            Reply::NotDone => holder.append_failed(now, ticket, Failure::NotDone),
-            Reply::Lost => holder.append_failed(now, ticket, Failure::Unknown),
+            Reply::NotDone => holder.append_failed(now, ticket, AppendFailure::NotApplied),
+            Reply::Lost => holder.append_failed(now, ticket, AppendFailure::Unknown),
         }
         self.drive(n);
     }
@@ -291,7 +291,7 @@
         let now = self.now + self.nodes[n].ahead;
         let holder = &mut self.nodes[n].holder;
         match page {
-            Some(page) => holder.page(now, &page),
+            Some(page) => holder.apply_page(now, &page),
             None => holder.read_failed(now),
         }
         self.drive(n);
@@ -307,7 +307,9 @@
         }
         let now = self.now + self.nodes[n].ahead;
         let holder = &self.nodes[n].holder;
-        let waited = holder.held_since().is_some_and(|since| now >= since + WAIT);
+        let waited = holder
+            .held_since()
+            .is_some_and(|since| now >= since + FIRST_ORDER_DELAY);
         let fence = match self.weakness {
             Weakness::TrustsItsLease => self.nodes[n].trusted,
             _ => holder.may_order(now).filter(|_| waited),
--- a/crates/bench/src/state/log.rs
+++ b/crates/bench/src/state/log.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use godwitpost_state::claim::{Page, Stored};
+use godwitpost_state::claim::{Page, StoredRecord};
 use godwitpost_types::clock::Moment;
 use godwitpost_types::id::Offset;
 use rand::{Rng, RngExt};
@@ -51,7 +51,7 @@
     weather: Weather,
     ahead: Duration,
     first: Offset,
-    records: Vec<Stored>,
+    records: Vec<StoredRecord>,
 }
 
 // The client's timeout on an append.
@@ -101,7 +101,7 @@
     pub fn land(&mut self, now: Moment, body: Vec<u8>) -> (Offset, Moment) {
         let offset = self.next();
         let time = now + self.ahead;
-        self.records.push(Stored { offset, time, body });
+        self.records.push(StoredRecord { offset, time, body });
         (offset, time)
     }
 
--- a/crates/bench/src/state/order.rs
+++ b/crates/bench/src/state/order.rs
@@ -79,16 +79,16 @@
 #[must_use]
 pub fn figures() -> Vec<Figure> {
     let today = Limits {
-        loads_at_once: 2,
-        load_every: Duration::from_secs(5),
+        max_concurrent_loads: 2,
+        min_load_interval: Duration::from_secs(5),
     };
     let letter = Limits {
-        loads_at_once: 12,
-        load_every: Duration::from_secs(1),
+        max_concurrent_loads: 12,
+        min_load_interval: Duration::from_secs(1),
     };
     let unlimited = Limits {
-        loads_at_once: usize::MAX,
-        load_every: Duration::ZERO,
+        max_concurrent_loads: usize::MAX,
+        min_load_interval: Duration::ZERO,
     };
     let mut figures = Vec::new();
     for (name, size, limits) in [
@@ -144,7 +144,7 @@
         id: n as u64,
         incarnation: 1,
         standing: Standing::Live,
-        taken: START,
+        reported_at: START,
         loaded: old.into_iter().collect(),
     }
 }
--- a/crates/bench/src/state/order/tests.rs
+++ b/crates/bench/src/state/order/tests.rs
@@ -13,8 +13,8 @@
 #[test]
 fn a_spare_endpoint_carries_a_lone_model_over() {
     let limits = Limits {
-        loads_at_once: 1,
-        load_every: Duration::ZERO,
+        max_concurrent_loads: 1,
+        min_load_interval: Duration::ZERO,
     };
     let roll = roll(2, 1, limits);
     assert_eq!(roll.least_serving, 1);
--- a/crates/capacity/src/role/batcher.rs
+++ b/crates/capacity/src/role/batcher.rs
@@ -43,7 +43,7 @@
             let sequence = u64::from(call) + 1_000_000_000;
             let body = batch::encode(&items(sequence));
             let items = batch::decode(&body).expect("it was just encoded");
-            table.apply(table.next(), time, &items);
+            table.apply(table.next_offset(), time, &items);
         });
         (f64::from(keys), took)
     };
@@ -88,7 +88,7 @@
     let mut table = Table::new(letter::CLAIM_WINDOW);
     let time = Duration::from_hours(1);
     for sequence in 0..u64::from(keys) {
-        table.apply(table.next(), time, &items(sequence));
+        table.apply(table.next_offset(), time, &items(sequence));
     }
     table
 }
@@ -107,7 +107,7 @@
         body: key,
         issued: Duration::from_hours(1),
     };
-    let fate = Item::Fate {
+    let fate = Item::Outcome {
         key,
         id,
         outcome: Outcome::Ran,
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use godwitpost_state::claim::{self, Answers, Holder, Item, Record, Verdict};
+use godwitpost_state::claim::{self, Holder, Item, Record, ResponseCache, Verdict};
 use godwitpost_types::endpoint::Standing;
 use godwitpost_types::id::{BodyDigest, Incarnation, InstanceId, KeyDigest};
 use godwitpost_types::instance::Instance;
@@ -60,7 +60,7 @@
 #[derive(Debug)]
 pub(crate) struct Inner {
     pub(crate) holder: Holder,
-    pub(crate) answers: Answers<Kept>,
+    pub(crate) answers: ResponseCache<Kept>,
 }
 
 impl Claims {
@@ -68,7 +68,7 @@
         Self {
             inner: Mutex::new(Inner {
                 holder: Holder::new(own, incarnation),
-                answers: Answers::new(KEPT_BYTES, KEPT_FOR),
+                answers: ResponseCache::new(KEPT_BYTES, KEPT_FOR),
             }),
         }
     }
@@ -157,7 +157,7 @@
     let snapshot = shared.snapshot();
     let live = snapshot.view.instances();
     let live = live.filter(|instance| instance.standing == Standing::Live);
-    let id = claim::batcher(claim::partition(key), live.map(|instance| instance.id))?;
+    let id = claim::batcher_for(claim::partition(key), live.map(|instance| instance.id))?;
     if id == shared.local() {
         return None;
     }
--- a/crates/router/src/control/batchers.rs
+++ b/crates/router/src/control/batchers.rs
@@ -8,7 +8,9 @@
 
 use bytes::Bytes;
 use godwitpost_client::log::{Appended, Client, append, read};
-use godwitpost_state::claim::{self, Batcher, Failure, Id, Item, Next, Stored, Verdict};
+use godwitpost_state::claim::{
+    self, AppendFailure, Batcher, Id, Item, Next, StoredRecord, Verdict,
+};
 use godwitpost_types::clock::{Moment, since};
 use godwitpost_types::policy::Policy;
 use tokio::sync::oneshot;
@@ -91,13 +93,13 @@
             Call::Appended(ticket, Err(error)) => {
                 log::debug!(error:% = error; "claims not appended");
                 let failure = if error.may_have_taken_effect() {
-                    Failure::Unknown
+                    AppendFailure::Unknown
                 } else {
-                    Failure::NotDone
+                    AppendFailure::NotApplied
                 };
                 part.batcher.append_failed(now, ticket, failure);
             }
-            Call::Read(limit, Ok(page)) => part.batcher.page(now, &page_of(page, limit)),
+            Call::Read(limit, Ok(page)) => part.batcher.apply_page(now, &page_of(page, limit)),
             Call::Read(_, Err(error)) => {
                 log::debug!(error:% = error; "claims not read");
                 part.batcher.read_failed(now);
@@ -137,7 +139,7 @@
                         drop(events.send(Event::Batch(result)).await);
                     });
                 }
-                Next::Answer { id, verdict } => {
+                Next::Reply { id, verdict } => {
                     for reply in part.waiting.remove(&id).unwrap_or_default() {
                         super::answer(reply, verdict);
                     }
@@ -151,12 +153,12 @@
 }
 
 async fn append(log: &Client, partition: u16, ticket: u64, body: Vec<u8>) -> Call {
-    let stream = claim::stream(partition);
+    let stream = claim::stream_name(partition);
     Call::Appended(ticket, log.append(&stream, Bytes::from(body)).await)
 }
 
 async fn read(log: &Client, partition: u16, from: u64, limit: u32) -> Call {
-    let stream = claim::stream(partition);
+    let stream = claim::stream_name(partition);
     let page = log
         .read(&stream, from, limit as usize, Duration::ZERO)
         .await;
@@ -167,7 +169,7 @@
 // They are the same unless the page is full, when there may be more.
 pub(super) fn page_of(page: godwitpost_client::log::Page, limit: u32) -> claim::Page {
     let full = page.records.len() >= limit as usize;
-    let records = page.records.into_iter().map(|record| Stored {
+    let records = page.records.into_iter().map(|record| StoredRecord {
         offset: record.offset,
         time: record.time,
         body: record.body.to_vec(),
--- a/crates/router/src/control/orders.rs
+++ b/crates/router/src/control/orders.rs
@@ -19,7 +19,7 @@
 use std::time::Duration;
 
 use godwitpost_decide::view;
-use godwitpost_state::claim::Failure;
+use godwitpost_state::claim::AppendFailure;
 use godwitpost_state::lease::{Holder, Next};
 use godwitpost_state::order::{Action, Limits, Order, Planner, View};
 use godwitpost_types::clock::{Moment, since};
@@ -54,8 +54,8 @@
 /// themselves. Two loads under way bound what a service asks of the store; a
 /// refused one stays under way, so while the store refuses no more start.
 const LIMITS: Limits = Limits {
-    loads_at_once: 2,
-    load_every: Duration::from_secs(5),
+    max_concurrent_loads: 2,
+    min_load_interval: Duration::from_secs(5),
 };
 
 /// Leases and orders of this instance.
@@ -181,13 +181,13 @@
             Call::Appended(ticket, Err(error)) => {
                 log::debug!(error:% = error; "lease not appended");
                 let failure = if error.may_have_taken_effect() {
-                    Failure::Unknown
+                    AppendFailure::Unknown
                 } else {
-                    Failure::NotDone
+                    AppendFailure::NotApplied
                 };
                 holder.append_failed(now, ticket, failure);
             }
-            Call::Read(limit, Ok(page)) => holder.page(now, &page_of(page, limit)),
+            Call::Read(limit, Ok(page)) => holder.apply_page(now, &page_of(page, limit)),
             Call::Read(_, Err(error)) => {
                 log::debug!(error:% = error; "leases not read");
                 holder.read_failed(now);
--- a/crates/router/src/control/orders/lease.rs
+++ b/crates/router/src/control/orders/lease.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use godwitpost_client::log::{Appended, Client, Page, append, read as log_read};
-use godwitpost_state::lease::STREAM;
+use godwitpost_state::lease::STREAM_NAME;
 use godwitpost_types::id::{Offset, ServiceId};
 
 use super::super::{Event, Io};
@@ -24,7 +24,7 @@
 }
 
 pub(super) async fn append(io: Io, service: ServiceId, ticket: u64, body: Vec<u8>) {
-    let appended = io.log.append(STREAM, Bytes::from(body)).await;
+    let appended = io.log.append(STREAM_NAME, Bytes::from(body)).await;
     let event = Event::Lease(service, Call::Appended(ticket, appended));
     drop(io.events.send(event).await);
 }
@@ -77,5 +77,6 @@
 }
 
 async fn at(log: &Client, from: Offset, limit: u32) -> Result<Page, log_read::Error> {
-    log.read(STREAM, from, limit as usize, Duration::ZERO).await
+    log.read(STREAM_NAME, from, limit as usize, Duration::ZERO)
+        .await
 }
--- a/crates/router/src/control/orders/reports.rs
+++ b/crates/router/src/control/orders/reports.rs
@@ -168,7 +168,7 @@
         let report = engine.and_then(|engine| engine.report.as_ref());
         // A former life's models are gone with it.
         let report = report.filter(|r| r.report.incarnation >= endpoint.incarnation);
-        let (taken, loaded) = match report {
+        let (reported_at, loaded) = match report {
             Some(reported) => (reported.report.taken, loaded(&reported.models)),
             None => (Moment::ZERO, listed(endpoint, policy)),
         };
@@ -180,7 +180,7 @@
             } else {
                 endpoint.standing
             },
-            taken,
+            reported_at,
             loaded,
         }
     }
--- a/crates/router/src/relay/once.rs
+++ b/crates/router/src/relay/once.rs
@@ -12,7 +12,7 @@
 use godwitpost_client::connect::Received;
 use godwitpost_decide::ending::Ending;
 use godwitpost_state::claim::key::Key;
-use godwitpost_state::claim::{Abandon, Found, Id, Item, Refusal, Step, Verdict};
+use godwitpost_state::claim::{AbandonResult, Id, Item, Lookup, Refusal, Step, Verdict};
 use godwitpost_types::outcome::{Outcome, Scope};
 use godwitpost_wire::dispatch::Reply;
 use godwitpost_wire::header;
@@ -56,10 +56,10 @@
         return Ok(None);
     };
     let mut claims = shared.claims.lock();
-    match claims.answers.find(shared.now(), key, &request.digest) {
-        Found::Answer(kept) => Ok(Some(answered(kept.clone(), true))),
-        Found::OtherBody => Err(problem(Refusal::OtherBody)),
-        Found::Nothing => Ok(None),
+    match claims.answers.get(shared.now(), key, &request.digest) {
+        Lookup::Hit(kept) => Ok(Some(answered(kept.clone(), true))),
+        Lookup::OtherBody => Err(problem(Refusal::OtherBody)),
+        Lookup::Miss => Ok(None),
     }
 }
 
@@ -102,20 +102,24 @@
             .claims
             .lock()
             .holder
-            .verdict(shared.now(), record.id, verdict);
+            .apply_verdict(shared.now(), record.id, verdict);
         return Claimed::Kept(kept);
     }
     let now = shared.now();
-    let step = shared.claims.lock().holder.verdict(now, record.id, verdict);
+    let step = shared
+        .claims
+        .lock()
+        .holder
+        .apply_verdict(now, record.id, verdict);
     match step {
         Step::Claimed => Claimed::Here(record.id),
-        Step::Refuse { refusal, fate } => {
-            if let Some(fate) = fate {
-                tell(shared, fate);
+        Step::Refuse { refusal, report } => {
+            if let Some(report) = report {
+                tell(shared, report);
             }
             Claimed::Not(problem(refusal))
         }
-        Step::Spent(fate) => {
+        Step::Report(fate) => {
             tell(shared, fate);
             Claimed::Not(problem(Refusal::Unavailable))
         }
@@ -126,7 +130,7 @@
 async fn started(shared: &Arc<Shared>, leave: Leave, job: &Job, id: Id) -> Attempt {
     // A pause of this process between the verdict and here may have lasted
     // past the deadline, when the caller was told *not run*.
-    if !shared.claims.lock().holder.start(shared.now(), id) {
+    if !shared.claims.lock().holder.try_start(shared.now(), id) {
         return given_up(shared, id);
     }
     let mut job = job.clone();
@@ -204,7 +208,7 @@
         let mut claims = shared.claims.lock();
         claims
             .answers
-            .hold(now, key, request.digest, kept.clone(), size);
+            .insert(now, key, request.digest, kept.clone(), size);
     }
     answered(kept, false)
 }
@@ -226,11 +230,11 @@
 fn given_up(shared: &Arc<Shared>, id: Id) -> Attempt {
     let abandoned = shared.claims.lock().holder.abandon(id);
     match abandoned {
-        Abandon::NotRun(fate) => {
+        AbandonResult::NotRun(fate) => {
             tell(shared, fate);
             told(problem(Refusal::Deadline))
         }
-        Abandon::TooLate => told(unknown()),
+        AbandonResult::TooLate => told(unknown()),
     }
 }
 
--- a/crates/router/src/resolve.rs
+++ b/crates/router/src/resolve.rs
@@ -214,8 +214,8 @@
     let issued = headers
         .get(key::ISSUED_HEADER)
         .and_then(|value| value.to_str().ok());
-    let key = Key::read(workspace, key, issued).map_err(|error| bad_key(&error))?;
-    key.check(now, policy.claim_window)
+    let key = Key::parse(workspace, key, issued).map_err(|error| bad_key(&error))?;
+    key.check_issue_time(now, policy.claim_window)
         .map_err(|error| bad_key(&error))?;
     Ok(key)
 }
--- a/crates/router/src/serve/peers.rs
+++ b/crates/router/src/serve/peers.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use godwitpost_client::connect::Body;
 use godwitpost_decide::view::Pool;
-use godwitpost_state::claim::{Found, Item, Verdict, batch};
+use godwitpost_state::claim::{Item, Lookup, Verdict, batch};
 use godwitpost_state::gossip::Message;
 use godwitpost_types::id::{self, BodyDigest, KeyDigest};
 use godwitpost_wire::dispatch::{self, Head, Kind};
@@ -148,9 +148,9 @@
         return status(StatusCode::BAD_REQUEST);
     };
     let mut claims = shared.claims.lock();
-    match claims.answers.find(shared.now(), &key, &digest) {
-        Found::Answer(kept) => Response::new(body::full(kept.encode())),
-        Found::OtherBody | Found::Nothing => status(StatusCode::NOT_FOUND),
+    match claims.answers.get(shared.now(), &key, &digest) {
+        Lookup::Hit(kept) => Response::new(body::full(kept.encode())),
+        Lookup::OtherBody | Lookup::Miss => status(StatusCode::NOT_FOUND),
     }
 }
 
--- a/crates/router/tests/router/engine_orders.rs
+++ b/crates/router/tests/router/engine_orders.rs
@@ -5,7 +5,7 @@
 
 use godwitpost_router::Running;
 use godwitpost_standin::engine::{self, Wanted};
-use godwitpost_state::lease::{Ask, Record, STREAM, TERM, Table};
+use godwitpost_state::lease::{LEASE_DURATION, Operation, Record, STREAM_NAME, Table};
 use godwitpost_types::id::{self, Offset};
 use http::Request;
 
@@ -23,12 +23,12 @@
 /// Returns the router that holds the lease, with its fencing number.
 fn holder(fleet: &Fleet) -> Option<(u64, Offset)> {
     let mut table = Table::new();
-    for record in fleet.log.records(STREAM) {
+    for record in fleet.log.records(STREAM_NAME) {
         let decoded = Record::decode(&record.body);
         table.apply(record.offset, record.time, decoded.as_ref());
     }
     let current = table.current(id::of("drafting"))?;
-    (table.time() < current.until).then_some((current.holder, current.fence))
+    (table.log_time() < current.expires_at).then_some((current.holder, current.fence))
 }
 
 async fn held(fleet: &Fleet, but: Option<u64>) -> (u64, Offset) {
@@ -45,8 +45,8 @@
 async fn settled(fleet: &Fleet) -> (u64, Offset) {
     let renewed = || {
         let (holder, fence) = holder(fleet)?;
-        let mut records = fleet.log.records(STREAM).into_iter();
-        let renews = |record: &Record| record.ask == Ask::Renew(fence);
+        let mut records = fleet.log.records(STREAM_NAME).into_iter();
+        let renews = |record: &Record| record.operation == Operation::Renew(fence);
         let known = records.any(|r| Record::decode(&r.body).as_ref().is_some_and(renews));
         known.then_some((holder, fence))
     };
@@ -82,7 +82,10 @@
     });
     let request = Request::post("/v1/orders").body(full(&order.to_string()));
     let address = fleet.engines[engine].address();
-    let sent = fleet.client.send(address, request.unwrap(), TERM).await;
+    let sent = fleet
+        .client
+        .send(address, request.unwrap(), LEASE_DURATION)
+        .await;
     sent.unwrap().status().as_u16()
 }
 
@@ -161,9 +164,11 @@
     let stopped = take(&mut fleet, first);
     stopped.stop_gracefully().await;
     let (_, fence) = held(&fleet, Some(first)).await;
-    let released = fleet.log.records(STREAM).iter().any(|record| {
+    let released = fleet.log.records(STREAM_NAME).iter().any(|record| {
         let record = Record::decode(&record.body);
-        record.is_some_and(|record| record.holder == first && record.ask == Ask::Release(old))
+        record.is_some_and(|record| {
+            record.holder == first && record.operation == Operation::Release(old)
+        })
     });
     assert!(released, "a graceful stop gives the lease back");
     assert_eq!(stale(&fleet, 0, old, "6").await, 202);
@@ -194,11 +199,11 @@
     let (_, fence) = settled(&fleet).await;
     fleet.log.faults().change(|faults| faults.down = true);
     // Whoever holds the lease now has lost it after a term.
-    tokio::time::sleep(TERM).await;
+    tokio::time::sleep(LEASE_DURATION).await;
     assert_eq!(stale(&fleet, 0, fence, "6").await, 202);
     until("the engine obeys", async || have(&fleet, "writer@6") == 1).await;
     // A holder would see it in the next reports, within seconds.
-    let end = tokio::time::Instant::now() + TERM;
+    let end = tokio::time::Instant::now() + LEASE_DURATION;
     let mut drafts = 0;
     while tokio::time::Instant::now() < end {
         draft(&fleet, drafts).await;
@@ -230,7 +235,11 @@
     let order = r#"{"fence": 0, "unload": {"model": "writer"}}"#;
     let request = Request::post("/v1/orders").body(full(order)).unwrap();
     let address = fleet.engines[0].address();
-    let sent = fleet.client.send(address, request, TERM).await.unwrap();
+    let sent = fleet
+        .client
+        .send(address, request, LEASE_DURATION)
+        .await
+        .unwrap();
     assert_eq!(sent.status(), 202);
     for n in 0..12 {
         draft(&fleet, n).await;
--- a/crates/state/src/claim.rs
+++ b/crates/state/src/claim.rs
@@ -13,7 +13,7 @@
 //! - [`Batcher`] appends, settles lost answers by reading back, and answers.
 //! - [`Holder`] is the dispatcher's side: it alone decides to start a request,
 //!   and gives it up by itself when the caller's deadline passes.
-//! - [`Answers`] holds finished answers for callers that send a key again.
+//! - [`ResponseCache`] holds finished answers for callers that send a key again.
 //! - [`key`] reads keys and their time of issue, which bounds how long the
 //!   log has to remember them.
 
@@ -34,13 +34,13 @@
 mod seek;
 mod table;
 
-pub use answers::{Answers, Found};
+pub use answers::{Lookup, ResponseCache};
 pub use batcher::{Batcher, Next};
 pub use godwitpost_types::outcome::Scope;
-pub use holder::{Abandon, Holder, Refusal, Step};
+pub use holder::{AbandonResult, Holder, Refusal, Step};
 pub use table::Table;
 
-pub use crate::log::{Failure, Page, Stored};
+pub use crate::log::{AppendFailure, Page, StoredRecord};
 
 /// Streams that claims are spread over.
 ///
@@ -60,7 +60,7 @@
 ///
 /// Callers stamp keys with their own clocks; 30 s is far above what NTP keeps.
 /// It lengthens by itself the time that the log must remember claims.
-pub const SKEW: Duration = Duration::from_secs(30);
+pub const MAX_CLOCK_SKEW: Duration = Duration::from_secs(30);
 
 /// Names one claim; no two claims share it, and a claim sent again keeps it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -92,7 +92,7 @@
     /// A dispatcher asks for the key.
     Claim(Record),
     /// The winner's holder tells how the request ended, as best effort.
-    Fate {
+    Outcome {
         /// The key that was claimed.
         key: KeyDigest,
         /// The claim that won it.
@@ -108,7 +108,7 @@
     pub const fn key(&self) -> &KeyDigest {
         match self {
             Self::Claim(record) => &record.key,
-            Self::Fate { key, .. } => key,
+            Self::Outcome { key, .. } => key,
         }
     }
 }
@@ -123,7 +123,8 @@
         /// The claim that won.
         by: Id,
         /// How the winner ended, where the log says.
-        fate: Option<Outcome>,
+        #[serde(rename = "fate")]
+        outcome: Option<Outcome>,
     },
     /// The key was claimed with another body.
     OtherBody,
@@ -143,12 +144,15 @@
 
 /// Returns the name of a partition's stream in the log.
 #[must_use]
-pub fn stream(partition: u16) -> String {
+pub fn stream_name(partition: u16) -> String {
     format!("claims-{partition}")
 }
 
 /// Returns the instance among the live ones that batches a partition.
-pub fn batcher(partition: u16, live: impl IntoIterator<Item = InstanceId>) -> Option<InstanceId> {
+pub fn batcher_for(
+    partition: u16,
+    live: impl IntoIterator<Item = InstanceId>,
+) -> Option<InstanceId> {
     // Keeps a partition's scores apart from those of other rendezvous keys.
     const SALT: u64 = 0x636c_6169_6d73_0000;
     hash::winner(SALT | u64::from(partition), live)
--- a/crates/state/src/claim/answers.rs
+++ b/crates/state/src/claim/answers.rs
@@ -12,7 +12,7 @@
 
 /// Answers by key, the oldest dropped first.
 #[derive(Debug)]
-pub struct Answers<A> {
+pub struct ResponseCache<A> {
     most_bytes: usize,
     longest: Duration,
     bytes: usize,
@@ -30,16 +30,16 @@
 
 /// What is held for a key.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Found<'a, A> {
+pub enum Lookup<'a, A> {
     /// The answer of the request that ran.
-    Answer(&'a A),
+    Hit(&'a A),
     /// An answer to another body under the same key.
     OtherBody,
     /// Nothing.
-    Nothing,
+    Miss,
 }
 
-impl<A> Answers<A> {
+impl<A> ResponseCache<A> {
     /// Returns an empty store that keeps `most_bytes` for `longest` at most.
     #[must_use]
     pub const fn new(most_bytes: usize, longest: Duration) -> Self {
@@ -56,7 +56,14 @@
     ///
     /// An answer larger than the whole store, or a second one for a key, is
     /// not held.
-    pub fn hold(&mut self, now: Moment, key: KeyDigest, body: BodyDigest, answer: A, size: usize) {
+    pub fn insert(
+        &mut self,
+        now: Moment,
+        key: KeyDigest,
+        body: BodyDigest,
+        answer: A,
+        size: usize,
+    ) {
         self.expire(now);
         if size > self.most_bytes || self.held.contains_key(&key) {
             return;
@@ -76,12 +83,12 @@
     }
 
     /// Returns what is held for a key that came with `body`.
-    pub fn find(&mut self, now: Moment, key: &KeyDigest, body: &BodyDigest) -> Found<'_, A> {
+    pub fn get(&mut self, now: Moment, key: &KeyDigest, body: &BodyDigest) -> Lookup<'_, A> {
         self.expire(now);
         match self.held.get(key) {
-            None => Found::Nothing,
-            Some(held) if held.body != *body => Found::OtherBody,
-            Some(held) => Found::Answer(&held.answer),
+            None => Lookup::Miss,
+            Some(held) if held.body != *body => Lookup::OtherBody,
+            Some(held) => Lookup::Hit(&held.answer),
         }
     }
 
--- a/crates/state/src/claim/batch.rs
+++ b/crates/state/src/claim/batch.rs
@@ -60,7 +60,7 @@
                 tuple.serialize_element(&Bytes(record.body))?;
                 tuple.serialize_element(&millis(record.issued))?;
             }
-            Self::Fate {
+            Self::Outcome {
                 key,
                 id: claim,
                 outcome,
@@ -119,7 +119,7 @@
             FATE => {
                 let Bytes([]) = element(&mut seq)?;
                 let outcome = outcome(element(&mut seq)?)?;
-                Ok(Item::Fate { key, id, outcome })
+                Ok(Item::Outcome { key, id, outcome })
             }
             _ => Err(de::Error::custom("unknown kind of item")),
         }
--- a/crates/state/src/claim/batch/tests.rs
+++ b/crates/state/src/claim/batch/tests.rs
@@ -27,7 +27,7 @@
                     });
                 }
             };
-            Item::Fate {
+            Item::Outcome {
                 key: d.0,
                 id,
                 outcome,
--- a/crates/state/src/claim/batcher.rs
+++ b/crates/state/src/claim/batcher.rs
@@ -22,23 +22,23 @@
 use godwitpost_types::id::Offset;
 
 use super::seek::Seek;
-use super::{BATCH_PERIOD, Id, Item, Record, SKEW, Table, Verdict, batch};
-use crate::log::{Failure, Page};
+use super::{BATCH_PERIOD, Id, Item, MAX_CLOCK_SKEW, Record, Table, Verdict, batch};
+use crate::log::{AppendFailure, Page};
 
 /// Items of one append at most; at 80 bytes each that is 20 KB a record.
-pub const LARGEST_BATCH: usize = 256;
+pub const MAX_BATCH_ITEMS: usize = 256;
 
 /// Records asked for in one read.
-pub const PAGE: u32 = 1000;
+pub const READ_PAGE_RECORDS: u32 = 1000;
 
 /// How long a claim waits for its verdict before it is unavailable.
 ///
 /// Half of the shortest deadline in use (2 s for stock checks), so that the
 /// caller still hears *not run* in time.
-pub const PATIENCE: Duration = Duration::from_secs(1);
+pub const VERDICT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How long a log that failed twice is taken for down.
-pub const DOWN: Duration = Duration::from_millis(500);
+pub const LOG_DOWN_PERIOD: Duration = Duration::from_millis(500);
 
 // Appends tried for a claim: a second one covers a dropped connection and a
 // single refusal over the log's rate.
@@ -59,7 +59,7 @@
         body: Vec<u8>,
     },
     /// Read the stream, without waiting for new records and up to exactly
-    /// `limit` of them; answer with [`Batcher::page`] or [`Batcher::read_failed`].
+    /// `limit` of them; answer with [`Batcher::apply_page`] or [`Batcher::read_failed`].
     Read {
         /// The first offset wanted.
         from: Offset,
@@ -67,7 +67,7 @@
         limit: u32,
     },
     /// Tell a dispatcher the verdict on its claim.
-    Answer {
+    Reply {
         /// The claim.
         id: Id,
         /// The verdict.
@@ -148,7 +148,7 @@
     pub fn submit(&mut self, now: Moment, item: Item) {
         match item {
             Item::Claim(record) => self.submit_claim(now, record),
-            Item::Fate { id, .. } => self.submit_fate(id, item),
+            Item::Outcome { id, .. } => self.submit_fate(id, item),
         }
     }
 
@@ -156,7 +156,7 @@
     pub fn next(&mut self, now: Moment) -> Next {
         self.lose_patience(now);
         if let Some((id, verdict)) = self.answers.pop_front() {
-            return Next::Answer { id, verdict };
+            return Next::Reply { id, verdict };
         }
         if self.behind && !self.reading && now >= self.read_at {
             self.reading = true;
@@ -181,7 +181,7 @@
             return;
         };
         self.down_until = Moment::ZERO;
-        if offset == self.table.next() {
+        if offset == self.table.next_offset() {
             self.apply(offset, time, &flight.items);
         } else {
             // Another batcher wrote in between: its records come first.
@@ -191,21 +191,21 @@
     }
 
     /// Takes the failure of an append.
-    pub fn append_failed(&mut self, now: Moment, ticket: u64, failure: Failure) {
+    pub fn append_failed(&mut self, now: Moment, ticket: u64, failure: AppendFailure) {
         let Some(flight) = self.flight.take_if(|flight| flight.ticket == ticket) else {
             return;
         };
         let claims = flight.items.iter().filter_map(|item| match item {
             Item::Claim(record) => Some(*record),
-            Item::Fate { .. } => None,
+            Item::Outcome { .. } => None,
         });
         match failure {
-            Failure::NotDone => {
+            AppendFailure::NotApplied => {
                 for record in claims {
                     self.try_again(now, record);
                 }
             }
-            Failure::Unknown => {
+            AppendFailure::Unknown => {
                 self.doubtful.extend(claims);
                 self.behind = true;
                 self.read_at = now;
@@ -214,7 +214,7 @@
     }
 
     /// Takes the log's answer to a read.
-    pub fn page(&mut self, now: Moment, page: &Page) {
+    pub fn apply_page(&mut self, now: Moment, page: &Page) {
         self.reading = false;
         if !self.found(page) {
             return;
@@ -228,7 +228,7 @@
             self.table.skip_to(stored.offset);
             self.apply(stored.offset, stored.time, &items);
         }
-        self.behind = self.table.next() < page.next;
+        self.behind = self.table.next_offset() < page.next;
         if !self.behind {
             self.settle(now);
         }
@@ -247,7 +247,7 @@
     fn read(&mut self, now: Moment) -> Next {
         if !self.started {
             // The log's clock may be behind by as much as keys may be ahead.
-            let wanted = now.saturating_sub(self.table.window() + SKEW * 2);
+            let wanted = now.saturating_sub(self.table.window() + MAX_CLOCK_SKEW * 2);
             let seek = self.seek.get_or_insert_with(|| Seek::new(wanted));
             return Next::Read {
                 from: seek.probe(),
@@ -255,8 +255,8 @@
             };
         }
         Next::Read {
-            from: self.table.next(),
-            limit: PAGE,
+            from: self.table.next_offset(),
+            limit: READ_PAGE_RECORDS,
         }
     }
 
@@ -266,7 +266,7 @@
         let Some(mut seek) = self.seek.take() else {
             return true;
         };
-        let Some(start) = seek.page(page) else {
+        let Some(start) = seek.apply_probe(page) else {
             self.seek = Some(seek);
             return false;
         };
@@ -311,7 +311,7 @@
             return None;
         }
         let mut items = Vec::new();
-        while items.len() < LARGEST_BATCH
+        while items.len() < MAX_BATCH_ITEMS
             && let Some(item) = self.queue.pop_front()
         {
             if self.wanted(&item) {
@@ -342,7 +342,7 @@
     }
 
     fn apply(&mut self, offset: Offset, time: Moment, items: &[Item]) {
-        if offset < self.table.next() {
+        if offset < self.table.next_offset() {
             return;
         }
         self.table.apply(offset, time, items);
@@ -383,14 +383,14 @@
     fn give_up(&mut self, now: Moment, id: Id) {
         if self.asked.remove(&id).is_some() {
             self.answers.push_back((id, Verdict::Unavailable));
-            self.down_until = now + DOWN;
+            self.down_until = now + LOG_DOWN_PERIOD;
         }
     }
 
     fn lose_patience(&mut self, now: Moment) {
         while let Some(&(since, id)) = self.order.front() {
             let answered = !self.asked.contains_key(&id);
-            if !answered && now < since + PATIENCE {
+            if !answered && now < since + VERDICT_TIMEOUT {
                 break;
             }
             self.order.pop_front();
@@ -401,7 +401,10 @@
     }
 
     fn wake(&self) -> Option<Moment> {
-        let patience = self.order.front().map(|(since, _)| *since + PATIENCE);
+        let patience = self
+            .order
+            .front()
+            .map(|(since, _)| *since + VERDICT_TIMEOUT);
         let append = (self.flight.is_none() && !self.queue.is_empty()).then_some(self.append_at);
         let read = (self.behind && !self.reading).then_some(self.read_at);
         [patience, append, read].into_iter().flatten().min()
--- a/crates/state/src/claim/batcher/tests.rs
+++ b/crates/state/src/claim/batcher/tests.rs
@@ -1,7 +1,7 @@
 //! A batcher answers from the fold alone, and gives up in time.
 
 use super::*;
-use crate::log::Stored;
+use crate::log::StoredRecord;
 
 const WINDOW: Duration = Duration::from_mins(15);
 
@@ -23,7 +23,7 @@
 }
 
 fn page(first: Offset, next: Offset, records: Vec<(Offset, Vec<Item>)>) -> Page {
-    let stored = records.into_iter().map(|(offset, items)| Stored {
+    let stored = records.into_iter().map(|(offset, items)| StoredRecord {
         offset,
         time: at(0),
         body: batch::encode(&items),
@@ -39,7 +39,7 @@
 fn ready(record: Record) -> Batcher {
     let mut batcher = Batcher::new(WINDOW);
     assert!(matches!(batcher.next(at(0)), Next::Read { from: 0, .. }));
-    batcher.page(at(0), &Page::default());
+    batcher.apply_page(at(0), &Page::default());
     batcher.submit(at(0), Item::Claim(record));
     batcher
 }
@@ -52,7 +52,7 @@
 }
 
 const fn answer(record: &Record, verdict: Verdict) -> Next {
-    Next::Answer {
+    Next::Reply {
         id: record.id,
         verdict,
     }
@@ -79,10 +79,10 @@
     batcher.appended(at(5), ticket, 1, at(4));
     assert!(matches!(batcher.next(at(5)), Next::Read { from: 0, .. }));
     let records = vec![(0, vec![Item::Claim(other)]), (1, vec![Item::Claim(mine)])];
-    batcher.page(at(6), &page(0, 2, records));
+    batcher.apply_page(at(6), &page(0, 2, records));
     let taken = Verdict::Taken {
         by: other.id,
-        fate: None,
+        outcome: None,
     };
     assert_eq!(batcher.next(at(6)), answer(&mine, taken));
 }
@@ -94,9 +94,9 @@
     let record = claim(1, 7);
     let mut batcher = ready(record);
     let ticket = ticket(&batcher.next(at(0)));
-    batcher.append_failed(at(500), ticket, Failure::Unknown);
+    batcher.append_failed(at(500), ticket, AppendFailure::Unknown);
     assert!(matches!(batcher.next(at(500)), Next::Read { from: 0, .. }));
-    batcher.page(at(501), &page(0, 1, vec![(0, vec![Item::Claim(record)])]));
+    batcher.apply_page(at(501), &page(0, 1, vec![(0, vec![Item::Claim(record)])]));
     assert_eq!(batcher.next(at(501)), answer(&record, Verdict::Claimed));
 }
 
@@ -107,9 +107,9 @@
     let record = claim(1, 7);
     let mut batcher = ready(record);
     let first = ticket(&batcher.next(at(0)));
-    batcher.append_failed(at(500), first, Failure::Unknown);
+    batcher.append_failed(at(500), first, AppendFailure::Unknown);
     batcher.next(at(500));
-    batcher.page(at(501), &Page::default());
+    batcher.apply_page(at(501), &Page::default());
     let second = ticket(&batcher.next(at(501)));
     batcher.appended(at(510), second, 1, at(505));
     batcher.next(at(510));
@@ -117,7 +117,7 @@
         (0, vec![Item::Claim(record)]),
         (1, vec![Item::Claim(record)]),
     ];
-    batcher.page(at(511), &page(0, 2, twice));
+    batcher.apply_page(at(511), &page(0, 2, twice));
     assert_eq!(batcher.next(at(511)), answer(&record, Verdict::Claimed));
     assert!(matches!(batcher.next(at(511)), Next::Wait(_)));
 }
@@ -129,9 +129,9 @@
     let record = claim(1, 7);
     let mut batcher = ready(record);
     let first = ticket(&batcher.next(at(0)));
-    batcher.append_failed(at(2), first, Failure::NotDone);
+    batcher.append_failed(at(2), first, AppendFailure::NotApplied);
     let second = ticket(&batcher.next(at(50)));
-    batcher.append_failed(at(52), second, Failure::NotDone);
+    batcher.append_failed(at(52), second, AppendFailure::NotApplied);
     assert_eq!(batcher.next(at(52)), answer(&record, Verdict::Unavailable));
     let later = claim(2, 8);
     batcher.submit(at(60), Item::Claim(later));
@@ -165,7 +165,7 @@
     batcher.next(at(5));
     let mut page = page(0, 2, vec![(0, vec![]), (1, vec![Item::Claim(record)])]);
     page.records[0].body = b"not a batch".to_vec();
-    batcher.page(at(6), &page);
+    batcher.apply_page(at(6), &page);
     assert_eq!(batcher.next(at(6)), answer(&record, Verdict::Claimed));
 }
 
@@ -179,7 +179,7 @@
     batcher.appended(at(5), ticket, 2, at(4));
     batcher.next(at(5));
     let records = vec![(0, vec![]), (2, vec![Item::Claim(record)])];
-    batcher.page(at(6), &page(0, 3, records));
+    batcher.apply_page(at(6), &page(0, 3, records));
     assert_eq!(batcher.next(at(6)), answer(&record, Verdict::Expired));
 }
 
@@ -194,10 +194,10 @@
     };
     assert_eq!(
         batch::decode(&body).map(|items| items.len()),
-        Ok(LARGEST_BATCH)
+        Ok(MAX_BATCH_ITEMS)
     );
     batcher.appended(at(1), ticket, 0, at(1));
-    while matches!(batcher.next(at(1)), Next::Answer { .. }) {}
+    while matches!(batcher.next(at(1)), Next::Reply { .. }) {}
     assert_eq!(batcher.next(at(1)), Next::Wait(Some(at(50))));
     assert!(matches!(batcher.next(at(50)), Next::Append { .. }));
 }
@@ -209,7 +209,7 @@
     let mut batcher = ready(claim(1, 7));
     let gone = claim(2, 8);
     batcher.submit(at(0), Item::Claim(gone));
-    let fate = Item::Fate {
+    let fate = Item::Outcome {
         key: gone.key,
         id: gone.id,
         outcome: godwitpost_types::outcome::Outcome::NotRun,
@@ -234,7 +234,7 @@
     let mut reads = 0;
     while let Next::Read { from, limit } = batcher.next(now) {
         reads += 1;
-        let records = (from..day.min(from + u64::from(limit))).map(|offset| Stored {
+        let records = (from..day.min(from + u64::from(limit))).map(|offset| StoredRecord {
             offset,
             time: time(offset),
             body: batch::encode(&[]),
@@ -244,9 +244,9 @@
             next: day,
             records: records.collect(),
         };
-        batcher.page(now, &page);
+        batcher.apply_page(now, &page);
     }
-    assert_eq!(batcher.table().next(), day);
+    assert_eq!(batcher.table().next_offset(), day);
     assert!(
         reads < 50,
         "{reads} reads; from the start it would be 1,728"
--- a/crates/state/src/claim/holder.rs
+++ b/crates/state/src/claim/holder.rs
@@ -3,8 +3,8 @@
 //! A claim in the log permits its holder to start the request; it does not
 //! oblige it. When the caller's deadline passes, or the caller goes away, the
 //! holder gives the claim up in its own memory. From then on
-//! [`Holder::start`] refuses, so *not run* is true whatever the log still
-//! does with the record. A holder that was paused asks [`Holder::start`] with
+//! [`Holder::try_start`] refuses, so *not run* is true whatever the log still
+//! does with the record. A holder that was paused asks [`Holder::try_start`] with
 //! the moment it woke at and is refused in the same way.
 
 use std::collections::BTreeMap;
@@ -49,7 +49,7 @@
 /// What to do with a request after a verdict.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// The request may go on; [`Holder::start`] decides just before its first
+    /// The request may go on; [`Holder::try_start`] decides just before its first
     /// byte leaves.
     Claimed,
     /// The caller is refused.
@@ -57,18 +57,18 @@
         /// Why, and the outcome to tell.
         refusal: Refusal,
         /// A fate to send to the batcher, if the claim may be in the log.
-        fate: Option<Item>,
+        report: Option<Item>,
     },
     /// The claim was given up before, and won: send this fate to the batcher,
     /// so that a resend of the key hears that it never ran.
-    Spent(Item),
+    Report(Item),
     /// The claim was settled before; nothing is to be done.
     Ignore,
 }
 
 /// What giving up came to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Abandon {
+pub enum AbandonResult {
     /// The request never starts; *not run* may be told. The fate is to be
     /// sent to the batcher, for whoever comes with the key again.
     NotRun(Item),
@@ -157,7 +157,7 @@
     }
 
     /// Takes the batcher's verdict on a claim.
-    pub fn verdict(&mut self, now: Moment, id: Id, verdict: Verdict) -> Step {
+    pub fn apply_verdict(&mut self, now: Moment, id: Id, verdict: Verdict) -> Step {
         if !self.owns(id) {
             return Step::Ignore;
         }
@@ -176,7 +176,7 @@
     ///
     /// To be asked once, right before the first byte leaves for an endpoint.
     #[must_use]
-    pub fn start(&mut self, now: Moment, id: Id) -> bool {
+    pub fn try_start(&mut self, now: Moment, id: Id) -> bool {
         if !self.owns(id) {
             return false;
         }
@@ -190,21 +190,23 @@
     }
 
     /// Gives a claim up because its caller's deadline passed or it went away.
-    pub fn abandon(&mut self, id: Id) -> Abandon {
+    pub fn abandon(&mut self, id: Id) -> AbandonResult {
         if !self.owns(id) {
-            return Abandon::TooLate;
+            return AbandonResult::TooLate;
         }
         match self.claims.get(&id.sequence) {
-            None => Abandon::TooLate,
-            Some(claim) if claim.stage == Stage::Started => Abandon::TooLate,
-            Some(_) => self.give_up(id).map_or(Abandon::TooLate, Abandon::NotRun),
+            None => AbandonResult::TooLate,
+            Some(claim) if claim.stage == Stage::Started => AbandonResult::TooLate,
+            Some(_) => self
+                .give_up(id)
+                .map_or(AbandonResult::TooLate, AbandonResult::NotRun),
         }
     }
 
     /// Returns whether a claim was given up here, so that its request never
     /// starts; for instances that met the claim as their key's winner.
     #[must_use]
-    pub fn gave_up(&self, id: Id) -> bool {
+    pub fn has_abandoned(&self, id: Id) -> bool {
         self.owns(id) && self.given_up.contains_key(&id.sequence)
     }
 
@@ -255,7 +257,7 @@
         let refusal = match verdict {
             // It won, after the caller's deadline.
             Verdict::Claimed => Refusal::Deadline,
-            Verdict::Taken { by, fate } => self.taken(by, fate),
+            Verdict::Taken { by, outcome } => self.taken(by, outcome),
             Verdict::OtherBody => Refusal::OtherBody,
             Verdict::Expired => Refusal::Expired,
             Verdict::Early => Refusal::Early,
@@ -270,16 +272,16 @@
         self.claims.remove(&id.sequence);
         Step::Refuse {
             refusal,
-            fate: spent,
+            report: spent,
         }
     }
 
-    fn taken(&self, by: Id, fate: Option<Outcome>) -> Refusal {
-        match fate {
+    fn taken(&self, by: Id, outcome: Option<Outcome>) -> Refusal {
+        match outcome {
             Some(Outcome::Ran) => Refusal::Ran,
             Some(Outcome::NotRun) => Refusal::Spent,
             // The log has not heard, but it was this holder's own claim.
-            None if self.gave_up(by) => Refusal::Spent,
+            None if self.has_abandoned(by) => Refusal::Spent,
             Some(Outcome::Unknown) | None => Refusal::Running,
         }
     }
@@ -287,7 +289,7 @@
     fn late(&mut self, id: Id, verdict: Verdict) -> Step {
         match self.given_up.get(&id.sequence) {
             Some(record) if verdict == Verdict::Claimed => {
-                Step::Spent(fate(record, Outcome::NotRun))
+                Step::Report(fate(record, Outcome::NotRun))
             }
             _ => Step::Ignore,
         }
@@ -310,7 +312,7 @@
 }
 
 const fn fate(record: &Record, outcome: Outcome) -> Item {
-    Item::Fate {
+    Item::Outcome {
         key: record.key,
         id: record.id,
         outcome,
--- a/crates/state/src/claim/holder/tests.rs
+++ b/crates/state/src/claim/holder/tests.rs
@@ -16,7 +16,7 @@
 }
 
 const fn not_run(id: Id) -> Item {
-    Item::Fate {
+    Item::Outcome {
         key: KEY.digest,
         id,
         outcome: Outcome::NotRun,
@@ -30,10 +30,13 @@
 fn a_holder_that_slept_past_the_deadline_does_not_start() {
     let mut holder = Holder::new(1, 1);
     let id = holder.open(&KEY, [0; 16], at(110)).id;
-    assert_eq!(holder.verdict(at(101), id, Verdict::Claimed), Step::Claimed);
-    assert!(!holder.start(at(110), id));
-    assert_eq!(holder.abandon(id), Abandon::NotRun(not_run(id)));
-    assert!(!holder.start(at(105), id));
+    assert_eq!(
+        holder.apply_verdict(at(101), id, Verdict::Claimed),
+        Step::Claimed
+    );
+    assert!(!holder.try_start(at(110), id));
+    assert_eq!(holder.abandon(id), AbandonResult::NotRun(not_run(id)));
+    assert!(!holder.try_start(at(105), id));
 }
 
 /// A caller sends its key again and hears *unknown* for a quarter of an hour.
@@ -43,10 +46,10 @@
 fn a_verdict_after_giving_up_spends_the_key() {
     let mut holder = Holder::new(1, 1);
     let id = holder.open(&KEY, [0; 16], at(110)).id;
-    assert_eq!(holder.abandon(id), Abandon::NotRun(not_run(id)));
-    let step = holder.verdict(at(104), id, Verdict::Claimed);
-    assert_eq!(step, Step::Spent(not_run(id)));
-    assert!(!holder.start(at(104), id));
+    assert_eq!(holder.abandon(id), AbandonResult::NotRun(not_run(id)));
+    let step = holder.apply_verdict(at(104), id, Verdict::Claimed);
+    assert_eq!(step, Step::Report(not_run(id)));
+    assert!(!holder.try_start(at(104), id));
 }
 
 /// A caller sends its key again and hears *unknown*, though the instance that
@@ -59,15 +62,15 @@
     let second = holder.open(&KEY, [0; 16], at(120)).id;
     let taken = Verdict::Taken {
         by: first,
-        fate: None,
+        outcome: None,
     };
-    let step = holder.verdict(at(112), second, taken);
+    let step = holder.apply_verdict(at(112), second, taken);
     let refusal = Refusal::Spent;
     assert_eq!(
         step,
         Step::Refuse {
             refusal,
-            fate: None
+            report: None
         }
     );
 }
@@ -80,8 +83,11 @@
     let id = before.open(&KEY, [0; 16], at(110)).id;
     let mut after = Holder::new(1, 2);
     let own = after.open(&KEY, [0; 16], at(110)).id;
-    assert_eq!(after.verdict(at(101), id, Verdict::Claimed), Step::Ignore);
-    assert!(!after.start(at(101), own));
+    assert_eq!(
+        after.apply_verdict(at(101), id, Verdict::Claimed),
+        Step::Ignore
+    );
+    assert!(!after.try_start(at(101), own));
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -102,7 +108,7 @@
     prop_oneof![
         Just(Act::Verdict(Verdict::Claimed)),
         Just(Act::Verdict(Verdict::Unavailable)),
-        Just(Act::Verdict(Verdict::Taken { by, fate: None })),
+        Just(Act::Verdict(Verdict::Taken { by, outcome: None })),
         Just(Act::Start),
         Just(Act::Abandon),
         Just(Act::Finish),
@@ -123,18 +129,18 @@
         for act in acts {
             match act {
                 Act::Verdict(verdict) => {
-                    let step = holder.verdict(now, id, verdict);
+                    let step = holder.apply_verdict(now, id, verdict);
                     if let Step::Refuse { refusal, .. } = step {
                         told_not_run |= refusal.outcome() == Outcome::NotRun;
                     }
                 }
                 Act::Start => {
-                    let start = holder.start(now, id);
+                    let start = holder.try_start(now, id);
                     prop_assert!(!start || !told_not_run);
                     started += u32::from(start);
                 }
                 Act::Abandon => {
-                    let not_run = matches!(holder.abandon(id), Abandon::NotRun(_));
+                    let not_run = matches!(holder.abandon(id), AbandonResult::NotRun(_));
                     prop_assert!(!not_run || started == 0);
                     told_not_run |= not_run;
                 }
--- a/crates/state/src/claim/key.rs
+++ b/crates/state/src/claim/key.rs
@@ -11,13 +11,13 @@
 use godwitpost_types::clock::Moment;
 use godwitpost_types::id::{KeyDigest, WorkspaceId};
 
-use super::SKEW;
+use super::MAX_CLOCK_SKEW;
 
 /// The header that dates a key which is not a version 7 UUID.
 pub const ISSUED_HEADER: &str = "Godwitpost-Key-Issued";
 
 /// The longest key taken, in bytes; keeps heads and memory small.
-pub const LONGEST: usize = 255;
+pub const MAX_KEY_BYTES: usize = 255;
 
 /// A key as its caller identified it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -34,11 +34,11 @@
     /// the Idempotency-Key is empty; send a version 7 UUID
     Empty,
     /// the Idempotency-Key is longer than 255 bytes; send a version 7 UUID
-    Long,
+    TooLong,
     /// the Idempotency-Key does not say when it was issued; send a version 7 UUID, or add Godwitpost-Key-Issued with unix seconds
-    Undated,
+    MissingIssueTime,
     /// Godwitpost-Key-Issued is not a number of unix seconds; send digits only
-    Date,
+    InvalidIssueTime,
     /// the key is older than the claim window; find out whether it ran before you send the request with a new key
     Expired,
     /// the key's time of issue lies in the future; set the caller's clock and send a new key
@@ -53,12 +53,12 @@
     /// # Errors
     ///
     /// Returns an [`Error`] for a key that is empty, too long or undated.
-    pub fn read(workspace: WorkspaceId, text: &str, issued: Option<&str>) -> Result<Self, Error> {
+    pub fn parse(workspace: WorkspaceId, text: &str, issued: Option<&str>) -> Result<Self, Error> {
         if text.is_empty() {
             return Err(Error::Empty);
         }
-        if text.len() > LONGEST {
-            return Err(Error::Long);
+        if text.len() > MAX_KEY_BYTES {
+            return Err(Error::TooLong);
         }
         let issued = issue_time(text, issued)?;
         Ok(Self {
@@ -73,11 +73,11 @@
     /// # Errors
     ///
     /// Returns [`Error::Expired`] or [`Error::Future`].
-    pub fn check(&self, now: Moment, window: Duration) -> Result<(), Error> {
+    pub fn check_issue_time(&self, now: Moment, window: Duration) -> Result<(), Error> {
         if self.issued + window < now {
             return Err(Error::Expired);
         }
-        if self.issued > now + SKEW {
+        if self.issued > now + MAX_CLOCK_SKEW {
             return Err(Error::Future);
         }
         Ok(())
@@ -87,18 +87,18 @@
 fn issue_time(text: &str, issued: Option<&str>) -> Result<Moment, Error> {
     match issued {
         Some(seconds) => unix_seconds(seconds),
-        None => uuid_time(text).ok_or(Error::Undated),
+        None => uuid_time(text).ok_or(Error::MissingIssueTime),
     }
 }
 
 fn unix_seconds(text: &str) -> Result<Moment, Error> {
     // Twelve digits reach the year 33,658 and can't overflow milliseconds.
     if text.is_empty() || text.len() > 12 || !text.bytes().all(|b| b.is_ascii_digit()) {
-        return Err(Error::Date);
+        return Err(Error::InvalidIssueTime);
     }
     text.parse()
         .map(Duration::from_secs)
-        .map_err(|_not_a_number| Error::Date)
+        .map_err(|_not_a_number| Error::InvalidIssueTime)
 }
 
 // The first 48 bits of a version 7 UUID are its unix time in milliseconds
--- a/crates/state/src/claim/key/tests.rs
+++ b/crates/state/src/claim/key/tests.rs
@@ -6,26 +6,32 @@
 
 #[test]
 fn a_version_7_uuid_carries_its_time() {
-    let key = Key::read(1, UUID, None).expect("well formed");
+    let key = Key::parse(1, UUID, None).expect("well formed");
     assert_eq!(key.issued, Duration::from_millis(0x019a_e0f0_8c00));
 }
 
 #[test]
 fn other_keys_need_the_header() {
-    assert_eq!(Key::read(1, "order-7", None), Err(Error::Undated));
+    assert_eq!(Key::parse(1, "order-7", None), Err(Error::MissingIssueTime));
     let version_4 = UUID.replace("-7abc", "-4abc");
-    assert_eq!(Key::read(1, &version_4, None), Err(Error::Undated));
-    let key = Key::read(1, "order-7", Some("1764712800")).expect("dated");
+    assert_eq!(
+        Key::parse(1, &version_4, None),
+        Err(Error::MissingIssueTime)
+    );
+    let key = Key::parse(1, "order-7", Some("1764712800")).expect("dated");
     assert_eq!(key.issued.as_secs(), 1_764_712_800);
     for bad in ["", "-5", "1e9", "+1764712800", "9999999999999999999"] {
-        assert_eq!(Key::read(1, "order-7", Some(bad)), Err(Error::Date));
+        assert_eq!(
+            Key::parse(1, "order-7", Some(bad)),
+            Err(Error::InvalidIssueTime)
+        );
     }
 }
 
 #[test]
 fn a_key_is_its_workspace_text_and_time() {
     let key = |workspace, text, time| {
-        Key::read(workspace, text, Some(time))
+        Key::parse(workspace, text, Some(time))
             .expect("dated")
             .digest
     };
@@ -42,17 +48,17 @@
 
 #[test]
 fn strange_keys_are_refused() {
-    assert_eq!(Key::read(1, "", None), Err(Error::Empty));
-    assert_eq!(Key::read(1, &"x".repeat(256), None), Err(Error::Long));
+    assert_eq!(Key::parse(1, "", None), Err(Error::Empty));
+    assert_eq!(Key::parse(1, &"x".repeat(256), None), Err(Error::TooLong));
     let wide = "0\u{e9}9ae0f0-8c00-7abc-8def-0123456789a";
-    assert_eq!(Key::read(1, wide, None), Err(Error::Undated));
+    assert_eq!(Key::parse(1, wide, None), Err(Error::MissingIssueTime));
 }
 
 #[test]
 fn the_window_has_two_ends() {
-    let key = Key::read(1, "a", Some("1000")).expect("dated");
+    let key = Key::parse(1, "a", Some("1000")).expect("dated");
     let window = Duration::from_mins(15);
-    let check = |now| key.check(Duration::from_secs(now), window);
+    let check = |now| key.check_issue_time(Duration::from_secs(now), window);
     assert_eq!(check(969), Err(Error::Future));
     assert_eq!(check(970), Ok(()));
     assert_eq!(check(1900), Ok(()));
--- a/crates/state/src/claim/seek.rs
+++ b/crates/state/src/claim/seek.rs
@@ -52,7 +52,7 @@
 
     /// Takes what the probe brought; returns where to start reading, once
     /// found.
-    pub(super) fn page(&mut self, page: &Page) -> Option<Offset> {
+    pub(super) fn apply_probe(&mut self, page: &Page) -> Option<Offset> {
         let probe = self.probe().max(page.first);
         let record = page.records.first().filter(|r| r.offset == probe);
         let old = record.is_some_and(|record| record.time <= self.wanted);
--- a/crates/state/src/claim/seek/tests.rs
+++ b/crates/state/src/claim/seek/tests.rs
@@ -4,14 +4,14 @@
 
 use proptest::prelude::*;
 
-use super::super::Stored;
+use super::super::StoredRecord;
 use super::*;
 
 /// A stream of `next` records whose first ones are dropped; the record at `n`
 /// has the time `n`.
 fn probe(first: Offset, next: Offset, from: Offset) -> Page {
     let at = from.max(first);
-    let record = (at < next).then(|| Stored {
+    let record = (at < next).then(|| StoredRecord {
         offset: at,
         time: Duration::from_secs(at),
         body: Vec::new(),
@@ -37,7 +37,7 @@
         let start = loop {
             probes += 1;
             prop_assert!(probes < 40, "no end of probes");
-            if let Some(start) = seek.page(&probe(first, next, seek.probe())) {
+            if let Some(start) = seek.apply_probe(&probe(first, next, seek.probe())) {
                 break start;
             }
         };
--- a/crates/state/src/claim/table.rs
+++ b/crates/state/src/claim/table.rs
@@ -3,10 +3,10 @@
 //! The fold depends on the log's records, offsets and times alone, so every
 //! reader that has read enough of the stream gives the same verdict. What is
 //! *enough* follows from a key's time of issue: a claim counts only if its key
-//! was issued no later than [`SKEW`] after the record's time, so all claims of
-//! a key issued at `i` have times of `i - SKEW` or later. A reader that holds
+//! was issued no later than [`MAX_CLOCK_SKEW`] after the record's time, so all claims of
+//! a key issued at `i` have times of `i - MAX_CLOCK_SKEW` or later. A reader that holds
 //! every record after some time has therefore seen all claims of each key
-//! issued more than [`SKEW`] after it. The table keeps that limit as its
+//! issued more than [`MAX_CLOCK_SKEW`] after it. The table keeps that limit as its
 //! *floor* and calls every key at or below it expired. Truncation raises the
 //! floor, and so does the claim window, which also bounds the memory.
 
@@ -17,7 +17,7 @@
 use godwitpost_types::id::{BodyDigest, KeyDigest, Offset};
 use godwitpost_types::outcome::Outcome;
 
-use super::{Id, Item, Record, SKEW, Verdict};
+use super::{Id, Item, MAX_CLOCK_SKEW, Record, Verdict};
 
 /// Winners of one partition's keys, as the log has them.
 #[derive(Clone, Debug, Default)]
@@ -63,7 +63,7 @@
 
     /// Returns the offset of the next record to apply.
     #[must_use]
-    pub const fn next(&self) -> Offset {
+    pub const fn next_offset(&self) -> Offset {
         self.next
     }
 
@@ -129,8 +129,8 @@
 
     /// Returns whether a claim's time of issue is too far ahead of the log.
     #[must_use]
-    pub fn early(&self, record: &Record) -> bool {
-        record.issued > self.time + SKEW
+    pub fn is_early(&self, record: &Record) -> bool {
+        record.issued > self.time + MAX_CLOCK_SKEW
     }
 
     fn raise_floor(&mut self) {
@@ -138,7 +138,7 @@
         self.floor = self.floor.max(aged);
         if self.gap {
             // Every record that was lost is at most as late as this one.
-            self.floor = self.floor.max(self.time + SKEW);
+            self.floor = self.floor.max(self.time + MAX_CLOCK_SKEW);
             self.gap = false;
         }
         while let Some(&(issued, key)) = self.by_issue.first() {
@@ -153,12 +153,12 @@
     fn apply_item(&mut self, item: &Item) {
         match item {
             Item::Claim(record) => self.claim(record),
-            Item::Fate { key, id, outcome } => self.fate(key, *id, *outcome),
+            Item::Outcome { key, id, outcome } => self.fate(key, *id, *outcome),
         }
     }
 
     fn claim(&mut self, record: &Record) {
-        if record.issued <= self.floor || self.early(record) {
+        if record.issued <= self.floor || self.is_early(record) {
             return;
         }
         if self.winners.contains_key(&record.key) {
@@ -197,7 +197,7 @@
         }
         Verdict::Taken {
             by: self.id,
-            fate: self.fate,
+            outcome: self.fate,
         }
     }
 }
--- a/crates/state/src/claim/table/tests.rs
+++ b/crates/state/src/claim/table/tests.rs
@@ -86,7 +86,7 @@
 fn only_the_winner_tells_the_fate() {
     let winner = claim(1, 7, 1000);
     let loser = claim(2, 7, 1000);
-    let fate = |record: &Record, outcome| Item::Fate {
+    let fate = |record: &Record, outcome| Item::Outcome {
         key: record.key,
         id: record.id,
         outcome,
@@ -105,7 +105,7 @@
     );
     let taken = Verdict::Taken {
         by: winner.id,
-        fate: Some(Outcome::Ran),
+        outcome: Some(Outcome::Ran),
     };
     assert_eq!(table.verdict(&loser), Some(taken));
 }
@@ -162,7 +162,7 @@
     #[test]
     fn memory_is_bounded_by_the_window(batches in any_batches()) {
         let (mut table, _) = fold(&batches, 0);
-        let next = table.next();
+        let next = table.next_offset();
         table.apply(next, at(1_000_000), &[]);
         prop_assert!(table.is_empty());
     }
--- a/crates/state/src/lease/holder.rs
+++ b/crates/state/src/lease/holder.rs
@@ -12,13 +12,13 @@
 use godwitpost_types::clock::Moment;
 use godwitpost_types::id::{Incarnation, InstanceId, Offset};
 
-use super::{Ask, MARGIN, Pool, RENEW, Record, TERM, Table};
-use crate::log::{Failure, Page};
+use super::{EXPIRY_MARGIN, LEASE_DURATION, Operation, Pool, RENEW_INTERVAL, Record, Table};
+use crate::log::{AppendFailure, Page};
 
 /// What the holder wants done next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Append to [`super::STREAM`]; answer with [`Holder::appended`] or
+    /// Append to [`super::STREAM_NAME`]; answer with [`Holder::appended`] or
     /// [`Holder::append_failed`].
     Append {
         /// Names the append in its answer.
@@ -26,7 +26,7 @@
         /// The record's bytes.
         body: Vec<u8>,
     },
-    /// Read the stream without waiting; answer with [`Holder::page`] or
+    /// Read the stream without waiting; answer with [`Holder::apply_page`] or
     /// [`Holder::read_failed`].
     Read {
         /// The first offset wanted.
@@ -39,10 +39,10 @@
 }
 
 // Time between two tries after a failure or a lost race.
-const RETRY: std::time::Duration = std::time::Duration::from_secs(1);
+const RETRY_DELAY: std::time::Duration = std::time::Duration::from_secs(1);
 
 // Records asked for in one read.
-const PAGE: u32 = 1000;
+const READ_PAGE_RECORDS: u32 = 1000;
 
 /// One instance's side of one pool's lease.
 #[derive(Debug)]
@@ -113,7 +113,7 @@
     #[must_use]
     pub fn may_order(&self, now: Moment) -> Option<Offset> {
         self.held
-            .filter(|held| self.candidate && now + MARGIN < held.until)
+            .filter(|held| self.candidate && now + EXPIRY_MARGIN < held.until)
             .map(|held| held.fence)
     }
 
@@ -137,16 +137,16 @@
         if now >= self.read_at {
             self.reading = true;
             return Next::Read {
-                from: self.table.next(),
-                limit: PAGE,
+                from: self.table.next_offset(),
+                limit: READ_PAGE_RECORDS,
             };
         }
         if now >= self.append_at
-            && let Some(ask) = self.ask(now)
+            && let Some(operation) = self.next_operation(now)
         {
-            return self.append(now, ask);
+            return self.append(now, operation);
         }
-        Next::Wait(Some(self.read_at.min(self.ask_at())))
+        Next::Wait(Some(self.read_at.min(self.next_operation_at())))
     }
 
     /// Takes the log's answer to an append: the record is there to be read.
@@ -157,15 +157,15 @@
     /// Takes the failure of an append.
     ///
     /// One of unknown fate is looked for by reading, like any other.
-    pub fn append_failed(&mut self, now: Moment, ticket: u64, failure: Failure) {
+    pub fn append_failed(&mut self, now: Moment, ticket: u64, failure: AppendFailure) {
         self.land(now, ticket);
-        if failure == Failure::NotDone {
+        if failure == AppendFailure::NotApplied {
             self.sent.retain(|sent| sent.ticket != ticket);
         }
     }
 
     /// Takes the log's answer to a read.
-    pub fn page(&mut self, now: Moment, page: &Page) {
+    pub fn apply_page(&mut self, now: Moment, page: &Page) {
         self.reading = false;
         self.table.skip_to(page.first);
         let before = self.table.busy_until(self.pool);
@@ -183,14 +183,14 @@
         if self.table.busy_until(self.pool) != before {
             self.quiet_since = now;
         }
-        let behind = self.table.next() < page.next;
-        self.read_at = if behind { now } else { now + RENEW };
+        let behind = self.table.next_offset() < page.next;
+        self.read_at = if behind { now } else { now + RENEW_INTERVAL };
     }
 
     /// Takes the failure of a read.
     pub fn read_failed(&mut self, now: Moment) {
         self.reading = false;
-        self.read_at = now + RETRY;
+        self.read_at = now + RETRY_DELAY;
     }
 
     const fn busy(&self) -> bool {
@@ -198,10 +198,10 @@
     }
 
     // When there will be something to ask for, if nothing else happens.
-    fn ask_at(&self) -> Moment {
+    fn next_operation_at(&self) -> Moment {
         let wanted = match self.held {
             Some(_) if !self.candidate => Moment::ZERO,
-            Some(held) => held.until.saturating_sub(TERM) + RENEW,
+            Some(held) => held.until.saturating_sub(LEASE_DURATION) + RENEW_INTERVAL,
             None => self.free_at(),
         };
         wanted.max(self.append_at)
@@ -211,26 +211,26 @@
     // its record is older than the moment it was first read at. Asking earlier
     // would keep unsure readers unsure for ever, this one among them.
     fn free_at(&self) -> Moment {
-        if self.table.busy_until(self.pool) > self.table.time() {
-            self.quiet_since + TERM
+        if self.table.busy_until(self.pool) > self.table.log_time() {
+            self.quiet_since + LEASE_DURATION
         } else {
             Moment::ZERO
         }
     }
 
     // What to ask for, if anything, after the stream has been read to its end.
-    fn ask(&self, now: Moment) -> Option<Ask> {
-        if now < self.ask_at() {
+    fn next_operation(&self, now: Moment) -> Option<Operation> {
+        if now < self.next_operation_at() {
             return None;
         }
         match self.held {
-            Some(held) if !self.candidate => Some(Ask::Release(held.fence)),
-            Some(held) => Some(Ask::Renew(held.fence)),
-            None => self.candidate.then_some(Ask::Take),
+            Some(held) if !self.candidate => Some(Operation::Release(held.fence)),
+            Some(held) => Some(Operation::Renew(held.fence)),
+            None => self.candidate.then_some(Operation::Acquire),
         }
     }
 
-    fn append(&mut self, now: Moment, ask: Ask) -> Next {
+    fn append(&mut self, now: Moment, operation: Operation) -> Next {
         self.tickets += 1;
         let flight = Flight {
             ticket: self.tickets,
@@ -238,9 +238,9 @@
         };
         self.flight = Some(flight);
         // Older ones would give a lease that has ended already.
-        self.sent.retain(|sent| now < sent.at + TERM);
+        self.sent.retain(|sent| now < sent.at + LEASE_DURATION);
         self.sent.push(flight);
-        if let Ask::Release(_) = ask {
+        if let Operation::Release(_) = operation {
             // From here on the log may let a successor in.
             self.held = None;
         }
@@ -249,7 +249,7 @@
             holder: self.own,
             incarnation: self.incarnation,
             ticket: flight.ticket,
-            ask,
+            operation,
         };
         Next::Append {
             ticket: flight.ticket,
@@ -269,7 +269,7 @@
             // instance whose renewal was just under way, and the successor
             // would wait out the whole term.
             if self.candidate {
-                self.append_at = now + RETRY;
+                self.append_at = now + RETRY_DELAY;
             }
         }
     }
@@ -291,16 +291,16 @@
         let Some(current) = self.table.current(self.pool) else {
             return;
         };
-        let until = sent.at + TERM;
-        match record.ask {
-            Ask::Take if current.fence == offset => {
+        let until = sent.at + LEASE_DURATION;
+        match record.operation {
+            Operation::Acquire if current.fence == offset => {
                 self.held = Some(Held {
                     fence: offset,
                     since: now,
                     until,
                 });
             }
-            Ask::Renew(fence) if current.fence == fence => {
+            Operation::Renew(fence) if current.fence == fence => {
                 if let Some(held) = self.held.as_mut().filter(|held| held.fence == fence) {
                     held.until = held.until.max(until);
                 }
--- a/crates/state/src/lease/holder/tests.rs
+++ b/crates/state/src/lease/holder/tests.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 use super::*;
-use crate::log::Stored;
+use crate::log::StoredRecord;
 
 const fn at(millis: u64) -> Moment {
     Duration::from_millis(1_000_000 + millis)
 }
 
 fn page(bodies: &[(Offset, u64, Vec<u8>)]) -> Page {
-    let records = bodies.iter().map(|(offset, millis, body)| Stored {
+    let records = bodies.iter().map(|(offset, millis, body)| StoredRecord {
         offset: *offset,
         time: at(*millis),
         body: body.clone(),
@@ -27,13 +27,13 @@
     let mut holder = Holder::new(1, 7, 1);
     holder.set_candidate(true);
     assert!(matches!(holder.next(at(0)), Next::Read { .. }));
-    holder.page(at(0), &Page::default());
+    holder.apply_page(at(0), &Page::default());
     let Next::Append { ticket, body } = holder.next(at(0)) else {
         panic!("a candidate asks for the lease");
     };
-    holder.append_failed(at(500), ticket, Failure::Unknown);
+    holder.append_failed(at(500), ticket, AppendFailure::Unknown);
     assert!(matches!(holder.next(at(500)), Next::Read { .. }));
-    holder.page(at(landed), &page(&[(0, landed, body)]));
+    holder.apply_page(at(landed), &page(&[(0, landed, body)]));
     holder
 }
 
@@ -63,5 +63,5 @@
         panic!("the lease is released");
     };
     let record = Record::decode(&body).expect("it was encoded here");
-    assert_eq!(record.ask, Ask::Release(0));
+    assert_eq!(record.operation, Operation::Release(0));
 }
--- a/crates/state/src/lease/table.rs
+++ b/crates/state/src/lease/table.rs
@@ -11,7 +11,7 @@
 use godwitpost_types::clock::Moment;
 use godwitpost_types::id::{Incarnation, InstanceId, Offset};
 
-use super::{Ask, Pool, Record, TERM};
+use super::{LEASE_DURATION, Operation, Pool, Record};
 
 /// The running leases, as the log has them.
 #[derive(Clone, Debug, Default)]
@@ -22,12 +22,12 @@
     // Until when an unseen lease may run, for pools not named in `unsure`.
     blind_until: Moment,
     unsure: BTreeMap<Pool, Moment>,
-    current: BTreeMap<Pool, Current>,
+    current: BTreeMap<Pool, Lease>,
 }
 
 /// A lease that runs, or ran last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Current {
+pub struct Lease {
     /// Who holds it.
     pub holder: InstanceId,
     /// The holder's life.
@@ -35,7 +35,7 @@
     /// Its fencing number: the offset of the record that took it.
     pub fence: Offset,
     /// When it ends on the log's clock.
-    pub until: Moment,
+    pub expires_at: Moment,
 }
 
 impl Table {
@@ -47,19 +47,19 @@
 
     /// Returns the offset of the next record to apply.
     #[must_use]
-    pub const fn next(&self) -> Offset {
+    pub const fn next_offset(&self) -> Offset {
         self.next
     }
 
     /// Returns the log's time of the last record applied.
     #[must_use]
-    pub const fn time(&self) -> Moment {
+    pub const fn log_time(&self) -> Moment {
         self.time
     }
 
     /// Returns the lease of a pool that runs or ran last.
     #[must_use]
-    pub fn current(&self, pool: Pool) -> Option<&Current> {
+    pub fn current(&self, pool: Pool) -> Option<&Lease> {
         self.current.get(&pool)
     }
 
@@ -68,7 +68,7 @@
     #[must_use]
     pub fn busy_until(&self, pool: Pool) -> Moment {
         match self.current.get(&pool) {
-            Some(current) => current.until,
+            Some(current) => current.expires_at,
             None => self.unsure_until(pool),
         }
     }
@@ -103,36 +103,36 @@
     }
 
     fn apply_record(&mut self, offset: Offset, record: &Record) {
-        match record.ask {
-            Ask::Take => self.take(offset, record),
-            Ask::Renew(fence) => self.renew(fence, record),
-            Ask::Release(fence) => self.release(fence, record),
+        match record.operation {
+            Operation::Acquire => self.take(offset, record),
+            Operation::Renew(fence) => self.renew(fence, record),
+            Operation::Release(fence) => self.release(fence, record),
         }
     }
 
     // After a gap: what was known may have ended and been taken by others.
     fn lose_sight(&mut self) {
         self.gap = false;
-        self.blind_until = self.time + TERM;
+        self.blind_until = self.time + LEASE_DURATION;
         for (pool, current) in std::mem::take(&mut self.current) {
-            let until = current.until.max(self.blind_until);
+            let until = current.expires_at.max(self.blind_until);
             self.unsure.insert(pool, until);
         }
     }
 
     fn take(&mut self, offset: Offset, record: &Record) {
         if self.is_unsure(record.pool) {
-            self.unsure.insert(record.pool, self.time + TERM);
+            self.unsure.insert(record.pool, self.time + LEASE_DURATION);
             return;
         }
         if self.runs(record.pool) {
             return;
         }
-        let current = Current {
+        let current = Lease {
             holder: record.holder,
             incarnation: record.incarnation,
             fence: offset,
-            until: self.time + TERM,
+            expires_at: self.time + LEASE_DURATION,
         };
         self.unsure.remove(&record.pool);
         self.current.insert(record.pool, current);
@@ -140,36 +140,36 @@
 
     fn renew(&mut self, fence: Offset, record: &Record) {
         if self.is_unsure(record.pool) {
-            self.unsure.insert(record.pool, self.time + TERM);
+            self.unsure.insert(record.pool, self.time + LEASE_DURATION);
             return;
         }
-        let until = self.time + TERM;
+        let expires_at = self.time + LEASE_DURATION;
         if let Some(current) = self.named(fence, record) {
-            current.until = until;
+            current.expires_at = expires_at;
         }
     }
 
     fn release(&mut self, fence: Offset, record: &Record) {
         let time = self.time;
         if let Some(current) = self.named(fence, record) {
-            current.until = time;
+            current.expires_at = time;
         }
     }
 
     // The running lease that the record names.
-    fn named(&mut self, fence: Offset, record: &Record) -> Option<&mut Current> {
+    fn named(&mut self, fence: Offset, record: &Record) -> Option<&mut Lease> {
         let time = self.time;
         self.current.get_mut(&record.pool).filter(|current| {
             current.fence == fence
                 && current.holder == record.holder
                 && current.incarnation == record.incarnation
-                && time < current.until
+                && time < current.expires_at
         })
     }
 
     fn runs(&self, pool: Pool) -> bool {
         let current = self.current.get(&pool);
-        current.is_some_and(|current| self.time < current.until)
+        current.is_some_and(|current| self.time < current.expires_at)
     }
 
     fn is_unsure(&self, pool: Pool) -> bool {
--- a/crates/state/src/lease/table/tests.rs
+++ b/crates/state/src/lease/table/tests.rs
@@ -12,13 +12,13 @@
     Duration::from_secs(1000 + seconds)
 }
 
-const fn record(holder: InstanceId, ask: Ask) -> Record {
+const fn record(holder: InstanceId, operation: Operation) -> Record {
     Record {
         pool: POOL,
         holder,
         incarnation: 1,
         ticket: 1,
-        ask,
+        operation,
     }
 }
 
@@ -27,40 +27,40 @@
 #[test]
 fn a_lease_is_taken_only_after_the_last_one_ended() {
     let mut table = Table::new();
-    table.apply(0, at(0), Some(&record(1, Ask::Take)));
-    table.apply(1, at(14), Some(&record(2, Ask::Take)));
+    table.apply(0, at(0), Some(&record(1, Operation::Acquire)));
+    table.apply(1, at(14), Some(&record(2, Operation::Acquire)));
     assert_eq!(
         table.current(POOL).map(|c| (c.holder, c.fence)),
         Some((1, 0))
     );
-    table.apply(2, at(14), Some(&record(1, Ask::Renew(0))));
-    table.apply(3, at(28), Some(&record(2, Ask::Take)));
-    table.apply(4, at(29), Some(&record(2, Ask::Take)));
+    table.apply(2, at(14), Some(&record(1, Operation::Renew(0))));
+    table.apply(3, at(28), Some(&record(2, Operation::Acquire)));
+    table.apply(4, at(29), Some(&record(2, Operation::Acquire)));
     assert_eq!(
         table.current(POOL).map(|c| (c.holder, c.fence)),
         Some((2, 4))
     );
-    table.apply(5, at(30), Some(&record(1, Ask::Renew(0))));
+    table.apply(5, at(30), Some(&record(1, Operation::Renew(0))));
     assert_eq!(table.current(POOL).map(|c| c.holder), Some(2));
 }
 
 #[test]
 fn a_release_lets_the_next_one_in_at_once() {
     let mut table = Table::new();
-    table.apply(0, at(0), Some(&record(1, Ask::Take)));
-    table.apply(1, at(1), Some(&record(2, Ask::Release(0))));
-    table.apply(2, at(1), Some(&record(2, Ask::Take)));
+    table.apply(0, at(0), Some(&record(1, Operation::Acquire)));
+    table.apply(1, at(1), Some(&record(2, Operation::Release(0))));
+    table.apply(2, at(1), Some(&record(2, Operation::Acquire)));
     assert_eq!(table.current(POOL).map(|c| c.holder), Some(1));
-    table.apply(3, at(2), Some(&record(1, Ask::Release(0))));
-    table.apply(4, at(2), Some(&record(2, Ask::Take)));
+    table.apply(3, at(2), Some(&record(1, Operation::Release(0))));
+    table.apply(4, at(2), Some(&record(2, Operation::Acquire)));
     assert_eq!(table.current(POOL).map(|c| c.fence), Some(4));
 }
 
-fn any_ask() -> impl Strategy<Value = (u64, InstanceId, Ask)> {
+fn any_ask() -> impl Strategy<Value = (u64, InstanceId, Operation)> {
     let ask = prop_oneof![
-        Just(Ask::Take),
-        (0..40_u64).prop_map(Ask::Renew),
-        (0..40_u64).prop_map(Ask::Release),
+        Just(Operation::Acquire),
+        (0..40_u64).prop_map(Operation::Renew),
+        (0..40_u64).prop_map(Operation::Release),
     ];
     (0..12_u64, 1..4_u64, ask)
 }
@@ -81,8 +81,8 @@
             seconds += step;
             // Holders renew and release what they hold, mostly.
             let ask = match (ask, whole.current(POOL)) {
-                (Ask::Renew(n), Some(current)) if n % 4 > 0 => Ask::Renew(current.fence),
-                (Ask::Release(n), Some(current)) if n % 4 > 0 => Ask::Release(current.fence),
+                (Operation::Renew(n), Some(current)) if n % 4 > 0 => Operation::Renew(current.fence),
+                (Operation::Release(n), Some(current)) if n % 4 > 0 => Operation::Release(current.fence),
                 (ask, _) => ask,
             };
             whole.apply(offset, at(seconds), Some(&record(holder, ask)));
@@ -91,7 +91,7 @@
             }
             let runs = |table: &Table| {
                 let current = table.current(POOL).copied();
-                current.filter(|current| table.time() < current.until)
+                current.filter(|current| table.log_time() < current.expires_at)
             };
             if offset >= start
                 && let Some(named) = runs(&part)
--- a/crates/state/src/log.rs
+++ b/crates/state/src/log.rs
@@ -5,9 +5,9 @@
 
 /// What is known of an append that brought no offset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failure {
+pub enum AppendFailure {
     /// The log refused it or was never reached: it has no effect.
-    NotDone,
+    NotApplied,
     /// Its answer was lost: it may have taken effect, or still will.
     Unknown,
 }
@@ -20,12 +20,12 @@
     /// The offset that the next append would get.
     pub next: Offset,
     /// The records, in order and without gaps.
-    pub records: Vec<Stored>,
+    pub records: Vec<StoredRecord>,
 }
 
 /// A record of the stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Stored {
+pub struct StoredRecord {
     /// Its offset.
     pub offset: Offset,
     /// The log's time for it.
--- a/crates/state/src/order.rs
+++ b/crates/state/src/order.rs
@@ -9,4 +9,6 @@
 
 mod planner;
 
-pub use planner::{Action, Blocked, LOAD_TIMEOUT, Limits, Order, Plan, Planner, View, WAIT};
+pub use planner::{
+    Action, Blocked, FIRST_ORDER_DELAY, Limits, ORDER_TIMEOUT, Order, Plan, Planner, View,
+};
--- a/crates/state/src/order/planner.rs
+++ b/crates/state/src/order/planner.rs
@@ -12,14 +12,14 @@
 /// How long an order counts as under way before it is given again.
 ///
 /// A runner pulls weights for a minute or two at a store that limits rates.
-pub const LOAD_TIMEOUT: Duration = Duration::from_mins(5);
+pub const ORDER_TIMEOUT: Duration = Duration::from_mins(5);
 
 /// How long a new holder waits before its first order.
 ///
 /// An endpoint that ignores fencing numbers obeys whoever spoke last. A
 /// predecessor's last order left within its lease's margin, and this covers
 /// its way and the lag of the reports that show it.
-pub const WAIT: Duration = Duration::from_secs(10);
+pub const FIRST_ORDER_DELAY: Duration = Duration::from_secs(10);
 
 /// What an endpoint reports, as the planner sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
     /// Whether it may get work at all.
     pub standing: Standing,
     /// When it took the report.
-    pub taken: Moment,
+    pub reported_at: Moment,
     /// The models it has loaded, with the version of their weights.
     pub loaded: BTreeMap<ModelId, String>,
 }
@@ -68,9 +68,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum Blocked {
     /// too few endpoints are live for the replicas of model {0}; add endpoints or lower its replicas
-    Endpoints(ModelId),
+    TooFewEndpoints(ModelId),
     /// model {0} is served by one endpoint alone, which would stop serving while it loads; add an endpoint to the pool
-    Alone(ModelId),
+    SoleEndpoint(ModelId),
 }
 
 /// Limits of a pool's orders.
@@ -78,9 +78,9 @@
 pub struct Limits {
     /// Loads of the pool that may be under way at once; a holder's share of
     /// what the weight store serves.
-    pub loads_at_once: usize,
+    pub max_concurrent_loads: usize,
     /// The least time between two load orders of the pool.
-    pub load_every: Duration,
+    pub min_load_interval: Duration,
 }
 
 /// What to do now.
@@ -136,7 +136,7 @@
             self.under_way.clear();
         }
         let mut plan = Plan::default();
-        if since(now, held_since) < WAIT {
+        if since(now, held_since) < FIRST_ORDER_DELAY {
             return plan;
         }
         self.settle(now, views);
@@ -161,7 +161,7 @@
                 return false;
             };
             view.incarnation == under_way.incarnation
-                && since(now, under_way.since) < LOAD_TIMEOUT
+                && since(now, under_way.since) < ORDER_TIMEOUT
                 && !done(&under_way.action, view)
         });
     }
@@ -176,7 +176,7 @@
     ) {
         let wanted = homes(id, model, views);
         if wanted.len() < model.replicas as usize {
-            plan.blocked.push(Blocked::Endpoints(id));
+            plan.blocked.push(Blocked::TooFewEndpoints(id));
         }
         let missing: Vec<&View> = wanted
             .into_iter()
@@ -217,16 +217,16 @@
             .max_by_key(|view| hash::score(id, view.id));
         match spare {
             Some(view) => self.load(now, id, model, view, plan),
-            None => plan.blocked.push(Blocked::Alone(id)),
+            None => plan.blocked.push(Blocked::SoleEndpoint(id)),
         }
     }
 
     fn load(&mut self, now: Moment, id: ModelId, model: &Model, view: &View, plan: &mut Plan) {
         let loads = self.under_way.values().filter(|u| u.loads()).count();
-        if loads >= self.limits.loads_at_once || now < self.load_at {
+        if loads >= self.limits.max_concurrent_loads || now < self.load_at {
             return;
         }
-        self.load_at = now + self.limits.load_every;
+        self.load_at = now + self.limits.min_load_interval;
         let action = Action::Load {
             model: id,
             weights: model.weights.clone(),
--- a/crates/state/src/order/planner/tests.rs
+++ b/crates/state/src/order/planner/tests.rs
@@ -13,8 +13,8 @@
 }
 
 const LIMITS: Limits = Limits {
-    loads_at_once: 2,
-    load_every: Duration::from_secs(5),
+    max_concurrent_loads: 2,
+    min_load_interval: Duration::from_secs(5),
 };
 
 fn policy(weights: &str, replicas: u32) -> Policy {
@@ -38,7 +38,7 @@
             id,
             incarnation: 1,
             standing: Standing::Live,
-            taken: HELD,
+            reported_at: HELD,
             loaded: (!weights.is_empty())
                 .then(|| (MODEL, (*weights).to_owned()))
                 .into_iter()
@@ -86,7 +86,7 @@
     let mut planner = planner();
     let plan = planner.plan(at(10), 3, HELD, &policy("8", 1), &views(&["7"]));
     assert_eq!(plan.orders, []);
-    assert_eq!(plan.blocked, [Blocked::Alone(MODEL)]);
+    assert_eq!(plan.blocked, [Blocked::SoleEndpoint(MODEL)]);
 }
 
 /// A runner that ignores fencing numbers went back to old weights on a stale
@@ -169,7 +169,7 @@
                 }
             }
             let loading = fleet.iter().filter(|engine| engine.loading.is_some());
-            prop_assert!(loading.count() <= LIMITS.loads_at_once);
+            prop_assert!(loading.count() <= LIMITS.max_concurrent_loads);
             let serving = views.iter().filter(|view| view.loaded.contains_key(&MODEL));
             prop_assert!(serving.count() >= 1, "nobody serves at {}", second);
         }
