--- a/crates/direct/src/board.rs
+++ b/crates/direct/src/board.rs
@@ -1,14 +1,14 @@
-//! What an instance knows of the log, as it tells its peers.
+//! An instance's replica of the log, from which it answers its peers.
 //!
-//! Reading the log costs the platform a call, and a fleet of hundreds would
-//! make hundreds of calls a second to be told the same. So a few instances
-//! read it, and the others ask one of those. What is told carries its age: the
-//! time since the read was *sent* that it came from. An age only grows on the
-//! way, so whoever is told can count its own lease from it, and an instance
-//! that lost the log shows as such by itself.
+//! Reading the log costs the platform a call, and a fleet of hundreds would make hundreds
+//! of calls a second for the same content. So a few instances read the log, and the
+//! others poll one of those. Every update carries the age of its content: the time since
+//! the *request* for the underlying read was sent. An age only grows on the way, so a
+//! recipient can compute its own lease from it, and an instance that lost the log is
+//! recognized by the ages it reports.
 //!
-//! Entries are stamped when they change, so that who knows a stamp is told
-//! only what came after.
+//! Every change gets a revision number. A peer that names the last revision it received
+//! gets only what changed after it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -28,99 +28,102 @@
 use crate::source::Position;
 use crate::suspects::{Evidence, ForwardedEvidence};
 
-/// Names of endpoints that are gone which are remembered. Beyond that, who
-/// asks with an older stamp is told everything anew.
+/// How many removed endpoints are remembered. A peer whose revision is older than the
+/// oldest of them gets the full state.
 const MAX_REMOVED_ENDPOINTS: usize = 1_000;
 
-/// Sightings that are kept to be told. An endpoint that ends leaves up to a
-/// hundred, and whoever asks does so every second or two.
+/// How much evidence is retained for peers. An endpoint that ends leaves up to a hundred
+/// pieces, and each peer polls every second or two.
 const MAX_EVIDENCE: usize = 1_000;
 
-/// Holders of beginnings that are kept to be told: those of some seconds in a
-/// fleet of hundreds, of a minute in one of ten.
+/// How many holders of prompt prefixes are retained for peers: those of some seconds in a
+/// fleet of hundreds, of a minute in a fleet of ten.
 const MAX_HOLDINGS: usize = 2_000;
 
-/// What a peer asks.
+/// A peer's request for an update.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpdateRequest {
-    /// The life of the instance that gave the stamp; 0 for none.
+    /// The incarnation of the instance that assigned `revision`; 0 for none.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// The last stamp that is known.
+    /// The last revision that the peer received.
     #[serde(rename = "stamp")]
     pub revision: u64,
-    /// The digest of the endpoints that the peer knows, if it knows no stamp; or 0.
+    /// The digest of the endpoints that the peer knows, if it has no revision; otherwise
+    /// 0.
     pub digest: u64,
-    /// Where the peer can itself be asked.
+    /// The address at which the peer itself can be polled.
     #[serde(rename = "own")]
     pub peer_address: Option<SocketAddr>,
-    /// The version that is in force at the peer.
+    /// The policy version in force at the peer.
     pub version: Version,
-    /// Up to where in the operator's topic the peer knows the evacuated zones.
+    /// The position in the operator's topic up to which the peer knows the evacuated
+    /// zones.
     pub evacuation: Position,
-    /// How long to wait for something new.
+    /// How long to wait for a change before answering.
     pub wait: Duration,
-    /// Loads that endpoints told the peer since it last asked.
+    /// Loads that endpoints reported to the peer since its last request.
     pub loads: Vec<Load>,
-    /// Endpoints that the peer found to hold beginnings of prompts.
+    /// Endpoints that the peer found to hold prompt prefixes.
     #[serde(rename = "held")]
     pub holdings: Vec<PrefixHolder>,
 }
 
-/// What a peer is told.
+/// The answer to an [`UpdateRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// The life of the instance that tells.
+    /// The incarnation of the answering instance.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// The stamp to ask with next time.
+    /// The revision to send with the next request.
     #[serde(rename = "stamp")]
     pub revision: u64,
-    /// The log's era, as far as whoever tells knows; 0 if none was named.
+    /// The log's era as far as the answering instance knows it; 0 if none was named.
     pub era: Era,
-    /// How long ago it was heard that the log came back from a copy, if it was.
+    /// How long ago the answering instance learned that the log was restored from a copy,
+    /// if it was.
     pub restored: Option<Duration>,
-    /// How long the answer was kept back, waiting for something new.
+    /// How long the answer was delayed while waiting for a change.
     pub waited: Duration,
-    /// The version that was read last; 0 if there is none.
+    /// The policy version that was read last; 0 if there is none.
     pub version: Version,
-    /// The age of the configuration; `None` if it was never read. Before the operator
-    /// gives one, it is known that there is none.
+    /// The age of the policy; `None` if it was never read. A read that found no policy,
+    /// because the operator has not written one yet, counts.
     pub policy_age: Option<Duration>,
     /// The age of the list of endpoints; `None` if it was never read.
     pub endpoints_age: Option<Duration>,
-    /// The configuration, if it is newer than the peer's.
+    /// The policy, if it is newer than the peer's.
     pub policy: Option<Content>,
-    /// The evacuated zones, if that is newer than what the peer knows.
+    /// The evacuated zones, if they are newer than the peer's.
     pub evacuation: Option<Evacuation>,
-    /// Whether `set` is all there is, and what it doesn't name is gone.
+    /// Whether `set` is the full list, so that endpoints it doesn't name are gone.
     #[serde(rename = "whole")]
     pub full: bool,
-    /// Endpoints that changed.
+    /// Endpoints that were added or changed.
     pub set: Vec<Registration>,
-    /// Endpoints whose entries lapsed while the log was away from whoever
-    /// tells. They may have left: who knows them keeps them until more is
-    /// told, and who doesn't must not take them in.
+    /// Endpoints whose entries expired while the answering instance couldn't read the
+    /// log. They may have left: a recipient that knows them keeps them until a later
+    /// update, and one that doesn't must not add them.
     #[serde(rename = "lapsed")]
     pub expired: Vec<String>,
     /// Endpoints that are gone.
     #[serde(rename = "gone")]
     pub removed: Vec<String>,
-    /// What was seen of requests that crash endpoints.
+    /// Evidence on requests that crash endpoints.
     #[serde(rename = "sightings")]
     pub evidence: Vec<ForwardedEvidence>,
-    /// Loads of endpoints that are known from lately.
+    /// Recently reported loads of endpoints.
     pub loads: Vec<Load>,
-    /// Endpoints that were found to hold beginnings of prompts.
+    /// Endpoints that were found to hold prompt prefixes.
     #[serde(rename = "held")]
     pub holdings: Vec<PrefixHolder>,
-    /// Instances that may be asked when no seed can be.
+    /// Instances to poll when no seed can be reached.
     pub standbys: Vec<SocketAddr>,
-    /// How many instances there are, if whoever tells has counted them.
+    /// The number of instances, if the answering instance has counted them.
     pub instances: Option<u32>,
 }
 
-/// What an instance knows of the log.
+/// An instance's replica of the log.
 #[derive(Debug)]
 pub struct Replica {
     incarnation: u64,
@@ -132,36 +135,37 @@
     policy_confirmed_at: Option<Moment>,
     endpoints_confirmed_at: Option<Moment>,
     entries: BTreeMap<String, Entry>,
-    // The latest stamp of any entry.
+    // The latest revision of any endpoint entry.
     last_endpoint_change: u64,
-    // Stamps at or before this one are too old to tell only what changed.
+    // Requests with a revision before this one get the full state, since later removals
+    // may have been forgotten.
     pruned_revision: u64,
-    // By stamp.
+    // By revision.
     evidence: BTreeMap<u64, Evidence>,
-    // By stamp; with when it was seen.
+    // By revision; with the time at which the holder was found.
     holdings: BTreeMap<u64, (PrefixHolder, Moment)>,
 }
 
-/// How soon a question has to be answered.
+/// How soon a request has to be answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Urgency {
-    /// There is nothing to tell: the log was never read.
+    /// There is nothing to send: the log was never read.
     NotReady,
-    /// There is no news.
+    /// Nothing changed.
     None,
-    /// There is news, and more may follow at once.
+    /// Something changed, and more changes may follow at once.
     Incremental,
-    /// The peer lacks the configuration or the list of endpoints.
+    /// The peer lacks the policy or the list of endpoints.
     Full,
 }
 
-// What of a board a question is answered with.
+// The part of the replica that answers a request.
 #[derive(Clone, Copy, Debug)]
 struct Scope {
-    // What has a later stamp than this.
+    // Evidence and holders with a later revision than this are sent.
     after: u64,
-    // Likewise of endpoints.
-    entries_after: u64,
+    // Endpoints with a later revision than this are sent.
+    endpoints_after: u64,
     full: bool,
 }
 
@@ -169,9 +173,9 @@
 struct Entry {
     revision: u64,
     digest: u64,
-    // `None` once it is gone.
+    // `None` once the endpoint is gone.
     registration: Option<Registration>,
-    // When it will have warmed up.
+    // The time at which the endpoint has warmed up.
     warm_at: Moment,
     expired: bool,
 }
@@ -188,7 +192,7 @@
 }
 
 impl Replica {
-    /// Returns the empty board of an instance's life, which is not 0.
+    /// Returns an empty replica for an incarnation of this instance, which must not be 0.
     #[must_use]
     pub const fn new(incarnation: u64) -> Self {
         Self {
@@ -208,7 +212,7 @@
         }
     }
 
-    /// Notes what was seen of a request that may crash endpoints.
+    /// Adds evidence on a request that may crash endpoints.
     pub fn add_evidence(&mut self, evidence: Evidence) {
         self.revision += 1;
         self.evidence.insert(self.revision, evidence);
@@ -217,8 +221,8 @@
         }
     }
 
-    /// Notes that an endpoint was found at `then` to hold a beginning. That is
-    /// no news for which an answer is given early.
+    /// Records that an endpoint was found to hold a prompt prefix at `found_at`. This
+    /// alone causes no early answer.
     pub fn add_holding(&mut self, holding: PrefixHolder, found_at: Moment) {
         self.revision += 1;
         self.holdings.insert(self.revision, (holding, found_at));
@@ -227,55 +231,56 @@
         }
     }
 
-    /// Notes the configuration in force.
+    /// Sets the policy in force.
     pub fn set_policy(&mut self, content: Content) {
         self.policy = Some(content);
     }
 
-    /// Notes the log's era.
+    /// Sets the log's era.
     pub const fn set_era(&mut self, era: Era) {
         self.era = era;
     }
 
-    /// Notes when it was heard that the log came back from a copy.
+    /// Records when this instance learned that the log was restored from a copy.
     pub fn record_restore(&mut self, at: Moment) {
         self.restored_at = self.restored_at.max(Some(at));
     }
 
-    /// Notes the evacuated zones.
+    /// Sets the evacuated zones.
     pub fn set_evacuation(&mut self, evacuation: Evacuation) {
         self.evacuation = evacuation;
     }
 
-    /// Returns up to where in the operator's topic the evacuated zones are known.
+    /// Returns the position in the operator's topic up to which the evacuated zones are
+    /// known.
     #[must_use]
     pub const fn evacuation_position(&self) -> Position {
         self.evacuation.as_of
     }
 
-    /// Notes when the read was sent that confirmed the configuration.
+    /// Records that a read sent at `at` confirmed the policy.
     pub fn confirm_policy(&mut self, at: Moment) {
         self.policy_confirmed_at = self.policy_confirmed_at.max(Some(at));
     }
 
-    /// Notes when the read was sent that confirmed the list of endpoints.
+    /// Records that a read sent at `at` confirmed the list of endpoints.
     pub fn confirm_endpoints(&mut self, at: Moment) {
         self.endpoints_confirmed_at = self.endpoints_confirmed_at.max(Some(at));
     }
 
-    /// Returns when the list of endpoints was last confirmed.
+    /// Returns when the read was sent that last confirmed the list of endpoints.
     #[must_use]
     pub const fn endpoints_confirmed_at(&self) -> Option<Moment> {
         self.endpoints_confirmed_at
     }
 
-    /// Returns when the older of both topics was last confirmed.
+    /// Returns the earlier of the times at which both topics were last confirmed.
     #[must_use]
     pub fn confirmed_at(&self) -> Option<Moment> {
         self.policy_confirmed_at.min(self.endpoints_confirmed_at)
     }
 
-    /// Notes an endpoint that changed, and when it will have warmed up.
+    /// Adds or replaces an endpoint that has warmed up at `warm_at`.
     pub fn set_endpoint(&mut self, registration: Registration, warm_at: Moment) {
         self.revision += 1;
         self.last_endpoint_change = self.revision;
@@ -290,7 +295,7 @@
         self.entries.insert(name, entry);
     }
 
-    /// Notes an endpoint whose entry lapsed.
+    /// Marks an endpoint's entry as expired.
     pub fn mark_expired(&mut self, name: &str) {
         if let Some(entry) = self.entries.get_mut(name) {
             self.revision += 1;
@@ -300,7 +305,7 @@
         }
     }
 
-    /// Notes an endpoint that is gone.
+    /// Records that an endpoint is gone.
     pub fn remove_endpoint(&mut self, name: &str) {
         let Some(entry) = self.entries.get_mut(name) else {
             return;
@@ -312,7 +317,7 @@
         self.prune_removed();
     }
 
-    /// Returns the names of the endpoints that are there.
+    /// Returns the names of the current endpoints.
     #[must_use]
     pub fn endpoint_names(&self) -> Vec<String> {
         self.entries
@@ -322,8 +327,8 @@
             .collect()
     }
 
-    /// Returns a digest of the endpoints that are there. Two boards with the same
-    /// one say the same of them; 0 stands for none.
+    /// Returns a digest of the current endpoints, expired ones included; 0 if there are
+    /// none. Two replicas with equal digests have the same endpoints.
     #[must_use]
     pub fn endpoint_digest(&self) -> u64 {
         let present = self.entries.values();
@@ -333,42 +338,42 @@
             .fold(0, |all, one| all ^ one)
     }
 
-    /// Returns whether a question is worth an answer before its wait is over. Takes no
-    /// time in proportion to the endpoints, unless a stranger asks: whatever is news
-    /// wakes all that wait.
+    /// Returns how soon a request has to be answered. Every change wakes all waiting
+    /// requests, so this takes no time in proportion to the number of endpoints unless
+    /// the request names an unknown revision.
     #[must_use]
-    pub fn urgency(&self, question: &UpdateRequest) -> Urgency {
+    pub fn urgency(&self, request: &UpdateRequest) -> Urgency {
         if self.policy_confirmed_at.is_none() || self.endpoints_confirmed_at.is_none() {
             return Urgency::NotReady;
         }
-        let scope = self.scope(question);
-        let newer = |content: &Content| content.version > question.version;
+        let scope = self.scope(request);
+        let newer = |content: &Content| content.version > request.version;
         if scope.full || self.policy.as_ref().is_some_and(newer) {
             return Urgency::Full;
         }
         let has_new_evidence = self.evidence.last_key_value();
         let has_new_evidence =
             has_new_evidence.is_some_and(|(revision, _)| *revision > scope.after);
-        let evacuated = self.evacuation.as_of > question.evacuation;
-        if evacuated || has_new_evidence || self.last_endpoint_change > scope.entries_after {
+        let evacuated = self.evacuation.as_of > request.evacuation;
+        if evacuated || has_new_evidence || self.last_endpoint_change > scope.endpoints_after {
             return Urgency::Incremental;
         }
         Urgency::None
     }
 
-    /// Returns what a question asked `waited` ago is answered with.
+    /// Builds the answer to a request that was received `waited` ago.
     #[must_use]
-    pub fn build_update(&self, question: &UpdateRequest, waited: Duration, now: Moment) -> Update {
+    pub fn build_update(&self, request: &UpdateRequest, waited: Duration, now: Moment) -> Update {
         let Scope {
             after,
-            entries_after,
+            endpoints_after,
             full,
-        } = self.scope(question);
-        let changed = self.changed_after(entries_after);
+        } = self.scope(request);
+        let changed = self.changed_after(endpoints_after);
         let changed = || changed.iter().copied();
         let age = |read: Option<Moment>| read.map(|read| since(now, read));
-        let newer = |content: &&Content| content.version > question.version;
-        let evacuation = Some(&self.evacuation).filter(|own| own.as_of > question.evacuation);
+        let newer = |content: &&Content| content.version > request.version;
+        let evacuation = Some(&self.evacuation).filter(|known| known.as_of > request.evacuation);
         Update {
             incarnation: self.incarnation,
             revision: self.revision,
@@ -411,23 +416,27 @@
         }
     }
 
-    // What of this board a question is answered with.
-    fn scope(&self, question: &UpdateRequest) -> Scope {
-        let is_unknown =
-            question.incarnation != self.incarnation || question.revision < self.pruned_revision;
-        let after = if is_unknown { 0 } else { question.revision };
-        // Hundreds that read the log for themselves at a start all know what is
-        // told here when they first ask, and need no list of it.
+    // Returns which part of the replica answers a request.
+    fn scope(&self, request: &UpdateRequest) -> Scope {
+        let unknown_revision =
+            request.incarnation != self.incarnation || request.revision < self.pruned_revision;
+        let after = if unknown_revision {
+            0
+        } else {
+            request.revision
+        };
+        // Hundreds of instances that read the log themselves at startup already have
+        // these endpoints when they first poll, and need no list of them.
         let same_endpoints =
-            is_unknown && question.digest != 0 && question.digest == self.endpoint_digest();
+            unknown_revision && request.digest != 0 && request.digest == self.endpoint_digest();
         Scope {
             after,
-            entries_after: if same_endpoints { self.revision } else { after },
-            full: is_unknown && !same_endpoints,
+            endpoints_after: if same_endpoints { self.revision } else { after },
+            full: unknown_revision && !same_endpoints,
         }
     }
 
-    // The entries that changed after a stamp.
+    // Returns the entries that changed after a revision.
     fn changed_after(&self, revision: u64) -> Vec<(&String, &Entry)> {
         if self.last_endpoint_change <= revision {
             return Vec::new();
@@ -458,7 +467,7 @@
     let Registration {
         endpoint, slots, ..
     } = registration;
-    let own = [
+    let identity = [
         endpoint.incarnation,
         endpoint.service,
         endpoint.zone,
@@ -467,8 +476,8 @@
         u64::from(endpoint.standing == Standing::Live),
         u64::from(*slots),
     ];
-    let fields = own.into_iter().chain(endpoint.models.iter().copied());
-    fields.fold(endpoint.id, hash::score)
+    let parts = identity.into_iter().chain(endpoint.models.iter().copied());
+    parts.fold(endpoint.id, hash::score)
 }
 
 #[cfg(test)]
--- a/crates/direct/src/board/tests.rs
+++ b/crates/direct/src/board/tests.rs
@@ -36,11 +36,11 @@
     }
 }
 
-// Whether it says anything but ages.
+// Returns whether an update contains anything but ages.
 const fn is_news(update: &Update) -> bool {
     let entries = update.set.len() + update.expired.len() + update.removed.len();
-    let more = entries + update.evidence.len();
-    update.full || update.policy.is_some() || update.evacuation.is_some() || more > 0
+    let changes = entries + update.evidence.len();
+    update.full || update.policy.is_some() || update.evacuation.is_some() || changes > 0
 }
 
 const fn next_request(update: &Update) -> UpdateRequest {
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn who_asks_again_is_told_what_changed() {
+fn a_later_request_gets_only_changes() {
     let mut replica = Replica::new(7);
     replica.set_endpoint(registration("a"), Duration::ZERO);
     replica.set_endpoint(registration("b"), Duration::ZERO);
@@ -105,11 +105,10 @@
     assert_eq!(second.removed, ["a"]);
 }
 
-/// The instance that was asked has been replaced by a new one, which counts
-/// its stamps from the beginning. Told only what comes after an old stamp, a
-/// peer would keep endpoints that left in between.
+/// A restarted instance counts revisions from the start. If it answered an old revision
+/// with only later changes, a peer would keep endpoints that left in between.
 #[test]
-fn a_stamp_of_another_life_is_worth_nothing() {
+fn a_revision_of_another_incarnation_gets_the_full_state() {
     let mut replica = Replica::new(7);
     replica.set_endpoint(registration("a"), Duration::ZERO);
     let first = replica.build_update(&FIRST_REQUEST, at(0), at(0));
@@ -120,9 +119,9 @@
     assert_eq!(names(&update), ["b"]);
 }
 
-/// A peer was away while more endpoints left than are remembered.
+/// More endpoints left while a peer was away than are remembered.
 #[test]
-fn a_stamp_from_before_what_is_remembered_is_worth_nothing() {
+fn a_revision_older_than_remembered_removals_gets_the_full_state() {
     let mut replica = Replica::new(7);
     replica.set_endpoint(registration("stays"), Duration::ZERO);
     let first = replica.build_update(&FIRST_REQUEST, at(0), at(0));
@@ -135,10 +134,10 @@
     assert_eq!(names(&update), ["stays"]);
 }
 
-/// The one that is asked was itself turned away by the log four seconds ago.
-/// Told without its age, a revoked key would live on for another lease.
+/// Guards against a revoked key that stays in use for another lease because the answering
+/// instance, which lost the log four seconds ago, sends its state without an age.
 #[test]
-fn what_is_told_carries_its_age() {
+fn an_update_carries_the_age_of_its_content() {
     let mut replica = Replica::new(7);
     assert_eq!(
         replica
@@ -157,18 +156,20 @@
     assert_eq!(update.policy_age, Some(at(4_000)));
     assert_eq!(update.endpoints_age, Some(at(3_000)));
     assert_eq!(update.policy.map(|content| content.version), Some(3));
-    let knows = UpdateRequest {
+    let request = UpdateRequest {
         version: 3,
         ..FIRST_REQUEST
     };
-    assert_eq!(replica.build_update(&knows, at(0), at(5_000)).policy, None);
+    assert_eq!(
+        replica.build_update(&request, at(0), at(5_000)).policy,
+        None
+    );
 }
 
-/// The instance that was asked had been turned away by the log, and kept an
-/// entry that had lapsed for all it knew. It had really been removed, and a
-/// peer that had read so took the endpoint in again.
+/// Guards against an endpoint that a peer adds again after reading its removal, because
+/// the answering instance lost the log and still has the entry as expired.
 #[test]
-fn a_lapsed_entry_is_told_as_one() {
+fn an_expired_entry_is_sent_as_expired() {
     let mut replica = Replica::new(7);
     replica.set_endpoint(registration("a"), Duration::ZERO);
     replica.set_endpoint(registration("b"), Duration::ZERO);
@@ -179,20 +180,20 @@
         (names(&update).len(), &update.expired),
         (0, &vec!["a".to_owned()])
     );
-    let whole = replica.build_update(&FIRST_REQUEST, at(0), at(0));
+    let full = replica.build_update(&FIRST_REQUEST, at(0), at(0));
     assert_eq!(
-        (names(&whole), &whole.expired),
+        (names(&full), &full.expired),
         (vec!["b"], &vec!["a".to_owned()])
     );
     replica.set_endpoint(registration("a"), Duration::ZERO);
-    let back = replica.build_update(&next_request(&update), at(0), at(0));
-    assert_eq!((names(&back), back.expired.len()), (vec!["a"], 0));
+    let returned = replica.build_update(&next_request(&update), at(0), at(0));
+    assert_eq!((names(&returned), returned.expired.len()), (vec!["a"], 0));
 }
 
-/// Hundreds of instances ask, and each is told what it doesn't know yet of who
-/// holds what: the newest, a message's worth. No answer is given early for it.
+/// Each of hundreds of polling instances gets the holders that it doesn't have yet: the
+/// newest, as many as fit in one message. They cause no early answer.
 #[test]
-fn holders_are_told_once_and_wake_nobody() {
+fn holders_are_sent_once_and_cause_no_early_answer() {
     let mut replica = Replica::new(7);
     let holding = |span| PrefixHolder {
         span,
@@ -215,40 +216,40 @@
     assert!(update.holdings.is_empty());
 }
 
-/// Three hundred instances start together, read the log, and then ask. Told all
-/// endpoints again, they kept the three that are asked busy with what they knew.
+/// Three hundred instances that start together read the log and then poll. Sending all of
+/// them the full list of endpoints overloads the three that they poll.
 #[test]
-fn who_knows_the_same_is_told_no_list() {
+fn a_request_with_the_same_digest_gets_no_list() {
     let mut replica = Replica::new(7);
     let mut other = Replica::new(8);
     replica.set_endpoint(registration("a"), Duration::ZERO);
     replica.set_endpoint(registration("b"), Duration::ZERO);
-    // Another order, and one that has changed in between.
-    let leaving = Registration {
+    // Set in another order, and with one endpoint that changed in between.
+    let changed = Registration {
         slots: 9,
         ..registration("b")
     };
-    other.set_endpoint(leaving.clone(), Duration::ZERO);
+    other.set_endpoint(changed.clone(), Duration::ZERO);
     other.set_endpoint(registration("a"), Duration::ZERO);
     assert_ne!(replica.endpoint_digest(), other.endpoint_digest());
     other.set_endpoint(registration("b"), Duration::ZERO);
     assert_eq!(replica.endpoint_digest(), other.endpoint_digest());
-    let asks = UpdateRequest {
+    let request = UpdateRequest {
         digest: other.endpoint_digest(),
         ..FIRST_REQUEST
     };
-    let update = replica.build_update(&asks, Duration::ZERO, at(1));
+    let update = replica.build_update(&request, Duration::ZERO, at(1));
     assert!(!update.full && update.set.is_empty() && update.removed.is_empty());
-    // From then on changes are told.
+    // Later changes are sent.
     replica.remove_endpoint("a");
     let update = replica.build_update(&next_request(&update), Duration::ZERO, at(1));
     assert_eq!(update.removed, ["a"]);
 }
 
-/// An endpoint left while an instance that is asked was away from the log, and its
-/// entry counts as lapsed there. Another one knows it as live: that is not the same.
+/// An endpoint whose entry expired while this instance couldn't read the log must not
+/// count as the same as the live entry of another instance.
 #[test]
-fn a_lapsed_entry_shows_in_the_digest() {
+fn an_expired_entry_changes_the_digest() {
     let mut replica = Replica::new(7);
     replica.set_endpoint(registration("a"), Duration::ZERO);
     let before = replica.endpoint_digest();
@@ -260,32 +261,32 @@
     assert!(update.full);
 }
 
-/// Guards against an endpoint that warms up anew at each instance that is told of it
-/// later.
+/// Guards against an endpoint whose warm-up starts over at each instance that learns of
+/// it later.
 #[test]
-fn what_is_left_of_warming_up_is_told() {
+fn an_update_carries_the_remaining_warm_up_time() {
     let mut replica = Replica::new(7);
     replica.set_endpoint(registration("a"), at(5_000));
-    let left = |now| {
+    let remaining = |now| {
         replica
             .build_update(&FIRST_REQUEST, Duration::ZERO, at(now))
             .set[0]
             .warming
     };
-    assert_eq!(left(2_000), at(3_000));
-    assert_eq!(left(4_500), at(500));
-    assert_eq!(left(9_000), Duration::ZERO);
+    assert_eq!(remaining(2_000), at(3_000));
+    assert_eq!(remaining(4_500), at(500));
+    assert_eq!(remaining(9_000), Duration::ZERO);
 }
 
-/// Guards against peers that wait although there is news, and against answers by the
-/// hundred without any.
+/// Guards against peers that wait although something changed, and against hundreds of
+/// answers without a change.
 #[test]
-fn urgency_agrees_with_what_is_told() {
+fn urgency_agrees_with_the_update() {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     for _ in 0..300 {
         let mut replica = Replica::new(7);
-        let mut asked = FIRST_REQUEST;
-        assert_eq!(replica.urgency(&asked), Urgency::NotReady);
+        let mut request = FIRST_REQUEST;
+        assert_eq!(replica.urgency(&request), Urgency::NotReady);
         replica.confirm_policy(at(1));
         replica.confirm_endpoints(at(1));
         for _ in 0..30 {
@@ -309,29 +310,30 @@
                     observed_at: at(1),
                 }),
                 _ => {
-                    let update = replica.build_update(&asked, Duration::ZERO, at(2));
-                    asked = next_request(&update);
-                    asked.version = rng.random_range(0..5);
-                    asked.evacuation = position(&mut rng);
+                    let update = replica.build_update(&request, Duration::ZERO, at(2));
+                    request = next_request(&update);
+                    request.version = rng.random_range(0..5);
+                    request.evacuation = position(&mut rng);
                 }
             }
-            let update = replica.build_update(&asked, Duration::ZERO, at(2));
-            let wanted = match (update.full || update.policy.is_some(), is_news(&update)) {
+            let update = replica.build_update(&request, Duration::ZERO, at(2));
+            let expected = match (update.full || update.policy.is_some(), is_news(&update)) {
                 (true, _) => Urgency::Full,
                 (false, true) => Urgency::Incremental,
                 (false, false) => Urgency::None,
             };
-            assert_eq!(replica.urgency(&asked), wanted);
+            assert_eq!(replica.urgency(&request), expected);
         }
     }
 }
 
-/// Guards against prompts that are read anew since their new holders were told to
-/// nobody: a quarter of a thousand prompts moves at once when a zone is left.
+/// Guards against prompts that are processed again because their new holders were never
+/// sent to peers: when a zone is evacuated, a quarter of a thousand prompts moves at
+/// once.
 #[test]
-fn holders_of_all_prompts_that_moved_are_told() {
+fn holders_of_all_moved_prompts_are_sent() {
     let mut replica = Replica::new(7);
-    let asked = next_request(&replica.build_update(&FIRST_REQUEST, Duration::ZERO, at(0)));
+    let request = next_request(&replica.build_update(&FIRST_REQUEST, Duration::ZERO, at(0)));
     for span in 0..500 {
         let holding = PrefixHolder {
             span,
@@ -340,6 +342,6 @@
         };
         replica.add_holding(holding, at(1));
     }
-    let update = replica.build_update(&asked, Duration::ZERO, at(2));
+    let update = replica.build_update(&request, Duration::ZERO, at(2));
     assert_eq!(update.holdings.len(), 500);
 }
--- a/crates/direct/src/book.rs
+++ b/crates/direct/src/book.rs
@@ -1,15 +1,14 @@
-//! What this instance knows of each endpoint's load and health.
+//! Load and health of each endpoint as known to this instance.
 //!
-//! Its own requests are counted exactly. What other instances have there shows
-//! in the endpoint's answers, which name what it runs and holds: the reported
-//! figure less the own requests at that time is theirs. What is made of reports as
-//! they get old is in `belief`; what is not known of an endpoint is taken to be as
-//! with those of its service that are. With hundreds of instances most of it is not
-//! known, and taken for nothing it made every endpoint that had just answered look
-//! overloaded.
+//! The instance's own requests are counted exactly. The requests of other instances
+//! follow from the reports in the endpoint's responses, which name what it runs and has
+//! queued: the reported number less the own requests at that time. How reports age is the
+//! subject of `belief`. An endpoint without reports is assumed to be like those of its
+//! service that have some. With hundreds of instances most endpoints have none, and when
+//! those counted as idle, every endpoint that had just responded looked overloaded.
 //!
-//! What one instance hears it passes on through those that are asked for the
-//! log, so that an instance of many knows of endpoints that it rarely sends to.
+//! Instances forward the reports they receive through the instances that peers poll, so
+//! that each of many instances knows the load of endpoints that it rarely sends to.
 
 mod belief;
 
@@ -29,93 +28,93 @@
 use crate::dialect::Part;
 use crate::place::Affinity;
 
-/// Until when a report that an endpoint is full counts whole. An answer comes from
-/// each about every 0.7 s where six instances share 80 requests a second.
+/// Up to this age, the last report counts in full towards the observed load. Each
+/// endpoint responds about every 0.7 s where six instances share 80 requests a second.
 const FULL_WEIGHT_AGE: Duration = Duration::from_secs(1);
 
-/// When it no longer counts. Most requests last less than 3 s, so hardly any of
-/// those that it speaks of is left by then.
+/// From this age on, the last report doesn't count. Most requests last less than 3 s, so
+/// hardly any of those reported is left by then.
 const ZERO_WEIGHT_AGE: Duration = Duration::from_secs(4);
 
-/// The weight of a prompt in the usual length of its service's. An instance of
-/// many has some ten prompts a second, so the mean is over about ten seconds.
+/// The weight of a new prompt in the mean length of a service's prompts. One of many
+/// instances gets some ten prompts a second, so the mean covers about ten seconds.
 const LENGTH_SMOOTHING: f64 = 0.01;
 
-/// The time in which a request for a part counts as lately. In a fleet of eighty
-/// one for an ordinary part comes to the same instance every four minutes, and
-/// for one in sudden demand every half second.
+/// The time in which the weight of a past request for a prompt part falls to 1/e. In a
+/// fleet of eighty, an instance gets a request for an ordinary part every four minutes,
+/// and one for a part in sudden demand every half second.
 const DEMAND_DECAY: Duration = Duration::from_secs(1);
 
-/// Parts that are counted before those not asked for lately are forgotten.
+/// How many parts are counted before those without recent requests are dropped.
 const MAX_TRACKED_PARTS: usize = 2_000;
 
-/// The age up to which a load is passed on: what is older counts for little
-/// when it arrives.
+/// Loads older than this are not sent to peers, since they count for little when they
+/// arrive.
 const MAX_SHARED_LOAD_AGE: Duration = Duration::from_secs(2);
 
-/// Loads that are passed on at most, about 15 bytes each.
+/// How many loads one message to a peer holds at most, at about 15 bytes each.
 const MAX_SHARED_LOADS: usize = 512;
 
-/// What an endpoint said of its load in an answer.
+/// The load that an endpoint reported in a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// Requests that it runs.
+    /// Requests that the endpoint runs.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests that wait at the endpoint.
     pub waiting: u32,
-    /// Requests that it can run at once.
+    /// How many requests the endpoint runs at once.
     pub slots: u32,
 }
 
-/// What is known of all endpoints.
+/// Load and health of all endpoints.
 #[derive(Debug, Default)]
 pub struct EndpointStats {
     entries: BTreeMap<EndpointId, Entry>,
-    // The usual length of prompts' shared prefixes, by service.
+    // The mean length of prompts' shared prefixes, by service.
     mean_lengths: BTreeMap<ServiceId, f64>,
-    // Requests for parts of prompts.
+    // The demand for prompt parts.
     demands: BTreeMap<u64, Demand>,
-    // Loads that endpoints told this instance and that it has not passed on.
+    // Reported loads that were not sent to a peer yet.
     new_loads: BTreeMap<EndpointId, (u32, Moment)>,
 }
 
-/// An endpoint's load as one instance passes it on to another.
+/// An endpoint's load as sent between instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// The endpoint.
+    /// The endpoint's id.
     pub endpoint: EndpointId,
-    /// Requests that it runs or holds.
+    /// Requests that the endpoint runs or has queued.
     #[serde(rename = "all")]
     pub requests: u32,
-    /// How long ago it said so.
+    /// The age of the report.
     pub age: Duration,
 }
 
-// Requests for a part, each counting less with its age.
+// The number of requests for a part, decayed by their age.
 #[derive(Clone, Copy, Debug)]
 struct Demand {
     count: f64,
     at: Moment,
 }
 
-/// When an endpoint last gave a sign of life, on any connection to it.
+/// When an endpoint last sent data, on any connection to it.
 ///
-/// Shared with whoever reads its answers, so that each event of a stream counts
-/// without a lock.
+/// Shared with the readers of its responses, so that each event of a stream counts
+/// without taking a lock.
 #[derive(Clone, Debug, Default)]
 pub struct Liveness(Arc<AtomicU64>);
 
 impl Liveness {
-    /// Notes a sign of life.
+    /// Records that the endpoint sent data.
     pub fn record(&self, now: Moment) {
         let nanos = u64::try_from(now.as_nanos()).unwrap_or(u64::MAX);
         self.0.store(nanos, Ordering::Relaxed);
     }
 
-    /// Returns whether there was one after this moment.
+    /// Returns whether the endpoint sent data after this moment.
     #[must_use]
-    pub fn alive_since(&self, then: Moment) -> bool {
-        Duration::from_nanos(self.0.load(Ordering::Relaxed)) > then
+    pub fn alive_since(&self, time: Moment) -> bool {
+        Duration::from_nanos(self.0.load(Ordering::Relaxed)) > time
     }
 }
 
@@ -146,17 +145,17 @@
             liveness: Liveness::default(),
             reports: ReportHistory::default(),
             durations: DurationStats::default(),
-            // Each life of an endpoint has an id, and so an entry, of its own.
+            // Each incarnation of an endpoint has its own id, and so its own entry.
             health: Machine::new(0),
         }
     }
 
-    // The load that was seen here and may still be.
+    // Returns the own requests and what is left of the last report.
     fn observed_load(&self, now: Moment) -> f64 {
         f64::from(self.own) + f64::from(self.reports.last_others()) * self.report_weight(now)
     }
 
-    // What the last report still counts.
+    // Returns the weight of the last report at `now`.
     fn report_weight(&self, now: Moment) -> f64 {
         self.reports
             .last_at()
@@ -164,24 +163,26 @@
     }
 }
 
-/// What is believed of an endpoint.
+/// The estimated load of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadEstimate {
-    /// Requests that it runs or holds.
+    /// Requests that it runs or has queued.
     pub load: f64,
-    /// How far that may be off, as a standard deviation.
+    /// The standard deviation of the estimate.
     pub std_dev: f64,
     /// This instance's own requests among them.
     pub own_requests: u32,
-    /// The load that was last seen there, and not taken from others.
+    /// The load by the endpoint's own last report, without the mean of other endpoints.
     pub observed_load: f64,
-    /// How much of the load is known rather than taken from others, 0 to 1.
+    /// How much of the estimate is based on the endpoint's own reports rather than on
+    /// other endpoints, 0 to 1.
     pub known: f64,
-    /// What it may get by what was seen of it.
+    /// Which requests the endpoint may get, given its health.
     pub access: Access,
 }
 
-// One while fresh, falling to zero when stale.
+// Returns the weight of a report of this age: one at first, then falling linearly to
+// zero.
 fn report_weight(age: Duration) -> f64 {
     let left = ZERO_WEIGHT_AGE.saturating_sub(age);
     (left.as_secs_f64()
@@ -192,15 +193,15 @@
 }
 
 impl EndpointStats {
-    /// Counts a request that is sent to an endpoint; returns where its signs of
-    /// life are noted.
+    /// Counts a request that is sent to an endpoint; returns the record of when the
+    /// endpoint last sent data.
     pub fn start_request(&mut self, endpoint: EndpointId) -> Liveness {
         let entry = self.entry(endpoint);
         entry.own += 1;
         entry.liveness.clone()
     }
 
-    /// Counts a request that has ended there, this long after it was sent.
+    /// Counts a request as ended, `duration` after it was sent.
     pub fn end_request(&mut self, endpoint: EndpointId, duration: Duration) {
         if let Some(entry) = self.entries.get_mut(&endpoint) {
             entry.own = entry.own.saturating_sub(1);
@@ -208,7 +209,7 @@
         }
     }
 
-    /// Takes in what an endpoint says of its load.
+    /// Records a load report from an endpoint.
     pub fn record_report(&mut self, endpoint: EndpointId, report: Report, now: Moment) {
         let entry = self.entry(endpoint);
         let all = report.running.saturating_add(report.waiting);
@@ -216,7 +217,7 @@
         self.new_loads.insert(endpoint, (all, now));
     }
 
-    /// Takes in a load that another instance was told at `at`.
+    /// Records a load that an endpoint reported to another instance at `at`.
     pub fn record_peer_load(&mut self, endpoint: EndpointId, all: u32, at: Moment) {
         let entry = self.entry(endpoint);
         if entry.reports.last_at() < Some(at) {
@@ -224,8 +225,8 @@
         }
     }
 
-    /// Takes in that nothing was sent to an endpoint lately, by anybody: it has no more
-    /// than what is left of what was seen there, and not what is usual elsewhere.
+    /// Records that no instance sent requests to an endpoint recently. Its load is then
+    /// what is left of its last report, without the mean of other endpoints.
     pub fn set_idle(&mut self, endpoint: EndpointId, now: Moment) {
         let entry = self.entry(endpoint);
         let left = entry.reports.decayed_others(entry.report_weight(now));
@@ -233,7 +234,7 @@
         entry.reports.add(left, now);
     }
 
-    /// Returns the loads that were heard since this was last asked.
+    /// Takes the loads that were reported since the last call.
     pub fn take_new_loads(&mut self, now: Moment) -> Vec<Load> {
         std::mem::take(&mut self.new_loads)
             .into_iter()
@@ -245,12 +246,12 @@
             .collect()
     }
 
-    /// Returns the loads that are known from lately, no more than are worth their
-    /// bytes; `draw` decides which.
+    /// Returns the recently reported loads. If there are too many for one message,
+    /// `selection_seed` decides which are returned.
     ///
-    /// They are not chosen by their size: whoever is told the greatest alone takes the
-    /// rest to be like them, believes in too great a mean, and lets prompts stay at
-    /// homes that are above the true bound.
+    /// They are not selected by size. A peer that got only the greatest loads would
+    /// assume the same of the other endpoints, compute too great a mean, and leave
+    /// prompts at home endpoints that are above the true load bound.
     #[must_use]
     pub fn recent_loads(&self, now: Moment, selection_seed: u64) -> Vec<Load> {
         let mut loads: Vec<Load> = self
@@ -273,44 +274,45 @@
         loads
     }
 
-    /// Takes in what was seen of an endpoint's health.
+    /// Records an event of an endpoint's health.
     pub fn record_health_event(&mut self, endpoint: EndpointId, event: Event) {
         self.entry(endpoint).health.handle(event);
     }
 
-    /// Takes in that an endpoint can't be reached. One refused connection says
-    /// as much as two broken ones, so it closes the endpoint by itself.
+    /// Records that an endpoint can't be reached. One refused connection counts as much
+    /// as two broken ones, so it alone is enough to stop sending to the endpoint.
     pub fn record_unreachable(&mut self, endpoint: EndpointId, now: Moment) {
         self.record_health_event(endpoint, Event::Failure(now));
         self.record_health_event(endpoint, Event::Failure(now));
     }
 
-    /// Lets time pass for the endpoints that are held to be down.
+    /// Advances the time for endpoints that count as down.
     pub fn tick(&mut self, now: Moment) {
         for entry in self.entries.values_mut() {
             entry.health.handle(Event::Tick(now));
         }
     }
 
-    /// Returns what is believed of the endpoints of one service, in order.
+    /// Returns the load estimates of the endpoints of one service, in order.
     #[must_use]
     pub fn estimate(&self, endpoints: &[EndpointId], now: Moment) -> Vec<LoadEstimate> {
-        // Looked up once each: of thousands, most of the time goes into that.
+        // Each endpoint is looked up once, as lookups take most of the time with
+        // thousands of endpoints.
         let entries: Vec<Option<&Entry>> =
             endpoints.iter().map(|id| self.entries.get(id)).collect();
         let known = || entries.iter().copied().flatten();
-        let usual: WeightedMean = known().map(|entry| entry.reports.decayed_mean(now)).sum();
-        let mean = usual.mean();
+        let reported: WeightedMean = known().map(|entry| entry.reports.decayed_mean(now)).sum();
+        let mean = reported.mean();
         let duration_seconds = belief::mean_duration(known().map(|entry| entry.durations));
         let estimate_load =
             |entry: Option<&Entry>| estimate_load(entry, mean, duration_seconds, now);
         entries.into_iter().map(estimate_load).collect()
     }
 
-    /// Takes in a prompt's shared prefix; returns what its placement goes by.
+    /// Records a prompt's shared prefix and returns what its placement depends on.
     ///
-    /// `all` is what the service's endpoints run and hold for all instances, and
-    /// `own` the part of it that is this one's.
+    /// `all` is the number of requests that the service's endpoints run or have queued
+    /// for all instances, and `own` the number of these that are this instance's.
     pub fn record_prompt(
         &mut self,
         service: ServiceId,
@@ -319,15 +321,15 @@
         now: Moment,
     ) -> Affinity {
         let tokens = f64::from(part.tokens);
-        let usual = self.mean_lengths.entry(service).or_insert(tokens);
-        *usual += (tokens - *usual) * LENGTH_SMOOTHING;
-        let usual = *usual;
+        let mean_length = self.mean_lengths.entry(service).or_insert(tokens);
+        *mean_length += (tokens - *mean_length) * LENGTH_SMOOTHING;
+        let mean_length = *mean_length;
         let recent = self.count_demand(part.id, now);
         let others = (all / own.max(1.0)).max(1.0);
-        Affinity::new(part, usual, recent, others)
+        Affinity::new(part, mean_length, recent, others)
     }
 
-    // Counts a request for a part; returns how many came lately before it.
+    // Counts a request for a part; returns the decayed number of requests before it.
     fn count_demand(&mut self, part: u64, now: Moment) -> f64 {
         if self.demands.len() >= MAX_TRACKED_PARTS {
             self.demands
@@ -346,7 +348,7 @@
         before
     }
 
-    /// Returns what an endpoint may get by what was seen of it.
+    /// Returns which requests an endpoint may get, given its health.
     #[must_use]
     pub fn access(&self, endpoint: EndpointId) -> Access {
         let entry = self.entries.get(&endpoint);
@@ -359,7 +361,7 @@
         self.entries.get(&endpoint).map_or(0, |entry| entry.own)
     }
 
-    /// Forgets endpoints that are gone, once none of our requests is there.
+    /// Drops endpoints that are gone and have none of this instance's requests.
     pub fn retain_endpoints(&mut self, known: impl Fn(EndpointId) -> bool) {
         self.entries
             .retain(|endpoint, entry| entry.own > 0 || known(*endpoint));
@@ -371,8 +373,8 @@
     }
 }
 
-// What is believed of an endpoint; others have `mean` requests each on those
-// that are known, and requests last this many seconds.
+// Estimates the load of an endpoint, given the mean number of other instances' requests
+// at endpoints with reports and the mean duration of requests in seconds.
 fn estimate_load(
     entry: Option<&Entry>,
     mean: f64,
@@ -381,14 +383,14 @@
 ) -> LoadEstimate {
     let unknown = ReportHistory::default();
     let reports = entry.map_or(&unknown, |entry| &entry.reports);
-    let belief = reports.estimate(mean, duration_seconds, now);
+    let others = reports.estimate(mean, duration_seconds, now);
     let own = entry.map_or(0, |entry| entry.own);
     LoadEstimate {
-        load: f64::from(own) + belief.others,
-        std_dev: belief.std_dev,
+        load: f64::from(own) + others.others,
+        std_dev: others.std_dev,
         own_requests: own,
         observed_load: entry.map_or(0.0, |entry| entry.observed_load(now)),
-        known: belief.known,
+        known: others.known,
         access: entry.map_or(Access::Full, |entry| entry.health.access()),
     }
 }
--- a/crates/direct/src/book/belief.rs
+++ b/crates/direct/src/book/belief.rs
@@ -1,32 +1,32 @@
-//! What an endpoint's load is believed to be between its reports.
+//! Estimates an endpoint's load between its reports.
 //!
-//! A report tells of one moment. The requests that it counted end one by one and
-//! others come in their place: after about the time that a request lasts it says
-//! little, and what is usual at the endpoint says more. What is believed therefore
-//! comes with how far it may be off, so that hundreds of instances that were told
-//! the same don't all take it for the truth.
+//! A report describes one moment. The requests that it counted end one by one and others
+//! replace them: after about the duration of a request it says little, and the mean of
+//! the endpoint's reports says more. So an estimate comes with a standard deviation,
+//! which keeps hundreds of instances that got the same report from all relying on it as
+//! exact.
 
 use std::time::Duration;
 
 use godwitpost_types::clock::{Moment, since};
 
-/// The time in seconds over which reports count towards what is usual.
+/// The time in seconds over which the weight of a report in the mean falls to 1/e.
 const REPORT_DECAY_SECONDS: f64 = 5.0;
 
-/// Reports closer together than this, in seconds, count for less: they tell of the
-/// same requests.
-const MIN_REPORT_GAP_SECONDS: f64 = 1.0;
+/// Reports that are closer together than this, in seconds, have a lower weight, since
+/// they count the same requests.
+const REPORT_CORRELATION_SECONDS: f64 = 1.0;
 
-/// How many reports the mean of the service is worth, beside an endpoint's own.
+/// The weight of the service's mean, as a number of an endpoint's own reports.
 const PRIOR_WEIGHT: f64 = 1.0;
 
-/// How long a request lasts at an endpoint, in seconds, before one has ended.
+/// The duration of requests in seconds that is assumed before one has ended.
 const DEFAULT_DURATION_SECONDS: f64 = 1.0;
 
-/// The part that an ended request keeps when the next one ends.
+/// The factor by which earlier requests count less whenever a request ends.
 const DURATION_DECAY: f64 = 0.9;
 
-/// What other instances have at an endpoint, by its reports.
+/// The reported numbers of other instances' requests at an endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ReportHistory {
     others: u32,
@@ -35,26 +35,28 @@
     weight: f64,
 }
 
-/// What reports of some endpoints come to; sums over them give their mean.
+/// The weighted sum of reports; adding up those of several endpoints gives their common
+/// mean.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct WeightedMean {
     sum: f64,
     weight: f64,
 }
 
-/// What others are believed to have at an endpoint now.
+/// The estimated number of other instances' requests at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Estimate {
-    /// Requests of others.
+    /// Requests of other instances.
     pub(super) others: f64,
-    /// How far that may be off, as a standard deviation.
+    /// The standard deviation of `others`.
     pub(super) std_dev: f64,
-    /// How much of it was reported rather than taken from other endpoints, 0 to 1.
+    /// How much of `others` is based on the endpoint's own reports rather than on other
+    /// endpoints, 0 to 1.
     pub(super) known: f64,
 }
 
 impl WeightedMean {
-    /// Returns what is usual at any of the endpoints.
+    /// Returns the weighted mean, or 0 without reports.
     pub(super) fn mean(self) -> f64 {
         if self.weight > 0.0 {
             self.sum / self.weight
@@ -74,32 +76,32 @@
 }
 
 impl ReportHistory {
-    /// Takes in what others had at a moment.
+    /// Adds the number of other instances' requests at a moment.
     pub(super) fn add(&mut self, others: u32, at: Moment) {
-        let gap = self.at.map_or(f64::INFINITY, |then| seconds(at, then));
-        let keep = (-gap / REPORT_DECAY_SECONDS).exp();
-        let gain = 1.0 - (-gap / MIN_REPORT_GAP_SECONDS).exp();
-        self.sum = self.sum * keep + gain * f64::from(others);
-        self.weight = self.weight * keep + gain;
+        let gap = self.at.map_or(f64::INFINITY, |last| seconds(at, last));
+        let decay = (-gap / REPORT_DECAY_SECONDS).exp();
+        let gain = 1.0 - (-gap / REPORT_CORRELATION_SECONDS).exp();
+        self.sum = self.sum * decay + gain * f64::from(others);
+        self.weight = self.weight * decay + gain;
         self.others = others;
         self.at = self.at.max(Some(at));
     }
 
-    /// Returns what others had at the last report.
+    /// Returns the number of other instances' requests in the last report.
     pub(super) const fn last_others(&self) -> u32 {
         self.others
     }
 
-    /// Returns how many of them are left where the last report counts this much.
+    /// Returns how many of these are left if the last report has this weight.
     pub(super) fn decayed_others(&self, weight: f64) -> u32 {
-        // No greater than what was reported.
+        // At most the reported number.
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
             reason = "0 to others"
         )]
-        let left = (f64::from(self.others) * weight).round() as u32;
-        left
+        let remaining = (f64::from(self.others) * weight).round() as u32;
+        remaining
     }
 
     /// Returns when the last report was made.
@@ -107,39 +109,39 @@
         self.at
     }
 
-    /// Returns what the reports come to by now.
+    /// Returns the weighted sum of the reports as of `now`.
     pub(super) fn decayed_mean(&self, now: Moment) -> WeightedMean {
-        let keep = (-self.age(now) / REPORT_DECAY_SECONDS).exp();
+        let decay = (-self.age(now) / REPORT_DECAY_SECONDS).exp();
         WeightedMean {
-            sum: self.sum * keep,
-            weight: self.weight * keep,
+            sum: self.sum * decay,
+            weight: self.weight * decay,
         }
     }
 
-    /// Returns what is believed where requests last this many seconds and endpoints
-    /// have `mean` requests of others.
+    /// Returns the estimate at `now`, where requests last `mean_duration` seconds and the
+    /// endpoints have `mean` requests of other instances on average.
     pub(super) fn estimate(&self, mean: f64, mean_duration: f64, now: Moment) -> Estimate {
         let recent = self.decayed_mean(now);
         let known = recent.weight / (recent.weight + PRIOR_WEIGHT);
         let mean_others = (recent.sum + PRIOR_WEIGHT * mean) / (recent.weight + PRIOR_WEIGHT);
-        let left = (-self.age(now) / mean_duration).exp();
-        // Requests come and end independently: where as many are usual, their number
-        // varies by its square root, less what is left of those that were reported.
-        let variance = mean_others * (1.0 - left * left);
+        let remaining = (-self.age(now) / mean_duration).exp();
+        // Requests arrive and end independently, so the variance of their number equals
+        // its mean, less what is left of the reported requests.
+        let variance = mean_others * (1.0 - remaining * remaining);
         Estimate {
-            others: f64::from(self.others) * left + mean_others * (1.0 - left),
+            others: f64::from(self.others) * remaining + mean_others * (1.0 - remaining),
             std_dev: variance.max(0.0).sqrt(),
-            known: left + (1.0 - left) * known,
+            known: remaining + (1.0 - remaining) * known,
         }
     }
 
-    // Seconds since the last report; none is as old as can be.
+    // Returns the seconds since the last report; infinite if there is none.
     fn age(&self, now: Moment) -> f64 {
         self.at.map_or(f64::INFINITY, |at| seconds(now, at))
     }
 }
 
-/// How long requests lasted at an endpoint.
+/// Statistics of the duration of requests at an endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct DurationStats {
     time: f64,
@@ -147,7 +149,7 @@
 }
 
 impl DurationStats {
-    /// Takes in a request that has ended.
+    /// Adds a request that has ended.
     pub(super) fn add(&mut self, duration: Duration) {
         let duration = duration.as_secs_f64();
         self.time = self.time * DURATION_DECAY + duration;
@@ -155,8 +157,8 @@
     }
 }
 
-/// Returns how long the requests that run at a moment last on average, in seconds.
-/// Long ones are met running for longer, so they count by their length.
+/// Returns the mean duration in seconds of the requests that run at a moment. Long
+/// requests are more likely to be running, so they are weighted by their duration.
 pub(super) fn mean_duration(all: impl Iterator<Item = DurationStats>) -> f64 {
     let (time, squares) = all.fold((0.0, 0.0), |(time, squares), one| {
         (time + one.time, squares + one.squares)
@@ -168,8 +170,8 @@
     }
 }
 
-fn seconds(now: Moment, then: Moment) -> f64 {
-    since(now, then).as_secs_f64()
+fn seconds(now: Moment, last: Moment) -> f64 {
+    since(now, last).as_secs_f64()
 }
 
 #[cfg(test)]
--- a/crates/direct/src/book/tests.rs
+++ b/crates/direct/src/book/tests.rs
@@ -44,40 +44,40 @@
     assert_eq!(load(&stats, at(0)), 40);
 }
 
-/// An endpoint was busy when it last answered and gets nothing since. Taken
-/// for busy for ever, it would idle beside full ones.
+/// Guards against an endpoint that was busy when it last responded, has got nothing
+/// since, and idles beside full ones because it counts as busy for ever.
 #[test]
-fn an_old_report_gives_way_to_those_of_others() {
+fn an_old_report_yields_to_those_of_other_endpoints() {
     let mut stats = EndpointStats::default();
     stats.record_report(1, report(6), at(0));
-    let mut believed = |now| {
+    let mut estimated = |now| {
         stats.record_report(2, report(2), now);
         tenths(stats.estimate(&[1, 2], now)[0].load)
     };
-    assert!(believed(at(100)) >= 55);
-    let between = believed(at(2_500));
+    assert!(estimated(at(100)) >= 55);
+    let between = estimated(at(2_500));
     assert!((25..55).contains(&between), "{between}");
-    assert_eq!(believed(at(30_000)), 20);
+    assert_eq!(estimated(at(30_000)), 20);
 }
 
-/// Of ninety engines one has just answered, with four requests of others. With
-/// the rest taken to be idle it would look overloaded, and its prompts would
-/// be read again elsewhere.
+/// One of ninety engines has just responded, with four requests of other instances. If
+/// the rest counted as idle, it would look overloaded and its prompts would be processed
+/// again elsewhere.
 #[test]
-fn endpoints_that_nothing_is_known_of_are_as_the_others() {
+fn endpoints_without_reports_are_estimated_like_the_others() {
     let mut stats = EndpointStats::default();
     stats.record_report(1, report(4), at(0));
     stats.start_request(2);
     let loads: Vec<u32> = stats
         .estimate(&[1, 2, 3], at(0))
         .iter()
-        .map(|look| tenths(look.load))
+        .map(|estimate| tenths(estimate.load))
         .collect();
     assert_eq!(loads, [40, 50, 40]);
 }
 
 #[test]
-fn one_refused_connection_closes_an_endpoint_for_a_while() {
+fn one_refused_connection_closes_an_endpoint_temporarily() {
     let mut stats = EndpointStats::default();
     stats.record_unreachable(1, at(0));
     assert_eq!(stats.estimate(&[1], at(0))[0].access, Access::None);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn endpoints_that_are_gone_are_forgotten_with_their_last_request() {
+fn removed_endpoints_are_dropped_with_their_last_request() {
     let mut stats = EndpointStats::default();
     stats.start_request(1);
     stats.retain_endpoints(|_| false);
@@ -96,7 +96,7 @@
     assert!(stats.entries.is_empty());
 }
 
-/// Demand is what came in the last seconds, of each part by itself.
+/// Demand covers the requests of the last seconds, separately for each part.
 #[test]
 fn a_part_is_in_demand_for_some_seconds() {
     let mut stats = EndpointStats::default();
@@ -114,12 +114,12 @@
     assert!((later - alone).abs() < 0.01, "{later} {alone}");
 }
 
-/// An instance of eighty asks an endpoint every seven seconds. Homes that were
-/// busy by chance stayed unknown to it, and 104 of 2,974 requests met one above
-/// twice the mean. What another instance heard counts like its own reports, by
-/// its age.
+/// One of eighty instances sends a request to an endpoint every seven seconds. Home
+/// endpoints that happened to be busy stayed unknown to it, and 104 of 2,974 requests
+/// reached one with more than twice the mean load. Reports that another instance received
+/// count like its own, by their age.
 #[test]
-fn loads_that_others_heard_count_by_their_age() {
+fn loads_received_by_other_instances_count_by_their_age() {
     let mut one = EndpointStats::default();
     let mut other = EndpointStats::default();
     one.record_report(7, report(9), at(5_000));
@@ -129,20 +129,21 @@
     for load in &loads {
         other.record_peer_load(load.endpoint, load.requests, since(at(5_600), load.age));
     }
-    let look = other.estimate(&[7], at(5_700))[0];
-    assert!(look.load >= 9.0, "{look:?}");
-    assert_eq!(look, one.estimate(&[7], at(5_700))[0]);
-    // An older one changes nothing, and none is passed on for ever.
+    let estimate = other.estimate(&[7], at(5_700))[0];
+    assert!(estimate.load >= 9.0, "{estimate:?}");
+    assert_eq!(estimate, one.estimate(&[7], at(5_700))[0]);
+    // An older report changes nothing, and none is forwarded for ever.
     other.record_peer_load(7, 1, at(4_000));
     assert!(other.estimate(&[7], at(5_700))[0].load >= 9.0);
     assert_eq!(other.recent_loads(at(6_000), 1).len(), 1);
     assert!(other.recent_loads(at(9_000), 1).is_empty());
 }
 
-/// Of 252 endpoints half are busy by a few long prompts. Told only of these, an
-/// instance took the others to be like them, and placed by a mean twice the true one.
+/// Half of 252 endpoints are busy with a few long prompts. An instance that got only
+/// their loads assumed the same of the others, and placed requests by twice the true
+/// mean.
 #[test]
-fn loads_that_are_told_have_the_mean_of_all() {
+fn sent_loads_have_the_mean_of_all() {
     for endpoints in [252, 3_300] {
         let mut one = EndpointStats::default();
         for id in 1..=endpoints {
@@ -154,39 +155,42 @@
         let sum: u32 = sent.iter().map(|load| load.requests).sum();
         let mean = f64::from(sum) / f64::from(u32::try_from(sent.len()).unwrap_or(u32::MAX));
         assert!((3.2..3.8).contains(&mean), "{mean} of {endpoints}");
-        // Another time others are told, if it can't be all.
+        // Another seed selects other loads, if they don't all fit.
         let again = one.recent_loads(at(1_200), 8);
         assert_eq!(sent == again, endpoints == 252);
     }
 }
 
-/// A request of 60 ms says nothing of the load a second later, a stream of ten
+/// A request of 60 ms says nothing about the load a second later, while a stream of ten
 /// seconds says most of it.
 #[test]
-fn a_report_counts_for_as_long_as_requests_last() {
-    let believed = |lasted: u64| {
+fn a_report_counts_for_the_duration_of_requests() {
+    let estimated = |duration: u64| {
         let mut stats = EndpointStats::default();
         for id in 1..=9 {
             for second in 0..10 {
                 stats.record_report(id, report(2), at(1_000 * second));
             }
             stats.start_request(id);
-            stats.end_request(id, at(lasted));
+            stats.end_request(id, at(duration));
         }
         stats.record_report(1, report(8), at(10_000));
-        let look = stats.estimate(&[1, 2], at(11_000))[0];
-        (look.load, look.std_dev)
+        let estimate = stats.estimate(&[1, 2], at(11_000))[0];
+        (estimate.load, estimate.std_dev)
     };
-    let (short, off) = believed(60);
-    let (long, little) = believed(10_000);
+    let (short, large_std_dev) = estimated(60);
+    let (long, small_std_dev) = estimated(10_000);
     assert!(short < 5.0 && long > 7.0, "{short} {long}");
-    assert!(off > little * 1.5, "{off} {little}");
+    assert!(
+        large_std_dev > small_std_dev * 1.5,
+        "{large_std_dev} {small_std_dev}"
+    );
 }
 
-/// Guards against endpoints that got nothing for a while and are taken to be as busy
-/// as those that did.
+/// Guards against endpoints that got no requests for a while and count as just as busy as
+/// those that did.
 #[test]
-fn an_endpoint_that_got_nothing_has_what_is_left_of_what_was_seen() {
+fn an_idle_endpoint_has_what_is_left_of_its_last_report() {
     let load = |idle: Option<u64>| {
         let mut stats = EndpointStats::default();
         for id in 1..=4 {
@@ -194,13 +198,13 @@
                 stats.record_report(id, report(12), at(1_000 * second));
             }
         }
-        if let Some(then) = idle {
-            stats.set_idle(1, at(then));
+        if let Some(idle_at) = idle {
+            stats.set_idle(1, at(idle_at));
         }
         stats.estimate(&[1, 2, 3, 4], at(idle.unwrap_or(20_000)))[0].load
     };
     assert!(load(None) > 10.0);
-    // Long after the last report, and a moment after it.
+    // Long after the last report, and shortly after it.
     assert!(load(Some(20_000)) < 0.1);
     assert!(load(Some(9_500)) > 10.0);
 }
--- a/crates/direct/src/control.rs
+++ b/crates/direct/src/control.rs
@@ -333,7 +333,7 @@
             self.shared.crash_tracker().record(evidence);
         }
         self.shared.update_replica(false, |replica| {
-            replica.confirm_endpoints(news.endpoints_read)
+            replica.confirm_endpoints(news.endpoints_read);
         });
         self.start.record_peer_answer();
         self.shared.set_log_needs_reread(false);
--- a/crates/direct/src/evacuation.rs
+++ b/crates/direct/src/evacuation.rs
@@ -1,15 +1,15 @@
-//! Which availability zones the operator keeps empty.
+//! The availability zones that the operator evacuated.
 //!
-//! The operator's topic has one writer and, within an era, one order. So whoever has
-//! read it up to a position knows the evacuated zones as of that, and of two such
-//! states the one of the greater position is the newer, whichever way they came:
-//! from a list, from records, from a peer, or at a start. A state is replaced as
-//! a whole, so a zone that was given back can't come back as evacuated, nor the
-//! other way round.
+//! The operator's topic has a single writer and, within an era, a single order. So an
+//! instance that has read it up to a position knows the evacuated zones as of that
+//! position, and of two such states the one with the greater position is newer, whether
+//! it came from a list, from records, from a peer or at startup. A state is replaced as a
+//! whole, so a returned zone can't become evacuated again by an old state, nor the other
+//! way round.
 //!
-//! A log that came back from a copy may lack evacuations until the operator writes
-//! them again. So a zone that is evacuated by the state of an earlier era stays so for
-//! a while, also if that of the later one doesn't name it.
+//! A log that was restored from a copy may lack evacuations until the operator writes
+//! them again. So a zone that was evacuated in an earlier era stays evacuated for a grace
+//! period, even if the state of the later era doesn't name it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -20,30 +20,30 @@
 
 use crate::source::Position;
 
-/// How long the operator has to write again an evacuation that the log lost: twice what
-/// endpoints take for their entries.
+/// How long the operator has to write an evacuation again that the log lost: twice as
+/// long as endpoints take to write their entries.
 const REWRITE_GRACE: Duration = Duration::from_secs(4);
 
-/// The evacuated zones as of a position of the operator's topic.
+/// The evacuated zones as of a position in the operator's topic.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuation {
-    /// All records before this one are part of it.
+    /// All records before this position are included.
     pub as_of: Position,
-    /// The zones' names.
+    /// The names of the zones.
     pub zones: BTreeSet<String>,
 }
 
-/// How the evacuated zones changed.
+/// The difference between two states.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
-    /// Zones that are to be empty from now on.
+    /// Zones that are evacuated from now on.
     pub evacuated: Vec<String>,
     /// Zones that may be used again.
     pub returned: Vec<String>,
 }
 
 impl Changes {
-    /// Returns whether there is none.
+    /// Returns whether nothing changed.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.evacuated.is_empty() && self.returned.is_empty()
@@ -51,42 +51,45 @@
 }
 
 impl Evacuation {
-    /// What is known before anything was read.
+    /// The state before anything was read.
     pub const NONE: Self = Self {
         as_of: Position::START,
         zones: BTreeSet::new(),
     };
 
-    /// Takes in another state; returns what it changes, or `None` if it is not newer.
+    /// Replaces this state by a newer one and returns the difference, or `None` if the
+    /// other state is not newer.
     ///
-    /// A newer one that changes nothing has to be passed on all the same: others may
-    /// know what was in between.
+    /// A newer state has to be forwarded even if the difference is empty, since peers may
+    /// know a state in between.
     pub fn apply(&mut self, other: Self) -> Option<Changes> {
         if other.as_of <= self.as_of {
             return None;
         }
-        let without = |zones: &BTreeSet<String>, others: &BTreeSet<String>| {
+        let difference = |zones: &BTreeSet<String>, others: &BTreeSet<String>| {
             zones.difference(others).cloned().collect()
         };
         let changes = Changes {
-            evacuated: without(&other.zones, &self.zones),
-            returned: without(&self.zones, &other.zones),
+            evacuated: difference(&other.zones, &self.zones),
+            returned: difference(&self.zones, &other.zones),
         };
         *self = other;
         Some(changes)
     }
 }
 
-/// The zones that an instance keeps empty.
+/// The zones that an instance treats as evacuated.
 #[derive(Clone, Debug, Default)]
 pub struct EvacuatedZones {
     state: Evacuation,
-    // Those that only an earlier era names, and until when they are kept.
+    // Zones that only the state of an earlier era names, and until when they stay
+    // evacuated.
     retained: BTreeMap<String, Moment>,
 }
 
 impl EvacuatedZones {
-    /// Takes in another state; returns what it changes, or `None` if it is not newer.
+    /// Replaces the state by a newer one and returns the difference, or `None` if the
+    /// other state is not newer.
     pub fn apply(&mut self, other: Evacuation, now: Moment) -> Option<Changes> {
         let before = self.state.clone();
         let mut changes = self.state.apply(other)?;
@@ -105,16 +108,17 @@
         Some(changes)
     }
 
-    /// Gives back zones that were kept for long enough, by a read of the operator's topic
-    /// sent at `read`; returns them. With the log away nobody writes anything again.
+    /// Returns retained zones to use whose grace period is over at `read`, the time at
+    /// which the last read of the operator's topic was sent. While the log is
+    /// unavailable, the operator can't write an evacuation again.
     pub fn release_expired(&mut self, read: Moment) -> Vec<String> {
-        let over = self.retained.iter().filter(|(_, until)| read >= **until);
-        let over: Vec<String> = over.map(|(zone, _)| zone.clone()).collect();
+        let released = self.retained.iter().filter(|(_, until)| read >= **until);
+        let released: Vec<String> = released.map(|(zone, _)| zone.clone()).collect();
         self.retained.retain(|_, until| read < *until);
-        over
+        released
     }
 
-    /// Returns the state that was learned last.
+    /// Returns the newest state.
     #[must_use]
     pub const fn state(&self) -> &Evacuation {
         &self.state
@@ -125,27 +129,27 @@
         self.state.zones.iter().chain(self.retained.keys())
     }
 
-    /// Returns whether a zone is to be empty.
+    /// Returns whether a zone is evacuated.
     #[must_use]
     pub fn contains(&self, zone: ZoneId) -> bool {
         self.zones().any(|name| id::of(name) == zone)
     }
 }
 
-/// What one follower of the operator's topic has read: the version, and the evacuated
-/// zones by the key of the record that says so.
+/// What a follower of the operator's topic has read: the policy version, and the
+/// evacuated zones by the key of their record.
 #[derive(Debug, Default)]
 pub struct TopicState {
     epoch: u64,
     era: Era,
-    /// The version of the configuration; 0 if none was read.
+    /// The version of the policy; 0 if none was read.
     pub version: Version,
     zones: BTreeMap<String, String>,
 }
 
 impl TopicState {
-    /// Forgets what was read in another epoch or era: a follower that reads on after
-    /// it asked peers, or in another era, lists the topic anew.
+    /// Discards what was read in another epoch or era. A follower that reads on after
+    /// polling peers, or in another era, starts with a new list of the topic.
     pub fn reset_if_new(&mut self, epoch: u64, era: Era) {
         if (epoch, era) != (self.epoch, self.era) {
             *self = Self {
@@ -156,17 +160,17 @@
         }
     }
 
-    /// Takes in that the record with this key evacuates a zone.
+    /// Records that the record with this key evacuates a zone.
     pub fn set(&mut self, key: String, zone: String) {
         self.zones.insert(key, zone);
     }
 
-    /// Takes in that the record with this key is gone.
+    /// Records that the record with this key was removed.
     pub fn remove(&mut self, key: &str) {
         self.zones.remove(key);
     }
 
-    /// Returns the state with all records before `as_of` read.
+    /// Returns the state as of a position, all records before which have been read.
     #[must_use]
     pub fn evacuation_at(&self, as_of: Position) -> Evacuation {
         Evacuation {
--- a/crates/direct/src/evacuation/tests.rs
+++ b/crates/direct/src/evacuation/tests.rs
@@ -10,7 +10,7 @@
 use crate::feed::{Change, Feed, Query};
 use crate::source::{Page, Position, Record, Reply, Tail, Value};
 
-/// Schedules that each promise is played over.
+/// The number of schedules for each property.
 const SEEDS: u64 = 10_000;
 
 const ZONES: [&str; 3] = ["otaru", "kushiro", "sapporo"];
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn changes_name_what_came_and_went() {
+fn changes_name_added_and_removed_zones() {
     let mut own = Evacuation::NONE;
     let changes = own.apply(state(3, &["otaru", "kushiro"])).expect("newer");
     assert_eq!(changes.evacuated, ["kushiro", "otaru"]);
@@ -39,7 +39,7 @@
     assert_eq!(own.as_of, at(9));
 }
 
-/// Guards against a late word that undoes a newer one.
+/// Guards against a delayed state that undoes a newer one.
 #[test]
 fn an_older_state_changes_nothing() {
     let mut own = state(7, &["otaru"]);
@@ -48,24 +48,24 @@
     assert_eq!(own, state(7, &["otaru"]));
 }
 
-/// Guards against zones that stay evacuated since their record was removed while
-/// a peer was asked.
+/// Guards against zones that stay evacuated because their record was removed while a peer
+/// was polled.
 #[test]
-fn a_reading_begins_anew_with_each_epoch() {
-    let mut reading = TopicState::default();
-    reading.set("k".to_owned(), "otaru".to_owned());
-    reading.reset_if_new(1, 1);
-    assert_eq!(reading.evacuation_at(at(4)), state(4, &[]));
-    reading.set("k".to_owned(), "otaru".to_owned());
-    reading.reset_if_new(1, 1);
-    assert_eq!(reading.evacuation_at(at(5)), state(5, &["otaru"]));
+fn the_topic_state_is_reset_in_each_epoch() {
+    let mut topic = TopicState::default();
+    topic.set("k".to_owned(), "otaru".to_owned());
+    topic.reset_if_new(1, 1);
+    assert_eq!(topic.evacuation_at(at(4)), state(4, &[]));
+    topic.set("k".to_owned(), "otaru".to_owned());
+    topic.reset_if_new(1, 1);
+    assert_eq!(topic.evacuation_at(at(5)), state(5, &["otaru"]));
 }
 
 const fn first_era<A>(body: A) -> Reply<A> {
     Reply { era: Some(1), body }
 }
 
-// The operator's topic: each record, and the first one that is still there.
+// The operator's topic: all records, and the offset of the first one that is retained.
 #[derive(Default)]
 struct Log {
     records: Vec<Record<String>>,
@@ -77,7 +77,7 @@
         self.records.len() as u64
     }
 
-    // The zones as of an offset.
+    // Returns the evacuated zones as of an offset.
     fn zones(&self, as_of: u64) -> BTreeSet<String> {
         self.newest(as_of)
             .values()
@@ -98,8 +98,8 @@
 
     fn write(&mut self, rng: &mut ChaCha8Rng) {
         let zone = ZONES[rng.random_range(0..ZONES.len())];
-        let there = self.zones(self.end()).contains(zone);
-        let value = if there {
+        let is_evacuated = self.zones(self.end()).contains(zone);
+        let value = if is_evacuated {
             Value::Removed
         } else {
             Value::Set(zone.to_owned())
@@ -122,7 +122,7 @@
         }
     }
 
-    // At most two records, so that readers are behind.
+    // Returns at most two records, so that readers lag behind.
     fn read(&self, from: u64) -> Tail<String> {
         if from < self.first_retained {
             return Tail::Expired;
@@ -137,30 +137,30 @@
     }
 }
 
-// An instance, and how it takes in what it hears.
+// An instance with a function that applies the states it receives.
 struct Instance {
     replica: Replica,
     known: Evacuation,
     feed: Feed,
-    reading: TopicState,
+    topic: TopicState,
     epoch: u64,
-    learn: fn(&mut Evacuation, Evacuation),
+    apply_state: fn(&mut Evacuation, Evacuation),
 }
 
 impl Instance {
-    fn start(life: u64, learn: fn(&mut Evacuation, Evacuation)) -> Self {
+    fn start(incarnation: u64, apply_state: fn(&mut Evacuation, Evacuation)) -> Self {
         Self {
-            replica: Replica::new(life),
+            replica: Replica::new(incarnation),
             known: Evacuation::NONE,
             feed: Feed::default(),
-            reading: TopicState::default(),
+            topic: TopicState::default(),
             epoch: 0,
-            learn,
+            apply_state,
         }
     }
 
     fn apply(&mut self, other: Evacuation) {
-        (self.learn)(&mut self.known, other);
+        (self.apply_state)(&mut self.known, other);
         self.replica.set_evacuation(self.known.clone());
     }
 
@@ -169,20 +169,20 @@
             Query::List(_) => self.feed.apply_page(first_era(log.list())),
             Query::Read(from) => self.feed.apply_tail(first_era(log.read(from))),
         };
-        self.reading.reset_if_new(self.epoch, 1);
+        self.topic.reset_if_new(self.epoch, 1);
         for change in changes {
             match change {
-                Change::Set(key, zone) => self.reading.set(key, zone),
-                Change::Removed(key) => self.reading.remove(&key),
+                Change::Set(key, zone) => self.topic.set(key, zone),
+                Change::Removed(key) => self.topic.remove(&key),
                 Change::Unreadable(..) => {}
             }
         }
         if let Some(position) = self.feed.position() {
-            self.apply(self.reading.evacuation_at(at(position)));
+            self.apply(self.topic.evacuation_at(at(position)));
         }
     }
 
-    // Goes back to the log after it asked peers.
+    // Reads the log again after polling peers.
     fn return_to_log(&mut self) {
         self.feed = Feed::default();
         self.epoch += 1;
@@ -203,14 +203,16 @@
     }
 }
 
-// Plays a schedule: the operator writes, readers are behind, restart or go back to
-// the log, answers of peers come late, twice or never. Returns whether every
-// instance knew the truth as of its offset, never an older one, and all knew the
-// newest once each had read to the end.
-fn run_schedule(seed: u64, learn: fn(&mut Evacuation, Evacuation)) -> bool {
+// Runs a random schedule: the operator writes, readers lag, restart or return to the log,
+// and answers of peers arrive late, twice or never. Returns whether every instance always
+// knew the zones as of its offset, never went back to an older offset, and knew the
+// newest state after reading to the end.
+fn run_schedule(seed: u64, apply_state: fn(&mut Evacuation, Evacuation)) -> bool {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut log = Log::default();
-    let mut instances: Vec<_> = (1..=4).map(|life| Instance::start(life, learn)).collect();
+    let mut instances: Vec<_> = (1..=4)
+        .map(|incarnation| Instance::start(incarnation, apply_state))
+        .collect();
     let mut in_transit: Vec<(usize, Evacuation)> = Vec::new();
     for _ in 0..80 {
         let at = rng.random_range(0..instances.len());
@@ -238,7 +240,7 @@
             }
             10 => instances[at].return_to_log(),
             11 => {
-                instances[at] = Instance::start(rng.random(), learn);
+                instances[at] = Instance::start(rng.random(), apply_state);
                 in_transit.retain(|(to, _)| *to != at);
                 restarted = true;
             }
@@ -251,7 +253,7 @@
         }
     }
     instances.iter_mut().all(|one| {
-        // Lost history, a list, and two records at a time.
+        // Enough for an expired offset, a list, and two records at a time.
         for _ in 0..60 {
             one.read_log(&log);
         }
@@ -263,8 +265,8 @@
     own.apply(other);
 }
 
-/// Guards against a zone that is used while evacuated, or stays empty for good,
-/// after news came late, twice, by several ways or not at all.
+/// Guards against an evacuated zone that is used, or a returned one that stays unused for
+/// good, after states arrived late, twice, from several sources or not at all.
 #[test]
 fn every_instance_knows_the_zones_as_of_its_offset() {
     for seed in 0..SEEDS {
@@ -272,11 +274,14 @@
     }
 }
 
-/// Shows that the schedules break an instance that takes whatever comes last.
+/// Shows that the schedules break an instance that applies every state it receives, in
+/// order of arrival.
 #[test]
-fn schedules_break_an_instance_that_takes_older_states() {
-    let last = |own: &mut Evacuation, other: Evacuation| *own = other;
-    let broken = (0..100).filter(|seed| !run_schedule(*seed, last)).count();
+fn schedules_break_an_instance_that_applies_older_states() {
+    let apply_any = |own: &mut Evacuation, other: Evacuation| *own = other;
+    let broken = (0..100)
+        .filter(|seed| !run_schedule(*seed, apply_any))
+        .count();
     assert!(broken > 0);
 }
 
@@ -288,13 +293,13 @@
 }
 
 #[test]
-fn a_zone_is_held_by_its_name() {
+fn a_zone_is_found_by_its_name() {
     let mut own = EvacuatedZones::default();
     own.apply(state(3, &["otaru", "kushiro"]), Duration::ZERO);
     assert!(own.contains(id::of("otaru")) && !own.contains(id::of("sapporo")));
 }
 
-/// Guards against states that are taken for older by the offsets of another era.
+/// Guards against comparing states by their offsets although they are of different eras.
 #[test]
 fn a_state_of_a_later_era_is_newer_whatever_its_offset() {
     let mut own = EvacuatedZones::default();
@@ -305,10 +310,10 @@
     assert!(own.contains(id::of("otaru")));
 }
 
-/// Guards against a zone that is used since the log lost its evacuation, and against
-/// one that stays empty since it is not evacuated any more.
+/// Guards against a zone that is used because the log lost its evacuation, and against
+/// one that stays unused although it is no longer evacuated.
 #[test]
-fn a_zone_that_a_later_era_lacks_is_kept_for_a_while() {
+fn a_zone_that_a_later_era_lacks_is_retained_for_the_grace_period() {
     let mut own = EvacuatedZones::default();
     own.apply(in_era(1, 9, &["otaru", "kushiro"]), Duration::ZERO);
     let changes = own.apply(in_era(2, 3, &[]), Duration::ZERO);
@@ -319,15 +324,15 @@
     assert!(own.contains(id::of("otaru")) && own.contains(id::of("kushiro")));
     assert_eq!(own.release_expired(REWRITE_GRACE), ["kushiro"]);
     assert!(own.contains(id::of("otaru")) && !own.contains(id::of("kushiro")));
-    // What the operator takes back in the same era is given back at once.
+    // A zone that the operator returns in the same era is usable at once.
     let changes = own.apply(in_era(2, 6, &[]), REWRITE_GRACE).expect("newer");
     assert_eq!(changes.returned, ["otaru"]);
 }
 
-/// Guards against a zone that is used since the log went away again before the operator
-/// could write.
+/// Guards against a zone that is used because the log became unavailable again before the
+/// operator could write.
 #[test]
-fn a_zone_is_kept_for_as_long_anew_by_each_era() {
+fn each_era_restarts_the_grace_period() {
     let mut own = EvacuatedZones::default();
     own.apply(in_era(1, 9, &["otaru"]), Duration::ZERO);
     own.apply(in_era(2, 3, &[]), Duration::ZERO);
--- a/crates/direct/src/metrics.rs
+++ b/crates/direct/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The instruments of one instance: those of each request, and its own state.
+//! The metrics of one instance: those of its requests, and those of its own state.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -10,26 +10,25 @@
 
 use crate::refusal::Reason;
 
-/// What an instance has to do with the endpoints of one service.
+/// An instance's use of the endpoints of one service.
 #[derive(Clone, Debug)]
 pub(crate) struct ServiceUsage {
-    /// The service's name.
     pub(crate) service: String,
-    /// This instance's requests there.
+    /// This instance's in-flight requests at the service.
     pub(crate) in_flight: f64,
-    /// What all of them run or hold, as believed.
+    /// The estimated number of requests that all endpoints of the service run or have
+    /// queued.
     pub(crate) load: f64,
-    /// This instance's connections that wait for a request.
+    /// This instance's idle connections.
     pub(crate) idle: f64,
-    /// Repeats that are left of the budget.
+    /// Retries that are left in the budget.
     pub(crate) repeats_left: f64,
 }
 
-/// The services as they were when somebody last asked for metrics. A gauge
-/// that is set keeps its labels for ever; these go with their services.
+/// The services as of the last read of the metrics. A gauge that is set once keeps its
+/// labels for ever; the entries here go away with their services.
 type SharedUsage = Arc<Mutex<Vec<ServiceUsage>>>;
 
-/// The instruments.
 #[derive(Debug)]
 pub(crate) struct Metrics {
     requests: RequestMetrics,
@@ -125,7 +124,7 @@
         }
     }
 
-    /// Returns the instruments of each request.
+    /// Returns the metrics of requests.
     pub(crate) const fn requests(&self) -> &RequestMetrics {
         &self.requests
     }
@@ -204,7 +203,7 @@
         self.dropped.record(lines, &[]);
     }
 
-    /// Replaces what the services' gauges show.
+    /// Replaces the values of the services' gauges.
     pub(crate) fn set_service_usage(&self, usages: Vec<ServiceUsage>) {
         *self.usages.lock().unwrap_or_else(PoisonError::into_inner) = usages;
     }
@@ -214,16 +213,16 @@
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
-// The gauges of each service.
+// Creates the gauges of the services.
 fn service_gauges(meter: &Meter) -> SharedUsage {
     let usages = SharedUsage::default();
     let gauge = |name: &'static str, description: &'static str, value: fn(&ServiceUsage) -> f64| {
-        let shown = Arc::clone(&usages);
+        let observed = Arc::clone(&usages);
         meter
             .f64_observable_gauge(name)
             .with_description(description)
             .with_callback(move |to| {
-                for usage in &*shown.lock().unwrap_or_else(PoisonError::into_inner) {
+                for usage in &*observed.lock().unwrap_or_else(PoisonError::into_inner) {
                     let service = KeyValue::new("service", usage.service.clone());
                     to.observe(value(usage), &[service]);
                 }
--- a/crates/direct/src/roster.rs
+++ b/crates/direct/src/roster.rs
@@ -1,24 +1,25 @@
-//! The endpoints that may get requests, from what the log says of them.
+//! The endpoints that may get requests, built from the entries in the log.
 //!
-//! An entry that is removed is gone at once, with one exception. While the log
-//! is away, endpoints can't renew their entries, and those lapse although
-//! their endpoints live. On the log's return all of them look removed; an
-//! instance that believed it would refuse every request until they are back.
-//! So entries that are found removed just after an absence long enough for
-//! them to lapse are kept for a grace period, and dropped if they are still
-//! missing then. An entry that said it was leaving is never kept.
+//! A removed entry is dropped at once, with one exception. While the log is unavailable,
+//! endpoints can't renew their entries, and those expire although the endpoints are
+//! alive. When the log returns, all of them appear removed, and an instance that dropped
+//! them would refuse every request until they are written again. So entries that are
+//! removed shortly after an outage that was long enough for them to expire are retained
+//! for a grace period, and dropped if they are still missing after it. An entry that said
+//! that its endpoint is leaving is never retained.
 //!
-//! A log that comes back from a copy has lost the newest entries and tells older ones
-//! until they are written again. Those that it lacks count as lapsed, and what an
-//! endpoint said of itself orders the others: a later life replaces an earlier one,
-//! and who is leaving doesn't come back in the same life. An entry that only a list
-//! holds may be of an endpoint that is gone. It waits until that writes again, or until
-//! what the copy holds of silent endpoints has lapsed; and so does one that a peer tells
-//! of an endpoint which was seen to be gone here.
+//! A log that was restored from a copy has lost the newest entries and serves older ones
+//! until they are written again. Entries that it lacks count as expired. Entries of one
+//! endpoint are ordered by their content: a later incarnation replaces an earlier one,
+//! and a leaving endpoint does not become live again in the same incarnation. An unknown
+//! entry that appears only in a list may belong to an endpoint that is gone. It stays
+//! unconfirmed until the endpoint writes it again, or until the entries of silent
+//! endpoints in the copy have expired. The same applies to an entry from a peer whose
+//! endpoint was seen to be gone here.
 //!
-//! Endpoints also say in their answers that they are leaving, which the log may say late
-//! or never. Whoever said it, an entry that says otherwise of the same life is not taken,
-//! also if the endpoint was removed in between.
+//! Endpoints also announce in their responses that they are leaving, which the log may
+//! show late or never. Whatever the source of the announcement, a live entry of the same
+//! incarnation is ignored, even if the endpoint was removed in between.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -28,72 +29,74 @@
 use godwitpost_types::id::Incarnation;
 use serde::{Deserialize, Serialize};
 
-/// How long after the log's return lapsed entries are kept. Live endpoints
-/// renew theirs within two seconds of it; that return is noticed up to 0.6 s
-/// late, and an endpoint that really left must be left alone three seconds
-/// after it.
+/// How long expired entries are retained after the log returns. Live endpoints renew
+/// theirs within two seconds of its return, which is noticed up to 0.6 s late. An
+/// endpoint that really left must get no requests three seconds after it.
 pub const EXPIRED_ENTRY_GRACE: Duration = Duration::from_millis(2_200);
 
-/// Heartbeats for which the log has to be away for entries to lapse: they
-/// lapse after three, of which the last may just not have been sent.
+/// The number of heartbeats for which the log has to be unavailable for entries to
+/// expire. They expire after three heartbeats, and the last one may have been about to be
+/// sent.
 const MIN_ABSENCE_HEARTBEATS: u32 = 2;
 
-/// Heartbeats after a log came back from a copy in which the copy may hold entries of
-/// endpoints that are gone: three until those lapse, and one until that is heard of.
+/// The number of heartbeats after a restore from a copy during which the copy may hold
+/// entries of endpoints that are gone: three until those expire, and one until that is
+/// known here.
 const UNCONFIRMED_HEARTBEATS: u32 = 4;
 
-/// How long an endpoint that is gone is remembered: more than a copy of the log is old.
+/// How long an endpoint that is gone is remembered: longer than the age of any copy of
+/// the log.
 const ENDED_RETENTION: Duration = Duration::from_mins(1);
 
-/// How long it is remembered that a life was leaving, since anything was last said of it:
-/// more than endpoints take to leave.
+/// How long a leaving incarnation is remembered after it was last mentioned: longer than
+/// endpoints take to leave.
 const LEAVING_RETENTION: Duration = Duration::from_mins(10);
 
-/// The life of an endpoint that doesn't say which one it is in.
+/// The incarnation of an endpoint that doesn't name one.
 const NO_INCARNATION: Incarnation = 0;
 
-/// The endpoints known, and how the log has been reached.
+/// The known endpoints, and when the log could be read.
 #[derive(Debug)]
 pub struct Roster {
     heartbeat: Duration,
     entries: BTreeMap<String, Entry>,
-    // When the log was last read, and since when it could be again after an
-    // absence in which entries may have lapsed.
+    // When the log was last read, and when it was read again after an outage in which
+    // entries may have expired.
     last_read: Option<Moment>,
     recovered_at: Option<Moment>,
-    // When it was heard that the log came back from a copy.
+    // When this instance learned that the log was restored from a copy.
     restored_at: Option<Moment>,
-    // Entries that may be of endpoints that are gone.
+    // Entries whose endpoints may be gone.
     unconfirmed: BTreeMap<String, Registration>,
     origin: Option<Origin>,
-    // Lives that ended lately, and when.
+    // Incarnations that ended recently, and when.
     ended: BTreeMap<String, (Incarnation, Moment)>,
-    // Lives that are leaving, and when anything was last said of them.
+    // Incarnations that are leaving, and when they were last mentioned.
     leaving: BTreeMap<String, (Incarnation, Moment)>,
 }
 
-/// One life of an endpoint.
+/// One incarnation of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointIncarnation {
     /// The endpoint's name.
     pub name: String,
-    /// Which of its lives.
+    /// The number of the incarnation.
     pub incarnation: Incarnation,
 }
 
-/// What an endpoint says of itself.
+/// An endpoint's entry, as written by the endpoint itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Registration {
-    /// Who and where it is, and whether it may get new work.
+    /// The endpoint's identity and address, and whether it may get new work.
     pub endpoint: Endpoint,
-    /// Requests that it runs at once.
+    /// How many requests it runs at once.
     pub slots: u32,
-    /// How much longer it takes to warm up, from when this is told.
+    /// The remaining warm-up time as of when this entry is sent.
     pub warming: Duration,
 }
 
 impl Registration {
-    /// Returns the life that it is of.
+    /// Returns the incarnation that this entry belongs to.
     #[must_use]
     pub fn endpoint_incarnation(&self) -> EndpointIncarnation {
         EndpointIncarnation {
@@ -102,12 +105,12 @@
         }
     }
 
-    // Whether it says the same but for its warming up.
+    // Returns whether the entries are equal apart from the warm-up time.
     fn same_except_warming(&self, other: &Self) -> bool {
         self.endpoint == other.endpoint && self.slots == other.slots
     }
 
-    // Whether it was said before the other by an endpoint of the same name.
+    // Returns whether this entry is older than another one of the same endpoint.
     fn is_older_than(&self, other: &Self) -> bool {
         let (own, other) = (&self.endpoint, &other.endpoint);
         let undoes_leaving = own.standing == Standing::Live && other.standing == Standing::Leaving;
@@ -119,50 +122,50 @@
 #[derive(Debug)]
 struct Entry {
     registration: Registration,
-    // When it will have warmed up.
+    // The time at which the endpoint has warmed up.
     warm_at: Moment,
     expired: bool,
 }
 
-/// Whose word on entries is taken.
+/// The source of entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// The log's, in this epoch of reading it.
+    /// The log, in this epoch of reading it.
     Log(u64),
-    /// That of a peer in this life.
+    /// A peer in this incarnation.
     Peer(u64),
 }
 
-/// What an entry that was set says.
+/// The outcome of applying an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SetResult {
-    /// Nothing but that its endpoint lives.
+    /// Only the heartbeat is new.
     Unchanged,
-    /// The same as before it lapsed.
+    /// An expired entry is back unchanged.
     Restored,
-    /// That its endpoint is warming up again, and else the same.
+    /// The endpoint is warming up again; the rest is unchanged.
     WarmingAgain,
-    /// Something new.
+    /// The endpoint is new or its entry changed.
     Changed,
-    /// Something older than what is known: it is not taken.
+    /// The entry is older than the known one and was ignored.
     Older,
-    /// Something that may be older than what was known: it waits.
+    /// The entry may be older than one known before; it is set aside as unconfirmed.
     Doubted,
 }
 
-/// What became of an entry that the log removed.
+/// The outcome of a removal in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RemoveResult {
-    /// It is gone.
+    /// The entry was dropped.
     Removed,
-    /// It may have lapsed only; it is kept for a while.
+    /// The entry may only have expired; it is retained for the grace period.
     Retained,
-    /// It was not known.
+    /// There was no such entry.
     Unknown,
 }
 
 impl Roster {
-    /// Returns an empty roster of endpoints that send a heartbeat this often.
+    /// Returns an empty roster for endpoints with this heartbeat interval.
     #[must_use]
     pub const fn new(heartbeat: Duration) -> Self {
         Self {
@@ -178,49 +181,52 @@
         }
     }
 
-    /// Takes in that the log was read.
+    /// Records that the log was read.
     pub fn record_read(&mut self, now: Moment) {
-        let away = self.last_read.map(|read| since(now, read));
-        // Endpoints whose entries lapsed had no time to write while it was away again.
+        let outage = self.last_read.map(|read| since(now, read));
+        // Endpoints with expired entries may have had no time to write them again before
+        // a further outage, so one heartbeat is enough.
         let expired = self.entries.values().any(|entry| entry.expired);
         let heartbeats = if expired { 1 } else { MIN_ABSENCE_HEARTBEATS };
-        if away.is_some_and(|away| away >= self.heartbeat * heartbeats) {
+        if outage.is_some_and(|outage| outage >= self.heartbeat * heartbeats) {
             self.recovered_at = Some(now);
         }
         self.last_read = Some(now);
     }
 
-    /// Takes in who tells from now on. Whoever that is doesn't say again what another
-    /// one would have said of entries that are doubted: they have to be told anew.
+    /// Sets the source of entries from now on. A new source doesn't repeat what the
+    /// previous one would have said about unconfirmed entries, so those have to be
+    /// received again.
     pub fn set_origin(&mut self, origin: Origin) {
         if self.origin.replace(origin) != Some(origin) {
             self.unconfirmed.clear();
         }
     }
 
-    /// Takes in when it was heard that the log came back from a copy, which may lack
-    /// the newest entries.
+    /// Records when this instance learned that the log was restored from a copy, which
+    /// may lack the newest entries.
     pub fn record_restore(&mut self, at: Moment) {
         self.recovered_at = self.recovered_at.max(Some(at));
         self.restored_at = self.restored_at.max(Some(at));
     }
 
-    /// Takes in an entry that a list of the log holds; returns what it says.
+    /// Applies an entry from a list of the log.
     pub fn apply_listed(&mut self, registration: Registration, received_at: Moment) -> SetResult {
         let known = self.entries.contains_key(&registration.endpoint.name);
         self.apply_unless(!known, registration, received_at)
     }
 
-    /// Takes in an entry that a peer told; returns what it says.
+    /// Applies an entry from a peer.
     pub fn apply_from_peer(
         &mut self,
         registration: Registration,
         received_at: Moment,
     ) -> SetResult {
         let endpoint = &registration.endpoint;
-        let gone = self.ended.get(&endpoint.name);
-        let gone = gone.is_some_and(|(life, _)| *life == endpoint.incarnation);
-        self.apply_unless(gone, registration, received_at)
+        let ended = self.ended.get(&endpoint.name);
+        let was_removed =
+            ended.is_some_and(|(incarnation, _)| *incarnation == endpoint.incarnation);
+        self.apply_unless(was_removed, registration, received_at)
     }
 
     fn apply_unless(
@@ -237,16 +243,17 @@
         self.apply(registration, received_at)
     }
 
-    // Whether the copy that the log came back from may hold entries that lapse yet.
+    // Returns whether the copy that the log was restored from may still hold entries that
+    // have yet to expire.
     fn may_be_stale(&self, now: Moment) -> bool {
         let time = self.heartbeat * UNCONFIRMED_HEARTBEATS;
         self.restored_at.is_some_and(|at| now < at + time)
     }
 
-    /// Returns the entries that nobody has removed while they were doubted, to be taken
-    /// in now.
+    /// Returns the unconfirmed entries that were not removed in the meantime, to be
+    /// applied now.
     pub fn take_unconfirmed(&mut self) -> Vec<Registration> {
-        // Nothing lapses for who can't read the log.
+        // Expirations can't be seen while the log can't be read.
         if self.last_read.is_none_or(|read| self.may_be_stale(read)) {
             return Vec::new();
         }
@@ -255,8 +262,7 @@
             .collect()
     }
 
-    /// Takes in an entry that was told at `then`; returns what it says beside its
-    /// heartbeat.
+    /// Applies an entry received at `received_at`.
     pub fn apply(&mut self, registration: Registration, received_at: Moment) -> SetResult {
         let name = registration.endpoint.name.clone();
         self.unconfirmed.remove(&name);
@@ -276,16 +282,17 @@
                 SetResult::Older
             }
             Some(known) if known.registration.same_except_warming(&entry.registration) => {
-                let again = entry.registration.warming > Duration::ZERO
+                let warms_again = entry.registration.warming > Duration::ZERO
                     && entry.warm_at > known.warm_at + self.heartbeat;
-                // Each entry is older than it looks, so the earliest is right.
-                known.warm_at = if again {
+                // Every entry is older than its time of receipt, so the earliest time is
+                // the most accurate.
+                known.warm_at = if warms_again {
                     entry.warm_at
                 } else {
                     known.warm_at.min(entry.warm_at)
                 };
                 let expired = std::mem::take(&mut known.expired);
-                if again {
+                if warms_again {
                     SetResult::WarmingAgain
                 } else if expired {
                     SetResult::Restored
@@ -304,49 +311,45 @@
         }
     }
 
-    /// Takes in that an endpoint says itself that it is leaving; returns what its entry
-    /// says now if that is news.
-    pub fn mark_leaving(
-        &mut self,
-        life: &EndpointIncarnation,
-        now: Moment,
-    ) -> Option<Registration> {
-        self.record_leaving(life, now);
-        let entry = self.entries.get_mut(&life.name)?;
+    /// Records that an endpoint itself announced that it is leaving; returns its updated
+    /// entry if that changed.
+    pub fn mark_leaving(&mut self, id: &EndpointIncarnation, now: Moment) -> Option<Registration> {
+        self.record_leaving(id, now);
+        let entry = self.entries.get_mut(&id.name)?;
         let endpoint = &mut entry.registration.endpoint;
-        if endpoint.incarnation != life.incarnation || endpoint.standing == Standing::Leaving {
+        if endpoint.incarnation != id.incarnation || endpoint.standing == Standing::Leaving {
             return None;
         }
         endpoint.standing = Standing::Leaving;
         Some(entry.registration.clone())
     }
 
-    fn record_leaving(&mut self, life: &EndpointIncarnation, now: Moment) {
+    fn record_leaving(&mut self, id: &EndpointIncarnation, now: Moment) {
         self.leaving
             .retain(|_, (_, at)| since(now, *at) < LEAVING_RETENTION);
-        let known = self.leaving.entry(life.name.clone()).or_default();
-        *known = (life.incarnation.max(known.0), now);
+        let known = self.leaving.entry(id.name.clone()).or_default();
+        *known = (id.incarnation.max(known.0), now);
     }
 
-    // Whether a life was leaving, or an earlier one than one that was.
-    fn is_known_leaving(&mut self, life: &EndpointIncarnation, now: Moment) -> bool {
-        let Some((leaving, at)) = self.leaving.get_mut(&life.name) else {
+    // Returns whether this incarnation, or a later one, is known to be leaving.
+    fn is_known_leaving(&mut self, id: &EndpointIncarnation, now: Moment) -> bool {
+        let Some((leaving, at)) = self.leaving.get_mut(&id.name) else {
             return false;
         };
-        let was = life.incarnation <= *leaving;
-        if was {
+        let is_leaving = id.incarnation <= *leaving;
+        if is_leaving {
             *at = now.max(*at);
         } else {
-            self.leaving.remove(&life.name);
+            self.leaving.remove(&id.name);
         }
-        was
+        is_leaving
     }
 
-    /// Takes in that an entry was removed.
+    /// Handles the removal of an entry from the log.
     pub fn remove(&mut self, name: &str, now: Moment) -> RemoveResult {
         let recent = self
             .recovered_at
-            .is_some_and(|back| since(now, back) < EXPIRED_ENTRY_GRACE);
+            .is_some_and(|recovered_at| since(now, recovered_at) < EXPIRED_ENTRY_GRACE);
         self.unconfirmed.remove(name);
         let Some(entry) = self.entries.get_mut(name) else {
             return RemoveResult::Unknown;
@@ -359,21 +362,22 @@
         RemoveResult::Removed
     }
 
-    // Drops an entry, and remembers the life that ended.
+    // Drops an entry and remembers the incarnation that ended.
     fn remove_entry(&mut self, name: &str, now: Moment) {
         if let Some(entry) = self.entries.remove(name) {
             self.ended
                 .retain(|_, (_, at)| since(now, *at) < ENDED_RETENTION);
-            let life = entry.registration.endpoint.incarnation;
-            self.ended.insert(name.to_owned(), (life, now));
-            // One that names no life can't be told from the next of its name.
-            if life == NO_INCARNATION {
+            let incarnation = entry.registration.endpoint.incarnation;
+            self.ended.insert(name.to_owned(), (incarnation, now));
+            // Without an incarnation, the next run of the endpoint would count as the one
+            // that left.
+            if incarnation == NO_INCARNATION {
                 self.leaving.remove(name);
             }
         }
     }
 
-    /// Drops an entry that a peer, who weighed it, says is gone; returns
+    /// Drops an entry that a peer reports as gone, after the peer's own checks; returns
     /// whether it was known.
     pub fn remove_confirmed(&mut self, name: &str, now: Moment) -> bool {
         self.unconfirmed.remove(name);
@@ -382,14 +386,15 @@
         known
     }
 
-    /// Drops lapsed entries whose time is over, by the last read of the log: with that
-    /// away no endpoint can write. Returns their names.
+    /// Drops expired entries whose grace period is over and returns their names. The
+    /// period is measured up to the last read of the log, since endpoints can't write
+    /// while it is unavailable.
     pub fn remove_expired(&mut self, now: Moment) -> Vec<String> {
         let read = self.last_read.unwrap_or_default();
-        let over = self
+        let grace_is_over = self
             .recovered_at
-            .is_none_or(|back| read >= back + EXPIRED_ENTRY_GRACE);
-        if !over {
+            .is_none_or(|recovered_at| read >= recovered_at + EXPIRED_ENTRY_GRACE);
+        if !grace_is_over {
             return Vec::new();
         }
         let ended: Vec<String> = self
@@ -404,13 +409,14 @@
         ended
     }
 
-    /// Returns when each endpoint will have warmed up, of those that have not by `now`.
+    /// Returns the endpoints that are still warming up at `now`, and when each has warmed
+    /// up.
     pub fn warming(&self, now: Moment) -> impl Iterator<Item = (&Registration, Moment)> {
         let warming = self.entries.values().filter(move |one| one.warm_at > now);
         warming.map(|one| (&one.registration, one.warm_at))
     }
 
-    /// Returns when an endpoint will have warmed up, or has.
+    /// Returns when an endpoint has warmed up, which may be in the past.
     #[must_use]
     pub fn warm_at(&self, name: &str) -> Moment {
         self.entries
@@ -418,7 +424,7 @@
             .map_or(Duration::ZERO, |entry| entry.warm_at)
     }
 
-    /// Returns all endpoints known, leaving ones included.
+    /// Returns all known endpoints, including those that are leaving.
     pub fn registrations(&self) -> impl Iterator<Item = &Registration> {
         self.entries.values().map(|entry| &entry.registration)
     }
--- a/crates/direct/src/roster/tests.rs
+++ b/crates/direct/src/roster/tests.rs
@@ -38,11 +38,10 @@
         .collect()
 }
 
-/// The log was down for six seconds and all heartbeats lapsed. On its return
-/// every entry is removed and set again within two seconds; meanwhile callers
-/// must still be served.
+/// The log was down for six seconds and all entries expired. When it returns, every entry
+/// is removed and set again within two seconds; callers must be served meanwhile.
 #[test]
-fn entries_that_lapsed_with_the_log_away_are_kept_until_they_are_back() {
+fn entries_that_expired_during_an_outage_are_retained_until_they_return() {
     let mut roster = Roster::new(HEARTBEAT);
     roster.record_read(at(0));
     roster.apply(endpoint("a", Standing::Live), at(0));
@@ -52,8 +51,8 @@
     assert_eq!(roster.remove("b", at(6_100)), RemoveResult::Retained);
     assert_eq!(names(&roster), ["a", "b"]);
     roster.record_read(at(7_000));
-    let back = roster.apply(endpoint("a", Standing::Live), at(0));
-    assert_eq!(back, SetResult::Restored);
+    let returned = roster.apply(endpoint("a", Standing::Live), at(0));
+    assert_eq!(returned, SetResult::Restored);
     roster.record_read(at(8_000));
     assert_eq!(roster.remove_expired(at(8_000)), [""; 0]);
     roster.record_read(at(8_300));
@@ -61,23 +60,23 @@
     assert_eq!(names(&roster), ["a"]);
 }
 
-/// With the log well, a runner that never says it is leaving just has its
-/// entry removed. Requests sent to it after the bound would be cut.
+/// With the log available, a runner that never announces that it is leaving just has its
+/// entry removed. Requests sent to it after the deadline would be cut off.
 #[test]
-fn an_entry_removed_while_the_log_is_well_is_gone_at_once() {
+fn an_entry_removed_without_an_outage_is_dropped_at_once() {
     let mut roster = Roster::new(HEARTBEAT);
     roster.record_read(at(0));
     roster.apply(endpoint("a", Standing::Live), at(0));
     roster.record_read(at(1_000));
     assert_eq!(roster.remove("a", at(1_000)), RemoveResult::Removed);
-    // One lost poll is no absence in which an entry could lapse.
+    // One lost poll is too short an outage for an entry to expire.
     roster.apply(endpoint("a", Standing::Live), at(0));
     roster.record_read(at(3_100));
     assert_eq!(roster.remove("a", at(3_100)), RemoveResult::Removed);
 }
 
 #[test]
-fn an_endpoint_that_was_leaving_is_never_kept() {
+fn a_leaving_endpoint_is_never_retained() {
     let mut roster = Roster::new(HEARTBEAT);
     roster.record_read(at(0));
     roster.apply(endpoint("a", Standing::Leaving), at(0));
@@ -86,7 +85,7 @@
 }
 
 #[test]
-fn a_mere_heartbeat_changes_nothing() {
+fn a_heartbeat_alone_changes_nothing() {
     let mut roster = Roster::new(HEARTBEAT);
     let mut set = |standing| roster.apply(endpoint("a", standing), at(0));
     assert_eq!(set(Standing::Live), SetResult::Changed);
@@ -101,10 +100,10 @@
     }
 }
 
-/// Guards against an endpoint that is news to all instances with each heartbeat of
-/// its first seconds.
+/// Guards against an endpoint that counts as changed at all instances with each heartbeat
+/// of its first seconds.
 #[test]
-fn an_endpoint_that_warms_up_is_told_once() {
+fn an_endpoint_that_warms_up_changes_once() {
     let mut roster = Roster::new(HEARTBEAT);
     assert_eq!(roster.apply(warming(3_000), at(100)), SetResult::Changed);
     assert_eq!(
@@ -113,16 +112,17 @@
     );
     assert_eq!(roster.warm_at("a"), at(3_100));
     assert_eq!(roster.apply(warming(600), at(2_300)), SetResult::Unchanged);
-    // The entry was read later than it was written, so the earliest is right.
+    // The entry was read later than it was written, so the earliest time is the most
+    // accurate.
     assert_eq!(roster.warm_at("a"), at(2_900));
     assert_eq!(roster.warming(at(2_800)).count(), 1);
     assert_eq!(roster.warming(at(2_900)).count(), 0);
 }
 
-/// Guards against an endpoint that becomes cold again in the middle of its life and
-/// gets as much as ever.
+/// Guards against an endpoint that has to warm up again during an incarnation and still
+/// gets its full share of requests.
 #[test]
-fn an_endpoint_that_warms_up_again_is_told_again() {
+fn an_endpoint_that_warms_up_again_is_reported_again() {
     let mut roster = Roster::new(HEARTBEAT);
     roster.apply(warming(3_000), at(100));
     roster.apply(warming(0), at(4_000));
@@ -137,9 +137,10 @@
     );
 }
 
-/// Guards against an endpoint that is used again by an older word of its own.
+/// Guards against a leaving endpoint that is used again because of an older entry of its
+/// own.
 #[test]
-fn who_is_leaving_does_not_come_back_in_the_same_life() {
+fn a_leaving_endpoint_stays_leaving_in_the_same_incarnation() {
     let mut roster = Roster::new(HEARTBEAT);
     roster.apply(endpoint("a", Standing::Leaving), at(0));
     let older = roster.apply(endpoint("a", Standing::Live), at(100));
@@ -153,9 +154,10 @@
     assert_eq!(known.endpoint.standing, Standing::Live);
 }
 
-/// Guards against refusals while entries that a copy of the log lacks are written again.
+/// Guards against refused requests while entries that a restored log lacks are written
+/// again.
 #[test]
-fn entries_that_a_restored_log_lacks_are_kept_until_they_are_back() {
+fn entries_that_a_restored_log_lacks_are_retained_until_they_return() {
     let mut roster = Roster::new(HEARTBEAT);
     for millis in [0, 500, 1_000] {
         roster.record_read(at(millis));
@@ -174,10 +176,10 @@
     assert_eq!(roster.remove_expired(at(3_700)), ["b"]);
 }
 
-/// Guards against an endpoint that is gone and still in the copy that the log came back
-/// from.
+/// Guards against an endpoint that is gone but still in the copy that the log was
+/// restored from.
 #[test]
-fn an_unknown_entry_of_a_restored_log_waits_until_it_is_written_again() {
+fn an_unknown_entry_of_a_restored_log_is_unconfirmed_until_written_again() {
     let live = |name| endpoint(name, Standing::Live);
     let mut roster = Roster::new(HEARTBEAT);
     roster.record_restore(at(1_000));
@@ -204,10 +206,10 @@
     );
 }
 
-/// Guards against an endpoint that was seen to be gone here, by the word of a peer that
-/// knows only the copy.
+/// Guards against an endpoint that was seen to be gone here and comes back through a peer
+/// that knows only the copy.
 #[test]
-fn a_peer_does_not_bring_back_who_was_seen_to_be_gone() {
+fn a_peer_does_not_restore_an_endpoint_removed_here() {
     let live = |name| endpoint(name, Standing::Live);
     let mut roster = Roster::new(HEARTBEAT);
     roster.apply(live("a"), at(0));
@@ -224,7 +226,7 @@
     let mut next = live("a");
     next.endpoint.incarnation = 2;
     assert_eq!(roster.apply_from_peer(next, at(1_200)), SetResult::Changed);
-    // One that came back is known, whatever it says next.
+    // An endpoint that came back counts as known, whatever its next entry says.
     assert_eq!(roster.apply(live("c"), at(1_200)), SetResult::Changed);
     assert!(roster.remove_confirmed("c", at(1_200)));
     assert_eq!(roster.apply(live("c"), at(1_300)), SetResult::Changed);
@@ -237,10 +239,10 @@
     assert_eq!(roster.take_unconfirmed(), []);
 }
 
-/// Guards against a doubted endpoint whose end is said to nobody who asks another one by
-/// then.
+/// Guards against an unconfirmed endpoint whose removal is missed because another source
+/// is read by then.
 #[test]
-fn entries_are_doubted_for_as_long_as_the_same_one_tells() {
+fn entries_are_unconfirmed_only_while_the_origin_stays_the_same() {
     let live = || endpoint("a", Standing::Live);
     let mut roster = Roster::new(HEARTBEAT);
     roster.set_origin(Origin::Log(1));
@@ -252,17 +254,17 @@
     assert_eq!(roster.take_unconfirmed(), []);
 }
 
-/// Guards against an instance that sends to nobody since the log went away again before
-/// lapsed entries could be written.
+/// Guards against an instance without endpoints because the log became unavailable again
+/// before expired entries could be written.
 #[test]
-fn lapsed_entries_are_kept_while_the_log_is_away_again() {
+fn expired_entries_are_retained_during_a_further_outage() {
     let mut roster = Roster::new(HEARTBEAT);
     roster.record_read(at(0));
     roster.apply(endpoint("a", Standing::Live), at(0));
     roster.record_read(at(3_000));
     assert_eq!(roster.remove("a", at(3_000)), RemoveResult::Retained);
     assert_eq!(roster.remove_expired(at(6_000)), [""; 0]);
-    // Back again, it has as long as before.
+    // After the log returns, the full grace period applies again.
     roster.record_read(at(6_000));
     assert_eq!(roster.remove_expired(at(6_000)), [""; 0]);
     for millis in [7_100, 8_100, 8_200] {
@@ -271,30 +273,32 @@
     assert_eq!(roster.remove_expired(at(8_200)), ["a"]);
 }
 
-fn life(incarnation: u64) -> super::EndpointIncarnation {
+fn incarnation_of_a(incarnation: u64) -> super::EndpointIncarnation {
     super::EndpointIncarnation {
         name: "a".to_owned(),
         incarnation,
     }
 }
 
-fn of_life(incarnation: u64, standing: Standing) -> Registration {
+fn entry_of_a(incarnation: u64, standing: Standing) -> Registration {
     let mut registration = endpoint("a", standing);
     registration.endpoint.incarnation = incarnation;
     registration
 }
 
-/// Guards against an endpoint that said that it leaves and is used again by an entry
-/// written before, with the log back or the entry listed anew.
+/// Guards against an endpoint that announced that it is leaving and is used again because
+/// of an entry written before, after the log returned or listed the entry again.
 #[test]
-fn an_endpoint_that_said_that_it_leaves_stays_so_for_its_life() {
+fn an_announced_leaving_lasts_for_the_incarnation() {
     let mut roster = Roster::new(HEARTBEAT);
     roster.record_read(at(0));
-    roster.apply(of_life(2, Standing::Live), at(0));
-    let told = roster.mark_leaving(&life(2), at(1_000)).expect("news");
-    assert_eq!(told.endpoint.standing, Standing::Leaving);
-    assert_eq!(roster.mark_leaving(&life(2), at(1_100)), None);
-    let live = || of_life(2, Standing::Live);
+    roster.apply(entry_of_a(2, Standing::Live), at(0));
+    let updated = roster
+        .mark_leaving(&incarnation_of_a(2), at(1_000))
+        .expect("news");
+    assert_eq!(updated.endpoint.standing, Standing::Leaving);
+    assert_eq!(roster.mark_leaving(&incarnation_of_a(2), at(1_100)), None);
+    let live = || entry_of_a(2, Standing::Live);
     assert_eq!(roster.apply(live(), at(1_200)), SetResult::Older);
     roster.record_read(at(12_000));
     assert_eq!(roster.remove("a", at(12_000)), RemoveResult::Removed);
@@ -302,47 +306,56 @@
     assert_eq!(roster.apply_listed(live(), at(12_600)), SetResult::Older);
     assert_eq!(roster.apply_from_peer(live(), at(12_700)), SetResult::Older);
     assert_eq!(
-        roster.apply(of_life(1, Standing::Live), at(13_000)),
+        roster.apply(entry_of_a(1, Standing::Live), at(13_000)),
         SetResult::Older
     );
     assert_eq!(names(&roster), [""; 0]);
 }
 
-/// Guards against a restarted endpoint that gets nothing since its life before was leaving.
+/// Guards against a restarted endpoint that gets no requests because its previous
+/// incarnation was leaving.
 #[test]
-fn a_later_life_of_one_that_was_leaving_is_used() {
+fn a_later_incarnation_of_a_leaving_endpoint_is_used() {
     let mut roster = Roster::new(HEARTBEAT);
     roster.record_read(at(0));
-    roster.apply(of_life(2, Standing::Live), at(0));
-    assert!(roster.mark_leaving(&life(2), at(1_000)).is_some());
-    let later = of_life(3, Standing::Live);
+    roster.apply(entry_of_a(2, Standing::Live), at(0));
+    assert!(
+        roster
+            .mark_leaving(&incarnation_of_a(2), at(1_000))
+            .is_some()
+    );
+    let later = entry_of_a(3, Standing::Live);
     assert_eq!(roster.apply(later, at(2_000)), SetResult::Changed);
-    // A late word of the life before says nothing of this one.
-    assert_eq!(roster.mark_leaving(&life(2), at(2_100)), None);
+    // A late announcement of the previous incarnation doesn't affect this one.
+    assert_eq!(roster.mark_leaving(&incarnation_of_a(2), at(2_100)), None);
     let registration = roster.registrations().next().expect("an entry");
     assert_eq!(registration.endpoint.standing, Standing::Live);
 }
 
 #[test]
-fn leaving_that_only_an_entry_told_outlasts_its_removal() {
+fn leaving_known_from_an_entry_outlasts_its_removal() {
     let mut roster = Roster::new(HEARTBEAT);
     roster.record_read(at(0));
-    roster.apply(of_life(2, Standing::Leaving), at(0));
+    roster.apply(entry_of_a(2, Standing::Leaving), at(0));
     roster.record_read(at(1_000));
     assert_eq!(roster.remove("a", at(1_000)), RemoveResult::Removed);
-    let live = of_life(2, Standing::Live);
+    let live = entry_of_a(2, Standing::Live);
     assert_eq!(roster.apply(live, at(1_500)), SetResult::Older);
 }
 
-/// Guards against an endpoint that names no life of its own and is left out for ever
-/// once it has been restarted.
+/// Guards against an endpoint that names no incarnation and is ignored for good once it
+/// restarted.
 #[test]
-fn without_a_life_leaving_ends_with_the_entry() {
+fn without_an_incarnation_leaving_ends_with_the_entry() {
     let mut roster = Roster::new(HEARTBEAT);
     roster.record_read(at(0));
-    roster.apply(of_life(0, Standing::Live), at(0));
-    assert!(roster.mark_leaving(&life(0), at(1_000)).is_some());
-    let live = || of_life(0, Standing::Live);
+    roster.apply(entry_of_a(0, Standing::Live), at(0));
+    assert!(
+        roster
+            .mark_leaving(&incarnation_of_a(0), at(1_000))
+            .is_some()
+    );
+    let live = || entry_of_a(0, Standing::Live);
     assert_eq!(roster.apply(live(), at(1_100)), SetResult::Older);
     roster.record_read(at(2_000));
     assert_eq!(roster.remove("a", at(2_000)), RemoveResult::Removed);
@@ -350,20 +363,21 @@
 }
 
 #[test]
-fn leaving_is_remembered_for_as_long_as_anything_is_said_of_that_life() {
+fn leaving_is_remembered_while_the_incarnation_is_mentioned() {
     let mut roster = Roster::new(HEARTBEAT);
-    assert_eq!(roster.mark_leaving(&life(2), at(0)), None);
+    assert_eq!(roster.mark_leaving(&incarnation_of_a(2), at(0)), None);
     let minutes = |count: u64| at(count * 60_000);
     for minute in [9, 18, 27] {
-        let live = of_life(2, Standing::Live);
+        let live = entry_of_a(2, Standing::Live);
         assert_eq!(roster.apply(live, minutes(minute)), SetResult::Older);
     }
-    // Others that leave clear away what was last spoken of long ago.
+    // Later announcements of other endpoints drop those that were last mentioned long
+    // ago.
     let other = super::EndpointIncarnation {
         name: "b".to_owned(),
         incarnation: 1,
     };
     assert_eq!(roster.mark_leaving(&other, minutes(40)), None);
-    let live = of_life(2, Standing::Live);
+    let live = entry_of_a(2, Standing::Live);
     assert_eq!(roster.apply(live, minutes(40)), SetResult::Changed);
 }
--- a/crates/direct/src/running.rs
+++ b/crates/direct/src/running.rs
@@ -1,8 +1,8 @@
-//! One instance, from its start to its end.
+//! The lifecycle of one instance.
 //!
-//! Control state has a thread with a runtime of its own; traffic has as many
-//! threads as the settings say. With one, which is what a machine with a part
-//! of a core has, both runtimes are single-threaded and wake nobody else.
+//! Control state has a thread with its own runtime; traffic has as many threads as the
+//! settings say. With one traffic thread, as on a machine with a fraction of a core, both
+//! runtimes are single-threaded and don't wake other threads.
 
 use std::future::ready;
 use std::net::SocketAddr;
@@ -23,37 +23,37 @@
 use crate::settings::Settings;
 use crate::shared::Shared;
 
-/// How often a shutdown looks at what is in flight.
+/// How often a shutdown checks for in-flight requests.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What is kept back of the time that a graceful shutdown may take: whoever
-/// kills the process then must find it gone.
+/// How long before the end of the grace period a shutdown finishes, so that the process
+/// is gone before the platform kills it.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(300);
 
-/// Why an instance could not start.
+/// The reason why an instance couldn't start.
 #[derive(Debug, displaydoc::Display)]
 pub enum Error {
-    /// can't listen on {0} ({1}); name another port or end who holds it
+    /// can't listen on {0} ({1}); choose another port or stop the process that uses it
     Listen(SocketAddr, std::io::Error),
-    /// can't start threads ({0}); allow this process more
+    /// can't start threads ({0}); raise the thread limit of this process
     Threads(std::io::Error),
 }
 
 impl std::error::Error for Error {}
 
-/// How a graceful shutdown ended.
+/// The outcome of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownResult {
-    /// Nothing was in flight any more.
+    /// All in-flight requests ended.
     Drained,
-    /// The time was over with requests in flight.
+    /// The grace period ended with requests in flight.
     TimedOut {
-        /// How many were cut.
+        /// How many requests were cut off.
         requests: usize,
     },
 }
 
-/// An instance that runs.
+/// A running instance.
 #[derive(Debug)]
 pub struct Running {
     shared: Arc<Shared>,
@@ -61,7 +61,7 @@
     callers: SocketAddr,
     ready: SocketAddr,
     metrics: SocketAddr,
-    // Dropping it ends the threads that carry traffic.
+    // Dropping the sender ends the traffic threads.
     traffic: Option<watch::Sender<bool>>,
 }
 
@@ -135,7 +135,7 @@
         .map_err(Error::Threads)
 }
 
-// Runs a task until the instance ends.
+// Runs a task until it completes or the instance ends.
 async fn run_until_ended(task: impl Future<Output = ()>, mut ended: watch::Receiver<bool>) {
     tokio::select! {
         () = task => {}
@@ -172,29 +172,29 @@
 }
 
 impl Running {
-    /// Returns where it takes callers' requests.
+    /// Returns the address of the port for callers' requests.
     #[must_use]
     pub const fn callers_address(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Returns where it says whether it is ready.
+    /// Returns the address of the port for readiness checks.
     #[must_use]
     pub const fn ready_address(&self) -> SocketAddr {
         self.ready
     }
 
-    /// Returns where it tells its metrics.
+    /// Returns the address of the port for metrics.
     #[must_use]
     pub const fn metrics_address(&self) -> SocketAddr {
         self.metrics
     }
 
-    /// Stops: says that it isn't ready, serves until the balancer has noticed,
-    /// and ends when nothing is in flight or the time is over.
+    /// Shuts down gracefully: reports that it isn't ready, serves until the load balancer
+    /// has noticed, and returns when no request is in flight or the grace period is over.
     ///
-    /// A second signal, which `hurry` tells of, changes nothing: a request in
-    /// flight is not worth less for it, and the platform kills when it wants.
+    /// A second signal doesn't shorten the shutdown. The requests in flight are as
+    /// important as before, and the platform can kill the process at any time.
     pub async fn stop(mut self) -> ShutdownResult {
         let limits = Limits {
             lag: self.shared.settings.balancer_lag,
--- a/crates/direct/src/shared.rs
+++ b/crates/direct/src/shared.rs
@@ -1,7 +1,7 @@
-//! What the threads of one instance share.
+//! State that the threads of one instance share.
 //!
-//! The control thread publishes a [`View`] as a whole; traffic threads load it
-//! and never wait. Counts of requests are behind short locks.
+//! The control thread publishes a [`View`] as a whole; traffic threads load it without
+//! waiting. Request counts are behind locks that are held briefly.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -34,54 +34,53 @@
 use crate::standby::Pollers;
 use crate::suspects::CrashTracker;
 
-/// How long opening a connection to an endpoint may take. Endpoints are 2 ms
-/// away and there and back; a dark one costs a request this much of its time.
-/// A lost packet is sent again only after a second, so waiting longer gains
+/// The round trip to an endpoint takes 2 ms, and an unreachable endpoint costs a request
+/// this much time. A lost packet is only resent after a second, so a longer timeout gains
 /// nothing.
 const ENDPOINT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long a request may stay unconfirmed by its endpoint's machine before
-/// the connection counts as broken. A lost packet is sent again after 200 ms and
-/// then 400 ms, so two in a row are borne; on a machine that went dark, orders
+/// How long sent data may stay unacknowledged by an endpoint's machine before the
+/// connection counts as broken. A lost packet is resent after 200 ms and again after 400
+/// ms, so two losses in a row are tolerated. On a machine that became unreachable, orders
 /// wait no longer than their callers do, which is 600 ms and more.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(650);
 
-/// How long a connection stays usable without a request, unless its endpoint
-/// names a time. Common servers close after 5 s to 75 s.
+/// How long an idle connection is reused, unless its endpoint names a time. Common
+/// servers close idle connections after 5 s to 75 s.
 const MAX_CONNECTION_IDLE: Duration = Duration::from_secs(4);
 
-/// Bytes of memory that one request in flight takes: two connections with
-/// their buffers, and the state between them.
+/// Memory that one in-flight request takes: two connections with their buffers, and the
+/// state between them.
 const BYTES_PER_REQUEST: usize = 96 << 10;
 
-/// The part of the memory that requests in flight may fill.
+/// In-flight requests may fill this fraction of the memory: one half.
 const REQUEST_MEMORY_DIVISOR: usize = 2;
 
-/// The part of the memory that callers' bodies may fill.
+/// Callers' bodies may fill this fraction of the memory: one quarter.
 const BODY_MEMORY_DIVISOR: usize = 4;
 
-/// One of how many endpoints of a service are a good part of it.
+/// A service counts as reduced if at least one in this many of its endpoints is out of
+/// use.
 const REDUCED_SERVICE_DIVISOR: usize = 10;
 
-/// Endpoints by service.
 pub(crate) type Services = BTreeMap<ServiceId, Vec<Arc<Registration>>>;
 
-/// What is in force and where requests can go.
+/// The policy in force and the endpoints that requests can go to.
 #[derive(Debug, Default)]
 pub(crate) struct View {
-    /// The configuration, once there is one.
+    /// The policy, once there is one.
     pub(crate) policy: Option<Arc<Policy>>,
-    /// Endpoints that may get new work, by service; once they were listed.
+    /// Endpoints that may get new work, by service; `None` until they were listed.
     pub(crate) endpoints: Option<Services>,
-    /// Endpoints that are being left, by service. They get no new work, but what
-    /// they hold can still be fetched.
+    /// Leaving endpoints, by service. They get no new work, but the prompts that they
+    /// hold can still be fetched.
     pub(crate) leaving: Services,
-    /// Endpoints in evacuated zones, by service. They get nothing, and what they
-    /// have ends there.
+    /// Endpoints in evacuated zones, by service. They get no requests, and those they
+    /// have end there.
     pub(crate) evacuated: Services,
-    /// When endpoints that are warming up will have done so.
+    /// The times at which endpoints that are warming up have warmed up.
     pub(crate) warm_at: BTreeMap<EndpointId, Moment>,
-    /// Keys that were seen to be taken away.
+    /// Keys that are known to be revoked.
     pub(crate) revoked: Arc<RevokedKeys>,
 }
 
@@ -94,7 +93,7 @@
             .map_or(&[], Vec::as_slice)
     }
 
-    /// Returns what an endpoint bears now, if it is warming up.
+    /// Returns the ramp of the load that an endpoint can take now, if it is warming up.
     pub(crate) fn ramp(&self, service: ServiceId, id: EndpointId, now: Moment) -> Option<Ramp> {
         self.warm_at.get(&id).filter(|warm_at| now < **warm_at)?;
         self.policy.as_ref()?.service(service)?.ramp
@@ -105,18 +104,18 @@
         self.evacuated.get(&service).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns whether a good part of any service takes nothing or little: it is in
-    /// evacuated zones, or warming up.
+    /// Returns whether a tenth or more of any service's endpoints take no requests or
+    /// few, being in evacuated zones or warming up.
     pub(crate) fn has_reduced_service(&self, now: Moment) -> bool {
-        let warms = |one: &&Arc<Registration>| {
+        let is_warming = |one: &&Arc<Registration>| {
             let warm_at = self.warm_at.get(&one.endpoint.id);
             warm_at.is_some_and(|warm_at| now < *warm_at)
         };
         let is_reduced = |service: &ServiceId| {
-            let used = self.usable(*service);
+            let usable = self.usable(*service);
             let evacuated = self.evacuated(*service).len();
-            let out = evacuated + used.iter().filter(warms).count();
-            out > 0 && out * REDUCED_SERVICE_DIVISOR >= evacuated + used.len()
+            let reduced = evacuated + usable.iter().filter(is_warming).count();
+            reduced > 0 && reduced * REDUCED_SERVICE_DIVISOR >= evacuated + usable.len()
         };
         self.endpoints
             .iter()
@@ -125,23 +124,22 @@
             || self.evacuated.keys().any(is_reduced)
     }
 
-    /// Returns the endpoints of a service that are being left.
+    /// Returns the endpoints of a service that are leaving.
     pub(crate) fn leaving(&self, service: ServiceId) -> &[Arc<Registration>] {
         self.leaving.get(&service).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns the endpoints of a service that may hold what they were sent.
+    /// Returns the endpoints of a service that may still hold the prompts they were sent.
     pub(crate) fn holders(&self, service: ServiceId) -> impl Iterator<Item = &Arc<Registration>> {
         self.usable(service).iter().chain(self.leaving(service))
     }
 
-    /// Returns one of them by its id.
+    /// Returns the endpoint with this id among the holders of a service.
     pub(crate) fn holder(&self, service: ServiceId, id: EndpointId) -> Option<&Arc<Registration>> {
         self.holders(service).find(|one| one.endpoint.id == id)
     }
 }
 
-/// Groups endpoints by service.
 pub(crate) fn by_service<'a>(registrations: impl Iterator<Item = &'a Registration>) -> Services {
     let mut services = Services::new();
     for registration in registrations {
@@ -153,7 +151,7 @@
     services
 }
 
-/// What the threads share.
+/// The shared state.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) settings: Settings,
@@ -162,19 +160,17 @@
     pub(crate) metrics: Metrics,
     view: ArcSwap<View>,
     lease: Lease,
-    // Nanoseconds on the boot clock at which the read was sent that last
-    // confirmed the configuration; 0 if none did.
+    // When the read was sent that last confirmed the policy, in nanoseconds on the boot
+    // clock; 0 if none did.
     policy_confirmed_nanos: AtomicU64,
-    // Moves when the view changes or is confirmed.
+    // Signals that the view was replaced or confirmed.
     view_changes: watch::Sender<()>,
-    // When the process started.
     started_at: Moment,
     replica: Mutex<Replica>,
-    // Moves when the board has news for peers.
+    // Signals that the replica has changes for peers.
     peer_news: watch::Sender<u64>,
-    // Whether the log can't be read.
     log_unavailable: watch::Sender<bool>,
-    // Whether the log has to be read again before it is relied on.
+    // Whether the log has to be read again before it can be relied on.
     log_needs_reread: AtomicBool,
     endpoint_stats: Mutex<EndpointStats>,
     notices: Mutex<Notices>,
@@ -227,19 +223,18 @@
         }
     }
 
-    /// Returns the view in force.
+    /// Returns the current view.
     pub(crate) fn view(&self) -> Arc<View> {
         self.view.load_full()
     }
 
-    /// Replaces the view in force.
+    /// Replaces the current view.
     pub(crate) fn publish(&self, view: View) {
         self.view.store(Arc::new(view));
         self.view_changes.send_replace(());
     }
 
-    /// Notes that a read sent at `asked` confirmed the configuration that is
-    /// published already.
+    /// Records that a read sent at `read_sent_at` confirmed the published policy.
     pub(crate) fn confirm_policy(&self, read_sent_at: Moment) {
         let nanos = u64::try_from(read_sent_at.as_nanos()).unwrap_or(u64::MAX);
         self.policy_confirmed_nanos
@@ -247,7 +242,7 @@
         self.view_changes.send_replace(());
     }
 
-    /// Returns when the configuration was last confirmed.
+    /// Returns when the read was sent that last confirmed the policy.
     pub(crate) fn policy_confirmed_at(&self) -> Option<Moment> {
         match self.policy_confirmed_nanos.load(Ordering::Acquire) {
             0 => None,
@@ -255,39 +250,39 @@
         }
     }
 
-    /// Returns how long ago the configuration was last confirmed; since the
-    /// machine's start if it never was.
+    /// Returns the time since the policy was last confirmed, or since the machine's start
+    /// if it never was.
     pub(crate) fn policy_age(&self) -> Duration {
         since(boot_time(), self.policy_confirmed_at().unwrap_or_default())
     }
 
-    /// Returns whether keys may be acted on now.
+    /// Returns whether the policy was confirmed recently enough to accept keys.
     pub(crate) fn is_policy_current(&self) -> bool {
         self.lease.is_valid(self.policy_confirmed_at(), boot_time())
     }
 
-    /// Returns whether callers should be sent here.
+    /// Returns whether a load balancer should send callers to this instance.
     pub(crate) fn is_ready(&self) -> bool {
         self.can_route() && !self.is_draining()
     }
 
-    /// Returns whether requests can be resolved and sent somewhere.
+    /// Returns whether requests can be resolved and sent to an endpoint.
     pub(crate) fn can_route(&self) -> bool {
         let view = self.view();
         view.policy.is_some() && view.endpoints.is_some() && self.is_policy_current()
     }
 
-    /// Returns how long ago the process started.
     pub(crate) fn uptime(&self) -> Duration {
         since(boot_time(), self.started_at)
     }
 
-    /// Returns what moves when the view changes or is confirmed.
+    /// Returns a receiver that is notified when the view is replaced or confirmed.
     pub(crate) fn view_changes(&self) -> watch::Receiver<()> {
         self.view_changes.subscribe()
     }
 
-    /// Changes what peers are told; tells those that wait if it is news.
+    /// Changes the replica that peers are answered from. With `notify`, wakes the waiting
+    /// requests of peers.
     pub(crate) fn update_replica<T>(
         &self,
         notify: bool,
@@ -301,7 +296,7 @@
         result
     }
 
-    /// Notes whether the log can be read.
+    /// Records whether the log can't be read.
     pub(crate) fn set_log_unavailable(&self, unavailable: bool) {
         self.log_unavailable.send_if_modified(|known| {
             let changed = *known != unavailable;
@@ -310,34 +305,35 @@
         });
     }
 
-    /// Notes whether the log has to be read again before it is relied on.
+    /// Records whether the log has to be read again before it can be relied on.
     pub(crate) fn set_log_needs_reread(&self, needs_reread: bool) {
         self.log_needs_reread.store(needs_reread, Ordering::Relaxed);
     }
 
-    /// Returns whether the log has to be read again before it is relied on.
+    /// Returns whether the log has to be read again before it can be relied on.
     pub(crate) fn log_needs_reread(&self) -> bool {
         self.log_needs_reread.load(Ordering::Relaxed)
     }
 
-    /// Returns what tells whether the log can't be read.
+    /// Returns a receiver of whether the log can't be read.
     pub(crate) fn log_unavailable(&self) -> watch::Receiver<bool> {
         self.log_unavailable.subscribe()
     }
 
-    /// Returns what moves when there is news for peers.
+    /// Returns a receiver that is notified when there are changes for peers.
     pub(crate) fn peer_news(&self) -> watch::Receiver<u64> {
         self.peer_news.subscribe()
     }
 
     pub(crate) fn endpoint_stats(&self) -> MutexGuard<'_, EndpointStats> {
-        // No code that holds the lock can panic half-way through a change.
+        // Recovers from a poisoned lock: no code that holds it can panic in the middle of
+        // a change.
         self.endpoint_stats
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns what endpoints said of themselves in their answers.
+    /// Returns the announcements that endpoints made in their responses.
     pub(crate) fn notices(&self) -> MutexGuard<'_, Notices> {
         self.notices.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -352,7 +348,8 @@
         self.askers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns whether others ask this instance instead of the log now, or are to.
+    /// Returns whether peers poll this instance instead of the log now, or are configured
+    /// to.
     pub(crate) fn serves_peers(&self) -> bool {
         self.settings.is_seed() || self.askers().any_recent(boot_time())
     }
@@ -367,19 +364,19 @@
         self.paths.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns what was sent to endpoints that are warming up.
+    /// Returns the shares of requests of endpoints that are warming up.
     pub(crate) fn shares(&self) -> MutexGuard<'_, Shares> {
         self.shares.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in how many instances there are.
+    /// Records the number of instances.
     pub(crate) fn set_instance_count(&self, instances: u32, now: Moment) {
         let mut count = self.count.lock().unwrap_or_else(PoisonError::into_inner);
         count.update(instances, now);
     }
 
-    /// Returns how many instances there are, if that is known. One that nobody can
-    /// ask or be asked by is alone.
+    /// Returns the number of instances, if it is known. An instance without a port for
+    /// peers counts itself alone.
     pub(crate) fn instance_count(&self, now: Moment) -> Option<u32> {
         if self.settings.listen.peers.is_none() {
             return Some(1);
@@ -392,16 +389,15 @@
         self.budget.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that nobody is at an endpoint's address, or that its machine gives
-    /// no sign of life. Its other connections are as dead, so none of them is
-    /// used again.
+    /// Records that nothing listens at an endpoint's address, or that its machine doesn't
+    /// respond. Its other connections are dead as well, so none of them is reused.
     pub(crate) fn mark_endpoint_down(&self, endpoint: EndpointId, address: SocketAddr) {
         self.connector.forget(address);
         self.endpoint_stats()
             .record_unreachable(endpoint, boot_time());
     }
 
-    /// Brings the gauges of the services up to date.
+    /// Updates the gauges of the services.
     pub(crate) fn update_service_gauges(&self) {
         let view = self.view();
         let policy = view.policy.iter();
@@ -413,8 +409,8 @@
 
     fn service_usage(&self, id: ServiceId, service: &Service, view: &View) -> ServiceUsage {
         let now = boot_time();
-        let of = view.usable(id);
-        let ids: Vec<EndpointId> = of.iter().map(|one| one.endpoint.id).collect();
+        let endpoints = view.usable(id);
+        let ids: Vec<EndpointId> = endpoints.iter().map(|one| one.endpoint.id).collect();
         let endpoint_stats = self.endpoint_stats();
         let own = ids
             .iter()
@@ -423,10 +419,10 @@
         let load = endpoint_stats
             .estimate(&ids, now)
             .iter()
-            .map(|look| look.load)
+            .map(|estimate| estimate.load)
             .sum();
         drop(endpoint_stats);
-        let idle = of
+        let idle = endpoints
             .iter()
             .map(|one| self.connector.idle(one.endpoint.address));
         let idle = u32::try_from(idle.sum::<usize>()).unwrap_or(u32::MAX);
@@ -451,7 +447,7 @@
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Takes room for one request; `None` if there is none.
+    /// Reserves room for one request; returns `None` if there is none.
     pub(crate) fn admit(self: &Arc<Self>) -> Option<Admission> {
         let limit = self.settings.memory_bytes / REQUEST_MEMORY_DIVISOR / BYTES_PER_REQUEST;
         let before = self.in_flight.fetch_add(1, Ordering::Relaxed);
@@ -463,7 +459,7 @@
     }
 }
 
-/// Room for a request and its body, given back when dropped.
+/// Room reserved for a request and its body, released when dropped.
 #[derive(Debug)]
 pub(crate) struct Admission {
     shared: Arc<Shared>,
@@ -471,7 +467,7 @@
 }
 
 impl Admission {
-    /// Takes room for a body; returns whether there was enough.
+    /// Reserves room for a body; returns whether there was enough.
     pub(crate) fn reserve_body(&mut self, bytes: usize) -> bool {
         let limit = self.shared.settings.memory_bytes / BODY_MEMORY_DIVISOR;
         let before = self.shared.body_bytes.fetch_add(bytes, Ordering::Relaxed);
--- a/crates/direct/src/shared/tests.rs
+++ b/crates/direct/src/shared/tests.rs
@@ -30,17 +30,17 @@
     BTreeMap::from([(SERVICE, all)])
 }
 
-fn view(used: u64, evacuated: u64, warming: u64) -> View {
+fn view(usable: u64, evacuated: u64, warming: u64) -> View {
     View {
-        endpoints: Some(endpoints(0..used)),
-        evacuated: endpoints(used..used + evacuated),
+        endpoints: Some(endpoints(0..usable)),
+        evacuated: endpoints(usable..usable + evacuated),
         warm_at: (0..warming).map(|id| (id, NOW * 2)).collect(),
         ..View::default()
     }
 }
 
 #[test]
-fn a_service_is_partial_while_a_good_part_takes_nothing() {
+fn a_service_is_reduced_while_a_tenth_is_evacuated_or_warming() {
     assert!(!view(20, 0, 0).has_reduced_service(NOW));
     assert!(view(15, 5, 0).has_reduced_service(NOW));
     assert!(view(0, 4, 0).has_reduced_service(NOW));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn one_endpoint_that_starts_makes_no_service_partial() {
+fn one_starting_endpoint_does_not_reduce_a_service() {
     assert!(!view(20, 0, 1).has_reduced_service(NOW));
     assert!(view(20, 0, 5).has_reduced_service(NOW));
     assert!(!view(20, 0, 5).has_reduced_service(NOW * 3));
--- a/crates/direct/src/suspects.rs
+++ b/crates/direct/src/suspects.rs
@@ -1,19 +1,19 @@
-//! Requests that crash the endpoints that run them.
+//! Detects requests that crash the endpoints that run them.
 //!
-//! Such a request comes again, through any instance, and takes one endpoint
-//! after the other with it. What gives it away is a chain: it was sent, its
-//! endpoint ended, it was sent again *afterwards*, that endpoint ended too, and
-//! so on, with no answer in between. One that merely was in flight beside it
-//! gets through sooner or later, and an answer clears a request for good. Of
-//! several endpoints that end at the same moment only one counts, since what
-//! was in flight on all of them was sent before.
+//! Such a request is retried through any instance and takes down one endpoint after the
+//! other. It is recognized by a chain: it was sent, its endpoint ended, it was sent again
+//! *afterwards*, that endpoint ended too, and so on, with no answer in between. A request
+//! that merely was in flight beside it succeeds sooner or later, and an answer clears all
+//! earlier evidence on a request. Of several endpoints that end at the same moment only
+//! one counts, since the requests in flight on all of them were sent before.
 //!
-//! A connection that breaks is no evidence, for answers are lost in many ways;
-//! the endpoint's end is, and the instance that saw the break looks for it. What
-//! is seen is passed on to the instances that are asked, and by them to all.
+//! A broken connection is no evidence, because answers are lost for many reasons. The end
+//! of the endpoint is, and the instance whose connection broke looks for it. Evidence is
+//! forwarded to the instances that peers poll, and by them to all others.
 //!
-//! After the third of a chain the request is held back, each time for longer.
-//! It is told so with the time to come back, and has not run.
+//! From the third crash of a chain on, the request is rejected for a hold time that grows
+//! with each further crash. The rejection names the time after which to retry and says
+//! that the request has not run.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -22,54 +22,54 @@
 use godwitpost_types::id::{BodyDigest, EndpointId};
 use serde::{Deserialize, Serialize};
 
-/// The links of a chain from which on a request is held back. Two are met by
-/// requests that are sent again to an endpoint that goes down as well; a third
-/// in a row costs one more endpoint and spares nearly all of those.
+/// The number of chained crashes from which on a request is held. Requests that are
+/// retried at an endpoint that also happens to go down see two; a third in a row costs
+/// one more endpoint and spares nearly all of those requests.
 const HOLD_CHAIN_LENGTH: u32 = 3;
 
-/// How long a request is held back at first; twice as long after each further
-/// link. An endpoint that crashed is back after some seconds, so that at most
-/// one of ten is down for one such request.
+/// The hold time after [`HOLD_CHAIN_LENGTH`] crashes; it doubles with each further one. A
+/// crashed endpoint is back after some seconds, so at most one of ten endpoints is down
+/// because of one such request.
 const INITIAL_HOLD: Duration = Duration::from_secs(30);
 
-/// The longest that it is held back: a mended endpoint should not wait longer
-/// to show itself.
+/// The upper bound of the hold time, so that a repaired endpoint gets the request again
+/// within this time.
 const MAX_HOLD: Duration = Duration::from_hours(1);
 
-/// How long evidence counts; longer than a request is held back.
+/// How long evidence counts: longer than the longest hold time.
 const EVIDENCE_RETENTION: Duration = Duration::from_hours(2);
 
-/// Requests on which evidence is kept, about 200 bytes each. An endpoint that
-/// ends leaves up to a hundred.
+/// How many requests have evidence stored, at about 200 bytes each. An endpoint that ends
+/// leaves up to a hundred.
 const MAX_TRACKED_REQUESTS: usize = 4_096;
 
-/// By how much moments that come from another instance may be off: the way of
-/// the message that brought them.
+/// The error of times that come from another instance, which is the transit time of the
+/// message.
 const MAX_TRANSIT: Duration = Duration::from_millis(5);
 
-/// One thing seen of a request.
+/// One observation of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Evidence {
-    /// The request.
+    /// The digest of the request's body.
     pub digest: BodyDigest,
-    /// What was seen.
+    /// What was observed.
     pub observed: Observed,
-    /// When it was sent.
+    /// When the request was sent.
     pub sent_at: Moment,
-    /// When its fate was seen.
+    /// When it was observed.
     pub observed_at: Moment,
 }
 
-/// What became of a request.
+/// What happened to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Observed {
-    /// The endpoint that had it ended.
+    /// The endpoint that was running it ended.
     Crashed(EndpointId),
     /// It was answered.
     Answered,
 }
 
-/// Evidence as it is passed on: with ages, since clocks differ.
+/// Evidence as sent to other instances, with ages instead of times since clocks differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ForwardedEvidence {
     digest: BodyDigest,
@@ -80,7 +80,7 @@
 }
 
 impl ForwardedEvidence {
-    /// Returns evidence as it is passed on `now`.
+    /// Returns evidence in the form in which it is sent at `now`.
     #[must_use]
     pub fn from_evidence(evidence: &Evidence, now: Moment) -> Self {
         Self {
@@ -91,40 +91,41 @@
         }
     }
 
-    /// Returns the evidence that was passed on at `then`.
+    /// Returns the evidence from a message received at `then`.
     #[must_use]
-    pub fn to_evidence(&self, then: Moment) -> Evidence {
+    pub fn to_evidence(&self, received_at: Moment) -> Evidence {
         Evidence {
             digest: self.digest,
             observed: self.observed,
-            sent_at: since(then, self.sent_ago),
-            observed_at: since(then, self.seen_ago),
+            sent_at: since(received_at, self.sent_ago),
+            observed_at: since(received_at, self.seen_ago),
         }
     }
 }
 
-/// All evidence that an instance has.
+/// Tracks which requests crash endpoints.
 #[derive(Debug, Default)]
 pub struct CrashTracker {
     histories: BTreeMap<BodyDigest, History>,
-    // What was seen here and not yet passed on.
+    // Evidence observed here and not yet forwarded.
     unforwarded: Vec<Evidence>,
-    // Whether somebody is about to take that.
+    // Whether a task is about to forward it.
     forwarding: bool,
 }
 
 #[derive(Debug, Default)]
 struct History {
-    // By endpoint, each life of which ends once: when the request was sent
-    // there, and when the end was seen.
+    // By endpoint id, of which each incarnation has its own and ends once: when the
+    // request was sent, and when the end was observed.
     crashes: BTreeMap<EndpointId, (Moment, Moment)>,
     answered: Option<Moment>,
     latest: Moment,
 }
 
 impl History {
-    // The links of the longest chain, and when the last was seen. Taking the
-    // crash that was seen first each time leaves the most for what follows.
+    // Returns the length of the longest chain, and when its last crash was observed.
+    // Taking the earliest crash at each step leaves the most crashes for the rest of the
+    // chain.
     fn chain_length(&self) -> (u32, Moment) {
         let mut crashes: Vec<_> = self.crashes.values().copied().collect();
         crashes.sort_by_key(|(_, at)| *at);
@@ -148,8 +149,8 @@
         self.histories.is_empty()
     }
 
-    /// Takes in what was seen here, to be passed on. An answer says something
-    /// only of a request on which there is evidence.
+    /// Records evidence observed here and queues it for forwarding. An answer is only
+    /// recorded for a request that has a chain.
     pub fn record_local(&mut self, evidence: Evidence) {
         if evidence.observed == Observed::Answered && self.chain_length(&evidence.digest) == 0 {
             return;
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Takes in evidence; returns whether it is new.
+    /// Records evidence; returns whether it is new.
     pub fn record(&mut self, evidence: Evidence) -> bool {
         let history = self.histories.entry(evidence.digest).or_default();
         history.latest = history.latest.max(evidence.observed_at);
@@ -182,8 +183,8 @@
         new
     }
 
-    /// Returns how many endpoints, one after the other, ended with this request
-    /// since it was last answered.
+    /// Returns how many endpoints in a chain ended with this request since it was last
+    /// answered.
     #[must_use]
     pub fn chain_length(&self, digest: &BodyDigest) -> u32 {
         self.histories
@@ -191,7 +192,7 @@
             .map_or(0, |history| history.chain_length().0)
     }
 
-    /// Returns for how long a request is still held back.
+    /// Returns the remaining hold time of a request, if it is held.
     #[must_use]
     pub fn remaining_hold(&self, digest: &BodyDigest, now: Moment) -> Option<Duration> {
         let (links, last) = self.histories.get(digest)?.chain_length();
@@ -199,26 +200,26 @@
         let hold = INITIAL_HOLD
             .saturating_mul(1 << further.min(16))
             .min(MAX_HOLD);
-        let left = hold.saturating_sub(since(now, last));
-        (!left.is_zero()).then_some(left)
+        let remaining = hold.saturating_sub(since(now, last));
+        (!remaining.is_zero()).then_some(remaining)
     }
 
-    /// Returns whether there is something to be passed on and nobody about to.
-    /// Whoever is told so is.
+    /// Returns whether there is evidence to forward and no task is about to. If so, the
+    /// caller has to forward it.
     pub fn begin_forwarding(&mut self) -> bool {
         let begin = !self.forwarding && !self.unforwarded.is_empty();
         self.forwarding |= begin;
         begin
     }
 
-    /// Returns what was seen here and not yet passed on.
+    /// Takes the evidence that was observed here and not yet forwarded.
     pub fn take_unforwarded(&mut self) -> Vec<Evidence> {
         self.forwarding = false;
         std::mem::take(&mut self.unforwarded)
     }
 
-    // Over its capacity the case that was quiet longest goes: it is the least
-    // likely to come again.
+    // Evicts the request with the oldest evidence when over capacity, as it is the least
+    // likely to return.
     fn evict_oldest(&mut self) {
         if self.histories.len() <= MAX_TRACKED_REQUESTS {
             return;
--- a/crates/direct/src/suspects/tests.rs
+++ b/crates/direct/src/suspects/tests.rs
@@ -39,10 +39,10 @@
     tracker.remaining_hold(&DIGEST, ms(now))
 }
 
-// A request takes an endpoint down, is sent to another and takes that down,
-// and so on. From the third on it waits, and longer after each further one.
+// A request takes an endpoint down, is sent to another one, takes that down, and so on.
+// From the third crash on it is held, and for longer after each further one.
 #[test]
-fn a_chain_of_three_is_held_back_and_longer_each_time() {
+fn a_chain_of_three_is_held_and_longer_each_time() {
     let chain = [
         crashed(1, 0, 100),
         crashed(2, 110, 200),
@@ -55,18 +55,18 @@
     assert_eq!(remaining_hold(&chain, 40_100), Some(INITIAL_HOLD * 2));
 }
 
-// All endpoints of a service lose power at once while the same stock check is
-// in flight on each. Nobody sent it again after an end, so it is no chain.
+// All endpoints of a service lose power at once while the same stock check is in flight
+// on each. It was not sent again after an end, so there is no chain.
 #[test]
 fn endpoints_that_end_together_count_once() {
     let together: Vec<_> = (1..9).map(|n| crashed(n, 90 - n, 100 + n)).collect();
     assert_eq!(remaining_hold(&together, 200), None);
 }
 
-// A stock check is in flight on each of three endpoints that go down minutes
-// apart. It was answered in between.
+// A stock check is in flight on each of three endpoints that go down minutes apart, and
+// was answered in between.
 #[test]
-fn an_answer_clears_what_came_before() {
+fn an_answer_clears_earlier_crashes() {
     let mut records = vec![
         crashed(1, 0, 100),
         crashed(2, 200, 300),
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn an_answer_to_an_unsuspected_request_leaves_no_trace() {
+fn an_answer_to_a_request_without_crashes_is_not_recorded() {
     let mut tracker = CrashTracker::default();
     tracker.record_local(answered(0, 10));
     assert!(tracker.is_empty());
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn evidence_is_bounded_and_ends() {
+fn evidence_is_bounded_and_expires() {
     let mut tracker = CrashTracker::default();
     for n in 0..=MAX_TRACKED_REQUESTS as u64 {
         tracker.record(Evidence {
@@ -120,10 +120,10 @@
     }
 
     #[test]
-    fn passing_on_keeps_what_was_seen(sent in 0..1_000_u64, took in 0..1_000_u64, way in 0..5_u64) {
+    fn forwarding_preserves_evidence(sent in 0..1_000_u64, took in 0..1_000_u64, transit in 0..5_u64) {
         let seen = crashed(1, sent, sent + took);
-        let passed = ForwardedEvidence::from_evidence(&seen, ms(5_000)).to_evidence(ms(5_000 + way));
-        prop_assert_eq!(passed.observed_at, seen.observed_at + ms(way));
-        prop_assert_eq!(passed.sent_at, seen.sent_at + ms(way));
+        let received = ForwardedEvidence::from_evidence(&seen, ms(5_000)).to_evidence(ms(5_000 + transit));
+        prop_assert_eq!(received.observed_at, seen.observed_at + ms(transit));
+        prop_assert_eq!(received.sent_at, seen.sent_at + ms(transit));
     }
 }
