--- a/crates/direct/src/attempt.rs
+++ b/crates/direct/src/attempt.rs
@@ -51,18 +51,18 @@
 #[must_use]
 pub fn classify_response(
     status: StatusCode,
-    answer: &ResponseFields,
+    fields: &ResponseFields,
     id: &str,
     idempotent: bool,
 ) -> Verdict {
-    if answer.is_for_other_attempt(id) || answer.content_encoded {
+    if fields.is_for_other_attempt(id) || fields.content_encoded {
         return Verdict::Failed(Failure::Lost);
     }
-    if answer.not_run || status == StatusCode::MISDIRECTED_REQUEST {
+    if fields.not_run || status == StatusCode::MISDIRECTED_REQUEST {
         return Verdict::Failed(Failure::Refused);
     }
     let promises = matches!(status.as_u16(), 408 | 429 | 503);
-    match (answer.signed, idempotent) {
+    match (fields.signed, idempotent) {
         (false, _) if status.is_success() || status.is_server_error() => {
             Verdict::Failed(Failure::Lost)
         }
--- a/crates/direct/src/attempt/tests.rs
+++ b/crates/direct/src/attempt/tests.rs
@@ -5,7 +5,7 @@
 use crate::dialect::ResponseFields;
 use crate::refusal::Reason;
 
-fn answer(attempt: &str) -> ResponseFields {
+fn response_fields(attempt: &str) -> ResponseFields {
     ResponseFields {
         attempt_id: Some(attempt.to_owned()),
         signed: true,
@@ -13,9 +13,9 @@
     }
 }
 
-fn verdict(status: u16, answer: &ResponseFields, idempotent: bool) -> Verdict {
+fn verdict(status: u16, fields: &ResponseFields, idempotent: bool) -> Verdict {
     let status = StatusCode::from_u16(status).expect("a status");
-    classify_response(status, answer, "a1", idempotent)
+    classify_response(status, fields, "a1", idempotent)
 }
 
 /// An endpoint answered one request twice. The second answer arrived where the
@@ -23,10 +23,10 @@
 #[test]
 fn an_answer_to_another_attempt_is_nobodys() {
     assert_eq!(
-        verdict(200, &answer("a0"), true),
+        verdict(200, &response_fields("a0"), true),
         Verdict::Failed(Failure::Lost)
     );
-    assert_eq!(verdict(200, &answer("a1"), false), Verdict::Relay);
+    assert_eq!(verdict(200, &response_fields("a1"), false), Verdict::Relay);
 }
 
 /// An endpoint ran an order, then said 503 without its word that it had not
@@ -34,11 +34,11 @@
 #[test]
 fn a_promise_without_the_endpoints_word_is_not_passed_on() {
     let failed = Verdict::Failed(Failure::Failed);
-    assert_eq!(verdict(503, &answer("a1"), false), failed);
-    assert_eq!(verdict(429, &answer("a1"), false), failed);
+    assert_eq!(verdict(503, &response_fields("a1"), false), failed);
+    assert_eq!(verdict(429, &response_fields("a1"), false), failed);
     let refused = ResponseFields {
         not_run: true,
-        ..answer("a1")
+        ..response_fields("a1")
     };
     assert_eq!(
         verdict(503, &refused, false),
@@ -50,7 +50,7 @@
 fn a_success_that_nobody_signed_is_no_answer() {
     let unsigned = ResponseFields {
         signed: false,
-        ..answer("a1")
+        ..response_fields("a1")
     };
     assert_eq!(
         verdict(200, &unsigned, true),
@@ -58,16 +58,19 @@
     );
     let encoded = ResponseFields {
         content_encoded: true,
-        ..answer("a1")
+        ..response_fields("a1")
     };
     assert_eq!(verdict(200, &encoded, true), Verdict::Failed(Failure::Lost));
 }
 
 #[test]
 fn failures_of_the_endpoint_may_be_tried_elsewhere_if_that_does_no_harm() {
-    assert_eq!(verdict(500, &answer("a1"), true), Verdict::Fallback);
-    assert_eq!(verdict(500, &answer("a1"), false), Verdict::Relay);
-    assert_eq!(verdict(404, &answer("a1"), true), Verdict::Relay);
+    assert_eq!(
+        verdict(500, &response_fields("a1"), true),
+        Verdict::Fallback
+    );
+    assert_eq!(verdict(500, &response_fields("a1"), false), Verdict::Relay);
+    assert_eq!(verdict(404, &response_fields("a1"), true), Verdict::Relay);
 }
 
 fn failure() -> impl Strategy<Value = Failure> {
--- a/crates/direct/src/relay.rs
+++ b/crates/direct/src/relay.rs
@@ -1,9 +1,9 @@
-//! One request, from its head to the head of its answer.
+//! Handles one caller's request up to the head of its response.
 //!
-//! [`answer`] takes it in, has it run and hands back what the caller gets. A
-//! [`Job`] is the request on its way: it is resolved again under the newest
-//! configuration each time it is sent, so a key that was taken away or a route
-//! that moved while it waited or failed is never acted on.
+//! [`handle_request`] reads the request, dispatches it to an endpoint and returns the
+//! response for the caller. A [`Job`] is an accepted request. It is resolved again under
+//! the current configuration before each attempt, so an API key that was revoked or a
+//! route that changed in the meantime is never used.
 
 mod answer;
 mod choose;
@@ -35,15 +35,15 @@
 use crate::refusal::Reason;
 use crate::shared::{Admission, Shared};
 
-/// How long after its start an instance may take to be informed: twice what it
-/// takes one of eighty that start together.
-const STARTS: Duration = Duration::from_millis(1_200);
+/// How long after its start an instance may take to load its configuration and endpoints:
+/// twice the time that one of eighty instances starting together needs.
+const STARTUP_GRACE: Duration = Duration::from_millis(1_200);
 
-/// The part of its caller's patience that a request waits for that at most: a
-/// refusal must leave enough for a repeat elsewhere.
-const OF_PATIENCE: u32 = 2;
+/// A request waits for startup for at most the caller's timeout divided by this, so that
+/// a refusal leaves enough time for a retry at another instance.
+const STARTUP_WAIT_DIVISOR: u32 = 2;
 
-/// Answers a caller's request.
+/// Handles a caller's request and returns the response.
 pub(crate) async fn handle_request(
     shared: Arc<Shared>,
     request: Request<Incoming>,
@@ -54,29 +54,30 @@
         Err(refused) => refuse(&shared, &refused),
     };
     if shared.is_draining() {
-        // The balancer sends no new connections; what comes on this one is to
-        // go to another instance.
+        // The load balancer opens no new connections to a draining instance. Closing this
+        // one sends the caller's next request to another instance.
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
     }
     response
 }
 
-/// A request that gets an answer of the instance's own.
+/// A request that the instance answers itself with an error.
 struct Refused {
     reason: Reason,
-    who: Who,
+    request: RefusedRequest,
 }
 
-/// What is known of a refused request.
-enum Who {
-    /// It came far enough to be resolved.
-    Job(Box<Job>),
-    /// It has at most this.
-    Head {
-        /// Its id.
+/// What is known about a refused request.
+enum RefusedRequest {
+    /// The request was resolved to a route.
+    Resolved(Box<Job>),
+    /// The request was refused before it was resolved; the fields hold what could be
+    /// read.
+    Unresolved {
+        /// The attempt id.
         id: Option<String>,
-        /// The version that took its key away.
+        /// The configuration version that revoked its API key.
         revoked_in: Option<Version>,
     },
 }
@@ -87,77 +88,80 @@
     arrived: Moment,
 ) -> Result<Response<Body>, Refused> {
     let (head, body) = request.into_parts();
-    let facts = (shared.dialect.read_request)(&head.headers);
-    let id = facts.as_ref().map(|facts| job::shown(&facts.attempt_id));
-    let key = facts.as_ref().and_then(|facts| facts.key.clone());
-    if let Some(facts) = &facts {
-        start_up(shared, facts).await;
+    let fields = (shared.dialect.read_request)(&head.headers);
+    let id = fields
+        .as_ref()
+        .map(|fields| job::loggable_id(&fields.attempt_id));
+    let key = fields.as_ref().and_then(|fields| fields.key.clone());
+    if let Some(fields) = &fields {
+        wait_for_startup(shared, fields).await;
     }
-    let mut job = match job(shared, head, facts, arrived) {
+    let mut job = match accept(shared, head, fields, arrived) {
         Ok(job) => job,
         Err(reason) => {
             let revoked_in = key.and_then(|key| shared.view().revoked.revoking_version(&key));
-            let who = Who::Head { id, revoked_in };
-            return Err(Refused { reason, who });
+            let request = RefusedRequest::Unresolved { id, revoked_in };
+            return Err(Refused { reason, request });
         }
     };
-    let sent = match read(&mut job, body).await {
+    let response = match read_body(&mut job, body).await {
         Ok(()) => dispatch(&mut job, None).await,
         Err(reason) => Err(reason),
     };
-    match sent {
-        Ok(sent) => Ok(answer::relay(job, sent).await),
+    match response {
+        Ok(response) => Ok(answer::relay(job, response).await),
         Err(reason) => {
-            let who = Who::Job(job);
-            Err(Refused { reason, who })
+            let request = RefusedRequest::Resolved(job);
+            Err(Refused { reason, request })
         }
     }
 }
 
-// Waits, at an instance that has just started, until it is informed.
+// Waits, on an instance that has just started, until configuration and endpoints are
+// loaded.
 //
-// After a loss of all instances everybody returns at once. One of a few is
-// informed 30 ms after it listens, one of eighty with hundreds of routes after
-// 600 ms: it isn't known that a request can't be served, and what is refused uses
-// up its caller's only repeat at the next instance that isn't informed either.
-// An instance that is not informed by then has lost the log, and refuses at once.
-async fn start_up(shared: &Shared, facts: &RequestFields) {
-    let left = STARTS.saturating_sub(shared.uptime());
-    if left.is_zero() || shared.can_route() {
+// After a loss of all instances, all callers return at once. A single instance is
+// informed 30 ms after it listens, one of eighty with hundreds of routes after 600 ms.
+// Until then it is unknown whether a request can be served, and a refusal would use up
+// the caller's only retry at another instance that isn't informed either. An instance
+// that is still not informed after `STARTUP_GRACE` has lost the log and refuses at once.
+async fn wait_for_startup(shared: &Shared, fields: &RequestFields) {
+    let remaining = STARTUP_GRACE.saturating_sub(shared.uptime());
+    if remaining.is_zero() || shared.can_route() {
         return;
     }
-    let patience = facts.timeout.unwrap_or(STARTS) / OF_PATIENCE;
-    let mut beliefs = shared.view_changes();
-    let informed = async { while !shared.can_route() && beliefs.changed().await.is_ok() {} };
-    if timeout(left.min(patience), informed).await.is_err() {
-        log::info!(request:% = job::shown(&facts.attempt_id); "not informed within the start");
+    let max_wait = fields.timeout.unwrap_or(STARTUP_GRACE) / STARTUP_WAIT_DIVISOR;
+    let mut view_changes = shared.view_changes();
+    let can_route = async { while !shared.can_route() && view_changes.changed().await.is_ok() {} };
+    if timeout(remaining.min(max_wait), can_route).await.is_err() {
+        log::info!(request:% = job::loggable_id(&fields.attempt_id); "configuration or endpoints not loaded within the startup grace period");
     }
 }
 
-fn job(
+fn accept(
     shared: &Arc<Shared>,
     head: Parts,
-    facts: Option<RequestFields>,
+    fields: Option<RequestFields>,
     arrived: Moment,
 ) -> Result<Box<Job>, Reason> {
     let admission = shared.admit().ok_or(Reason::Overloaded)?;
-    Job::new(shared, head, facts, arrived, admission).map(Box::new)
+    Job::new(shared, head, fields, arrived, admission).map(Box::new)
 }
 
-// Reads the caller's body whole: only then can it be sent a second time, and
-// an endpoint that answers early or late never meets half of it. A request
-// that names two lengths is read by its chunks, and hyper closes its
-// connection afterwards, so that what is hidden behind it is never read.
-async fn read(job: &mut Job, body: Incoming) -> Result<(), Reason> {
+// Reads the whole request body before sending anything. This allows a retry, and an
+// endpoint that responds early or late never sees a partial body. A request with both
+// `Content-Length` and chunked encoding is read by its chunks, and hyper closes its
+// connection afterwards, so smuggled data behind it is never read.
+async fn read_body(job: &mut Job, body: Incoming) -> Result<(), Reason> {
     let limit = job.limits().body_bytes;
-    let whole = timeout_at(job.until(), Limited::new(body, limit).collect())
+    let collected = timeout_at(job.timer_deadline(), Limited::new(body, limit).collect())
         .await
         .map_err(|_elapsed| Reason::BodyTimeout)?;
-    let bytes = match whole {
-        Ok(whole) => whole.to_bytes(),
+    let bytes = match collected {
+        Ok(body) => body.to_bytes(),
         Err(error) if error.is::<LengthLimitError>() => return Err(Reason::BodyTooLarge),
         Err(error) => {
-            log::debug!(request:% = job.id(), error:% = error; "body broke off");
+            log::debug!(request:% = job.id(), error:% = error; "request body broke off");
             return Err(Reason::Malformed);
         }
     };
@@ -171,9 +175,11 @@
 fn refuse(shared: &Shared, refused: &Refused) -> Response<Body> {
     let reason = refused.reason;
     shared.metrics.count_refusal(reason);
-    match &refused.who {
-        Who::Job(job) => job.refused(reason),
-        Who::Head { id, revoked_in } => unresolved(shared, reason, id.as_deref(), *revoked_in),
+    match &refused.request {
+        RefusedRequest::Resolved(job) => job.record_refusal(reason),
+        RefusedRequest::Unresolved { id, revoked_in } => {
+            record_unresolved(shared, reason, id.as_deref(), *revoked_in);
+        }
     }
     let text = format!(
         "{{\"title\":\"{}\",\"detail\":\"{reason}\"}}\n",
@@ -191,7 +197,7 @@
     response
 }
 
-// Says when to come back, if that may help.
+// Sets `Retry-After` if a retry may help.
 fn set_retry_after(shared: &Shared, headers: &mut HeaderMap, reason: Reason) {
     let Some(wait) = reason.retry_after() else {
         return;
@@ -200,12 +206,17 @@
     let value = (shared.dialect.format_retry_after)(wait);
     match HeaderValue::try_from(value) {
         Ok(value) => drop(headers.insert(RETRY_AFTER, value)),
-        Err(error) => log::error!(error:% = error; "time to come back can't be spelled"),
+        Err(error) => log::error!(error:% = error; "Retry-After value is not a valid header value"),
     }
 }
 
-// Counts and logs a refusal of a request that was never resolved.
-fn unresolved(shared: &Shared, reason: Reason, id: Option<&str>, revoked_in: Option<Version>) {
+// Counts and logs a request that was refused before it was resolved.
+fn record_unresolved(
+    shared: &Shared,
+    reason: Reason,
+    id: Option<&str>,
+    revoked_in: Option<Version>,
+) {
     let metrics = shared.metrics.requests();
     let status = reason.status().as_u16();
     metrics.head(&metrics.nobody(), reason.outcome(), status, Duration::ZERO);
--- a/crates/direct/src/relay/answer.rs
+++ b/crates/direct/src/relay/answer.rs
@@ -1,8 +1,8 @@
-//! Passing an endpoint's answer on to the caller.
+//! Relays an endpoint's response to the caller.
 //!
-//! A plain answer is gathered first, up to a size: if it breaks off, the
-//! request may still go to another endpoint, or the caller is told at once
-//! that its fate is unknown. An event stream is passed on as it comes.
+//! A response that isn't a stream is buffered first, up to a size limit. If it breaks
+//! off, the request can be retried at another endpoint, or the caller is told at once
+//! that the outcome is unknown. An event stream is relayed as it arrives.
 
 use bytes::{Bytes, BytesMut};
 use godwitpost_client::connect::{Body, Received};
@@ -12,43 +12,44 @@
 use http_body_util::{BodyExt, Full};
 use tokio::time::timeout_at;
 
-use super::send::{Gathered, turns_away};
+use super::send::{BufferedBody, is_capacity_refusal};
 use super::{
-    BodyEnd, EndpointResponse, Job, Refused, Who, choose, dispatch, headers, refuse,
+    BodyEnd, EndpointResponse, Job, Refused, RefusedRequest, choose, dispatch, headers, refuse,
     set_retry_after,
 };
 use crate::attempt::{Failure, Next};
 use crate::refusal::Reason;
 use crate::stream::Stream;
 
-/// The length up to which an answer is gathered. Plain services answer with a
-/// few kilobytes.
-const GATHERED: usize = 64 << 10;
+/// The maximum size of a buffered response. Plain services respond with a few kilobytes.
+const MAX_BUFFERED_BYTES: usize = 64 << 10;
 
-pub(super) async fn relay(mut job: Box<Job>, mut sent: EndpointResponse) -> Response<Body> {
-    if job.kind().is_stream() && sent.head.status.is_success() {
-        return stream(job, sent, Bytes::new());
+pub(super) async fn relay(mut job: Box<Job>, mut response: EndpointResponse) -> Response<Body> {
+    if job.kind().is_stream() && response.head.status.is_success() {
+        return relay_stream(job, response, Bytes::new());
     }
     loop {
-        let until = job.until();
-        let gathered = timeout_at(until, gather(sent.body)).await;
-        match gathered.unwrap_or(Gathered::Broken) {
-            Gathered::Whole(bytes) => return whole(&job, sent.head, &sent.flight, bytes),
-            Gathered::Long(first, rest) => {
-                sent.body = rest;
-                return stream(job, sent, first);
+        let until = job.timer_deadline();
+        let buffered = timeout_at(until, buffer_body(response.body)).await;
+        match buffered.unwrap_or(BufferedBody::Broken) {
+            BufferedBody::Whole(bytes) => {
+                return relay_buffered(&job, response.head, &response.in_flight, bytes);
             }
-            Gathered::Broken => {
-                log::warn!(request:% = job.id(), endpoint:% = sent.flight.name(); "answer broke off");
-                sent.flight.broke();
-                sent.flight.look(job.id(), job.digest());
-                drop(sent.flight);
-                match again(&mut job).await {
-                    Ok(next) => sent = next,
+            BufferedBody::TooLong(buffered, rest) => {
+                response.body = rest;
+                return relay_stream(job, response, buffered);
+            }
+            BufferedBody::Broken => {
+                log::warn!(request:% = job.id(), endpoint:% = response.in_flight.name(); "response broke off");
+                response.in_flight.record_broken_response();
+                response.in_flight.check_for_crash(job.id(), job.digest());
+                drop(response.in_flight);
+                match retry(&mut job).await {
+                    Ok(next) => response = next,
                     Err(reason) => {
                         let shared = std::sync::Arc::clone(job.shared());
-                        let who = Who::Job(job);
-                        return refuse(&shared, &Refused { reason, who });
+                        let request = RefusedRequest::Resolved(job);
+                        return refuse(&shared, &Refused { reason, request });
                     }
                 }
             }
@@ -56,11 +57,11 @@
     }
 }
 
-async fn again(job: &mut Job) -> Result<EndpointResponse, Reason> {
+async fn retry(job: &mut Job) -> Result<EndpointResponse, Reason> {
     match job.attempts.record_failure(Failure::Lost) {
-        Next::Retry { .. } if !job.left().is_zero() => {}
+        Next::Retry { .. } if !job.remaining().is_zero() => {}
         Next::Retry { .. } => return Err(job.attempts.deadline_reason()),
-        Next::GiveUp(_) if job.left().is_zero() => return Err(job.attempts.deadline_reason()),
+        Next::GiveUp(_) if job.remaining().is_zero() => return Err(job.attempts.deadline_reason()),
         Next::GiveUp(reason) => return Err(reason),
     }
     let now = godwitpost_client::clock::boot_time();
@@ -72,60 +73,61 @@
     dispatch(job, None).await
 }
 
-async fn gather(mut body: Received) -> Gathered {
+async fn buffer_body(mut body: Received) -> BufferedBody {
     let mut bytes = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else {
-            return Gathered::Broken;
+            return BufferedBody::Broken;
         };
         if let Some(data) = frame.data_ref() {
             bytes.extend_from_slice(data);
         }
-        if bytes.len() > GATHERED {
-            return Gathered::Long(bytes.freeze(), body);
+        if bytes.len() > MAX_BUFFERED_BYTES {
+            return BufferedBody::TooLong(bytes.freeze(), body);
         }
     }
-    Gathered::Whole(bytes.freeze())
+    BufferedBody::Whole(bytes.freeze())
 }
 
-fn whole(
+fn relay_buffered(
     job: &Job,
     mut head: Parts,
-    flight: &super::InFlightRequest,
+    in_flight: &super::InFlightRequest,
     bytes: Bytes,
 ) -> Response<Body> {
-    // The answer to HEAD has the length of what GET would have got.
+    // The response to HEAD keeps the Content-Length that GET would have returned.
     if job.method != Method::HEAD {
-        headers::strip(&mut head.headers);
+        headers::remove_hop_by_hop(&mut head.headers);
     }
-    // The endpoint's own time is for this instance: others may take the request before.
-    if turns_away(head.status) && head.headers.contains_key(RETRY_AFTER) {
-        let reason = choose::paused(job).unwrap_or(Reason::Refused);
+    // The endpoint's `Retry-After` is meant for this instance; other endpoints may accept
+    // the request sooner.
+    if is_capacity_refusal(head.status) && head.headers.contains_key(RETRY_AFTER) {
+        let reason = choose::pause_reason(job).unwrap_or(Reason::Refused);
         set_retry_after(job.shared(), &mut head.headers, reason);
     }
-    job.answered(flight.name(), head.status.as_u16());
-    job.ended(BodyEnd::Whole);
+    job.record_response(in_flight.name(), head.status.as_u16());
+    job.record_end(BodyEnd::Whole);
     let body = Full::new(bytes).map_err(Into::into);
     Response::from_parts(head, body.boxed_unsync())
 }
 
-fn stream(job: Box<Job>, sent: EndpointResponse, first: Bytes) -> Response<Body> {
+fn relay_stream(job: Box<Job>, response: EndpointResponse, buffered: Bytes) -> Response<Body> {
     let EndpointResponse {
         mut head,
         body,
-        flight,
-    } = sent;
-    job.answered(flight.name(), head.status.as_u16());
-    if first.is_empty() {
-        headers::strip(&mut head.headers);
+        in_flight,
+    } = response;
+    job.record_response(in_flight.name(), head.status.as_u16());
+    if buffered.is_empty() {
+        headers::remove_hop_by_hop(&mut head.headers);
     } else {
-        // What is passed on is as long as it was said to be.
+        // The body is relayed unchanged, so its Content-Length still applies.
         let length = head.headers.get(http::header::CONTENT_LENGTH).cloned();
-        headers::strip(&mut head.headers);
+        headers::remove_hop_by_hop(&mut head.headers);
         if let Some(length) = length {
             head.headers.insert(http::header::CONTENT_LENGTH, length);
         }
     }
-    let body = Stream::new(job, body, flight, first);
+    let body = Stream::new(job, body, in_flight, buffered);
     Response::from_parts(head, body.boxed_unsync())
 }
--- a/crates/direct/src/relay/choose.rs
+++ b/crates/direct/src/relay/choose.rs
@@ -1,4 +1,4 @@
-//! Choosing the endpoint of an attempt.
+//! Chooses the endpoint of an attempt.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,14 +18,15 @@
 use crate::roster::Registration;
 use crate::shared::View;
 
-/// What is kept back of the time that is left when it is handed on: the answer
-/// still has to come back.
-pub(super) const RETURN: Duration = Duration::from_millis(3);
+/// The part of the remaining time that is not passed on to the endpoint, reserved for the
+/// response's way back.
+pub(super) const RESPONSE_RETURN_TIME: Duration = Duration::from_millis(3);
 
-/// The part of its time that a caller waits at most for endpoints that want no requests.
-const OF_LEFT: u32 = 3;
+/// A caller is asked to wait for paused endpoints for at most its remaining time divided
+/// by this.
+const PAUSE_WAIT_DIVISOR: u32 = 3;
 
-/// The endpoint of an attempt, and what it was picked by.
+/// The endpoint chosen for an attempt, and why.
 pub(super) struct Chosen {
     pub(super) registration: Arc<Registration>,
     pub(super) choice: Choice,
@@ -33,42 +34,48 @@
     pub(super) source: Option<Source>,
 }
 
-/// Resolves the request anew and picks its endpoint.
+/// Resolves the request again and chooses its endpoint.
 ///
 /// # Errors
 ///
-/// Returns why it can't be sent now.
-pub(super) fn choose(job: &mut Job) -> Result<Chosen, Reason> {
+/// Returns the reason why it can't be sent now.
+pub(super) fn choose_endpoint(job: &mut Job) -> Result<Chosen, Reason> {
     let shared = Arc::clone(&job.shared);
-    // In this order: a version published in between is then confirmed at least
-    // as well as is believed.
-    let fresh = shared.is_policy_current();
+    // The lease has to be checked before the view is loaded: a version published in
+    // between is then confirmed at least as recently as assumed.
+    let policy_current = shared.is_policy_current();
     let view = shared.view();
-    job.renew(&view, fresh)?;
-    if let Some(left) = job.held() {
+    job.resolve_again(&view, policy_current)?;
+    if let Some(left) = job.quarantine_remaining() {
         return Err(Reason::Held { left });
     }
-    if job.left() <= RETURN {
+    if job.remaining() <= RESPONSE_RETURN_TIME {
         return Err(job.attempts.deadline_reason());
     }
     let registrations = view.usable(job.service);
-    let split = split(job, registrations);
-    let candidates = candidates(job, &view, &split.usable);
-    let rest = rest(job, &view, &split);
-    let prefix = prefix(job, &candidates);
+    let groups = group_endpoints(job, registrations);
+    let candidates = candidates(job, &view, &groups.usable);
+    let unavailable = unavailable(job, &view, &groups);
+    let affinity = affinity(job, &candidates);
     let draw = rand::rng().random();
-    match pick(&candidates, rest, prefix, shared.settings.load_bound, draw) {
+    match pick(
+        &candidates,
+        unavailable,
+        affinity,
+        shared.settings.load_bound,
+        draw,
+    ) {
         Pick::Send { endpoint, choice } => {
             let chosen = candidates.iter().find(|one| one.endpoint == endpoint);
             let one = registrations
                 .iter()
                 .find(|one| one.endpoint.id == endpoint)
                 .ok_or(Reason::NoEndpoint)?;
-            if !spend(job, &view, one) {
+            if !take_share(job, &view, one) {
                 return Err(Reason::Warming);
             }
             Ok(Chosen {
-                source: source::find(job, &view, &candidates, &split.paused, one, draw),
+                source: source::find_source(job, &view, &candidates, &groups.paused, one, draw),
                 registration: Arc::clone(one),
                 choice,
                 load: chosen.map_or(0.0, |one| one.load),
@@ -76,33 +83,33 @@
         }
         Pick::Full => Err(Reason::Full),
         Pick::Wait => Err(Reason::Warming),
-        Pick::None => Err(none(job, &view, split.back)),
+        Pick::None => Err(unavailable_reason(job, &view, groups.resume_at)),
     }
 }
 
-/// Returns why a request that an endpoint refused can't go anywhere else now, if no other
-/// endpoint wants it: it is then in vain to come back before one does.
-pub(super) fn paused(job: &Job) -> Option<Reason> {
+/// Returns the reason to give for a request that an endpoint refused, if all endpoints
+/// that may run it are paused. A retry before one of them resumes would be in vain.
+pub(super) fn pause_reason(job: &Job) -> Option<Reason> {
     let view = job.shared.view();
-    let split = split(job, view.usable(job.service));
-    let all = split.usable.is_empty();
-    split
-        .back
-        .filter(|_| all)
-        .map(|back| paused_until(job, back))
+    let groups = group_endpoints(job, view.usable(job.service));
+    let all_paused = groups.usable.is_empty();
+    groups
+        .resume_at
+        .filter(|_| all_paused)
+        .map(|resume_at| pause_reason_until(job, resume_at))
 }
 
-// The refusal of a request that an endpoint wants again at `back` at the earliest. Another
-// instance may have endpoints that take it, so callers don't wait for longer than leaves
-// them time for that.
-fn paused_until(job: &Job, back: Moment) -> Reason {
-    let left = since(back, boot_time()).min(job.left() / OF_LEFT);
+// Returns the reason for a request whose endpoints are paused until `resume_at` or later.
+// Another instance may have endpoints that accept it, so the wait leaves the caller time
+// for a retry there.
+fn pause_reason_until(job: &Job, resume_at: Moment) -> Reason {
+    let left = since(resume_at, boot_time()).min(job.remaining() / PAUSE_WAIT_DIVISOR);
     Reason::Paused { left }
 }
 
-// Takes this instance's share of an endpoint if that is warming up; returns whether
-// there was one.
-fn spend(job: &Job, view: &View, registration: &Registration) -> bool {
+// Takes one request from this instance's share of an endpoint that is warming up. Returns
+// false if the share is used up.
+fn take_share(job: &Job, view: &View, registration: &Registration) -> bool {
     let endpoint = &registration.endpoint;
     let now = boot_time();
     let Some(ramp) = view.ramp(job.service, endpoint.id, now) else {
@@ -116,15 +123,16 @@
     job.shared.metrics.count_warming_share(taken);
     log::info!(
         request:% = job.id(), endpoint:% = endpoint.name, instances:? = instances, taken = taken;
-        "share of an endpoint that is warming up"
+        "took a share of an endpoint that is warming up"
     );
     taken
 }
 
-// Why there is no endpoint left, where some may want requests again at `back`.
-fn none(job: &Job, view: &View, back: Option<Moment>) -> Reason {
-    if let Some(back) = back {
-        return paused_until(job, back);
+// Returns the reason why no endpoint can be chosen. `resume_at` is when the first paused
+// endpoint resumes.
+fn unavailable_reason(job: &Job, view: &View, resume_at: Option<Moment>) -> Reason {
+    if let Some(resume_at) = resume_at {
+        return pause_reason_until(job, resume_at);
     }
     if !job.tried.is_empty() {
         return Reason::Unreachable;
@@ -139,84 +147,92 @@
     }
 }
 
-// What the request's prompt shares with others, where that counts.
-fn prefix(job: &Job, candidates: &[Candidate]) -> Option<Affinity> {
-    let part = job.facts.affinity_part().filter(|_| job.route.affinity)?;
-    let all = candidates.iter().map(|one| one.load).sum();
-    let id = job.apart().unwrap_or(part.id);
+// Returns the request's affinity, if its route uses affinity.
+fn affinity(job: &Job, candidates: &[Candidate]) -> Option<Affinity> {
+    let part = job.fields.affinity_part().filter(|_| job.route.affinity)?;
+    let total_load = candidates.iter().map(|one| one.load).sum();
+    let id = job.isolated_affinity_key().unwrap_or(part.id);
     let part = Part { id, ..part };
-    let mut book = job.shared.endpoint_stats();
-    let own = candidates.iter().map(|one| book.own_requests(one.endpoint));
+    let mut stats = job.shared.endpoint_stats();
+    let own = candidates
+        .iter()
+        .map(|one| stats.own_requests(one.endpoint));
     let own = f64::from(own.sum::<u32>());
-    Some(book.record_prompt(job.service, part, (own, all), boot_time()))
+    Some(stats.record_prompt(job.service, part, (own, total_load), boot_time()))
 }
 
-/// The endpoints of a request's service by what they may get of it. Those that are leaving
-/// by their own word, but not yet by the view, are none of these.
-struct Split<'a> {
-    /// It may be sent to these.
+/// The endpoints of a service, grouped by whether the request can be sent to them.
+/// Endpoints that announced that they are leaving, but that the view still lists, are in
+/// no group.
+struct EndpointGroups<'a> {
+    /// Endpoints that the request can be sent to.
     usable: Vec<&'a Registration>,
-    /// These may run it, but want no requests for now.
+    /// Endpoints that may run the request but asked for a pause.
     paused: Vec<&'a Registration>,
-    /// When the first of those wants requests again.
-    back: Option<Moment>,
-    /// These may not run it.
-    others: Vec<&'a Registration>,
+    /// When the first paused endpoint resumes.
+    resume_at: Option<Moment>,
+    /// Endpoints that may not run the request.
+    excluded: Vec<&'a Registration>,
 }
 
-fn split<'a>(job: &Job, registrations: &'a [Arc<Registration>]) -> Split<'a> {
-    let model = job.facts.model.as_deref().map(godwitpost_types::id::of);
+fn group_endpoints<'a>(job: &Job, registrations: &'a [Arc<Registration>]) -> EndpointGroups<'a> {
+    let model = job.fields.model.as_deref().map(godwitpost_types::id::of);
     let has_model = |one: &Registration| {
         let models = &one.endpoint.models;
         models.is_empty() || model.is_none_or(|model| models.contains(&model))
     };
     let may_run = |one: &Registration| job.may_run_in(one.endpoint.zone) && has_model(one);
-    let mut split = Split {
+    let mut groups = EndpointGroups {
         usable: Vec::with_capacity(registrations.len()),
         paused: Vec::new(),
-        back: None,
-        others: Vec::new(),
+        resume_at: None,
+        excluded: Vec::new(),
     };
     let now = boot_time();
     let notices = job.shared.notices();
     for one in registrations {
         match notices.get(one.endpoint.id, now) {
             Some(Notice::Leaving) => {}
-            _ if !may_run(one) => split.others.push(one),
+            _ if !may_run(one) => groups.excluded.push(one),
             Some(Notice::Paused { until }) => {
-                split.paused.push(one);
-                split.back = Some(split.back.map_or(until, |back| back.min(until)));
+                groups.paused.push(one);
+                groups.resume_at = Some(
+                    groups
+                        .resume_at
+                        .map_or(until, |resume_at| resume_at.min(until)),
+                );
             }
-            Some(Notice::Resuming) | None => split.usable.push(one),
+            Some(Notice::Resuming) | None => groups.usable.push(one),
         }
     }
-    split
+    groups
 }
 
-// What the service's endpoints have to which the request can't go now, and those in
-// evacuated zones.
-fn rest(job: &Job, view: &View, split: &Split<'_>) -> Unavailable {
+// Returns the number and load of the service's endpoints that the request can't be sent
+// to, including those in evacuated zones.
+fn unavailable(job: &Job, view: &View, groups: &EndpointGroups<'_>) -> Unavailable {
     let evacuated = view.evacuated(job.service);
-    let others = split.others.iter().chain(&split.paused);
-    let others: Vec<EndpointId> = others.map(|one| one.endpoint.id).collect();
-    if others.is_empty() && evacuated.is_empty() {
+    let excluded = groups.excluded.iter().chain(&groups.paused);
+    let excluded: Vec<EndpointId> = excluded.map(|one| one.endpoint.id).collect();
+    if excluded.is_empty() && evacuated.is_empty() {
         return Unavailable::default();
     }
     let now = boot_time();
     let evacuated: Vec<EndpointId> = evacuated.iter().map(|one| one.endpoint.id).collect();
-    let book = job.shared.endpoint_stats();
-    let used = book
-        .estimate(&others, now)
+    let stats = job.shared.endpoint_stats();
+    let excluded_load = stats
+        .estimate(&excluded, now)
         .into_iter()
-        .map(|look| look.load);
-    // Nothing comes to these any more, so they have no more than what was seen there.
-    let left = book
+        .map(|estimate| estimate.load);
+    // No new requests are sent to these, so their load is no more than what was last
+    // observed.
+    let evacuated_load = stats
         .estimate(&evacuated, now)
         .into_iter()
-        .map(|look| look.observed_load);
+        .map(|estimate| estimate.observed_load);
     Unavailable {
-        count: u32::try_from(others.len() + evacuated.len()).unwrap_or(u32::MAX),
-        load: used.chain(left).sum(),
+        count: u32::try_from(excluded.len() + evacuated.len()).unwrap_or(u32::MAX),
+        load: excluded_load.chain(evacuated_load).sum(),
     }
 }
 
@@ -224,38 +240,38 @@
     let zone = job.shared.settings.zone_id();
     let ids: Vec<EndpointId> = registrations.iter().map(|one| one.endpoint.id).collect();
     let now = boot_time();
-    let looks = job.shared.endpoint_stats().estimate(&ids, now);
+    let estimates = job.shared.endpoint_stats().estimate(&ids, now);
     let paths = job.shared.paths();
     let notices = job.shared.notices();
     let shares = job.shared.shares();
     let instances = job.shared.instance_count(now);
-    let access = |id: EndpointId, seen: Access| match notices.get(id, now) {
-        Some(Notice::Resuming) if seen == Access::Full => Access::Trial,
-        _ => seen,
+    let access = |id: EndpointId, observed: Access| match notices.get(id, now) {
+        Some(Notice::Resuming) if observed == Access::Full => Access::Trial,
+        _ => observed,
     };
-    let bar = |id: EndpointId| {
+    let exclusion = |id: EndpointId| {
         if job.tried.contains(&id) {
             return Some(Exclusion::Tried);
         }
         let ramp = view.ramp(job.service, id, now)?;
-        let left = shares.has_share(id, ramp, instances, now);
-        (!left).then_some(Exclusion::NoShare)
+        let has_share = shares.has_share(id, ramp, instances, now);
+        (!has_share).then_some(Exclusion::NoShare)
     };
     registrations
         .iter()
-        .zip(looks)
-        .map(|(one, look)| Candidate {
+        .zip(estimates)
+        .map(|(one, estimate)| Candidate {
             endpoint: one.endpoint.id,
-            load: look.load,
-            load_stddev: look.std_dev,
-            own_requests: look.own_requests,
-            observed_load: look.observed_load,
-            known_fraction: look.known,
+            load: estimate.load,
+            load_stddev: estimate.std_dev,
+            own_requests: estimate.own_requests,
+            observed_load: estimate.observed_load,
+            known_fraction: estimate.known,
             slots: one.slots,
             same_zone: one.endpoint.zone == zone,
             path_clear: paths.is_clear(one.endpoint.zone, now),
-            access: access(one.endpoint.id, look.access),
-            exclusion: bar(one.endpoint.id),
+            access: access(one.endpoint.id, estimate.access),
+            exclusion: exclusion(one.endpoint.id),
         })
         .collect()
 }
--- a/crates/direct/src/relay/crash.rs
+++ b/crates/direct/src/relay/crash.rs
@@ -1,8 +1,8 @@
-//! Whether an endpoint ended with a request.
+//! Detects whether an endpoint crashed while it ran a request.
 //!
-//! A connection that breaks says little: answers are lost, links are cut,
-//! connections are reset. An endpoint that ended refuses the next connection,
-//! while one that lives takes it and one whose machine is gone says nothing.
+//! A broken connection alone is weak evidence: responses get lost, links fail and
+//! connections are reset. A crashed endpoint refuses the next connection, a live one
+//! accepts it, and one whose machine is down doesn't answer at all.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -19,56 +19,56 @@
 use crate::shared::Shared;
 use crate::suspects::{Evidence, Observed};
 
-/// How long the refusal of a connection may take; a machine that lives sends
-/// it within a round trip.
-const PATIENCE: Duration = Duration::from_millis(250);
+/// How long to wait for a connection to be refused. A live machine refuses within a round
+/// trip.
+const CONNECT_REFUSAL_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A request that an endpoint had when its connection broke.
-pub(super) struct Broken {
+/// A request that was in flight when its connection to the endpoint broke.
+pub(super) struct BrokenRequest {
     pub(super) request: String,
     pub(super) digest: BodyDigest,
-    pub(super) sent: Moment,
+    pub(super) sent_at: Moment,
     pub(super) endpoint: EndpointId,
     pub(super) name: String,
     pub(super) address: SocketAddr,
 }
 
-/// Looks whether the endpoint ended, and notes it if it did.
-pub(super) async fn look(shared: Arc<Shared>, broken: Broken) {
+/// Checks whether the endpoint crashed, and records the evidence if it did.
+pub(super) async fn check_for_crash(shared: Arc<Shared>, broken: BrokenRequest) {
     let at = boot_time();
-    if !refuses(broken.address).await {
+    if !refuses_connection(broken.address).await {
         return;
     }
-    // What the next request would have found out.
+    // Marks the endpoint as down now, as the next request to it would.
     shared.mark_endpoint_down(broken.endpoint, broken.address);
-    let mut suspects = shared.crash_tracker();
-    suspects.record_local(Evidence {
+    let mut crash_tracker = shared.crash_tracker();
+    crash_tracker.record_local(Evidence {
         digest: broken.digest,
         observed: Observed::Crashed(broken.endpoint),
-        sent_at: broken.sent,
+        sent_at: broken.sent_at,
         observed_at: at,
     });
-    let chain = suspects.chain_length(&broken.digest);
-    drop(suspects);
+    let chain_length = crash_tracker.chain_length(&broken.digest);
+    drop(crash_tracker);
     log::warn!(
-        request:% = broken.request, endpoint:% = broken.name, chain = chain;
-        "endpoint ended with the request"
+        request:% = broken.request, endpoint:% = broken.name, chain = chain_length;
+        "endpoint crashed while it ran the request"
     );
     forward_evidence(&shared);
 }
 
-/// Notes that a request was answered, if that says anything of it.
-pub(super) fn answered(shared: &Arc<Shared>, digest: BodyDigest, sent: Moment) {
+/// Records that a request completed, which is evidence that it doesn't crash endpoints.
+pub(super) fn record_completed(shared: &Arc<Shared>, digest: BodyDigest, sent_at: Moment) {
     shared.crash_tracker().record_local(Evidence {
         digest,
         observed: Observed::Answered,
-        sent_at: sent,
+        sent_at,
         observed_at: boot_time(),
     });
     forward_evidence(shared);
 }
 
-async fn refuses(address: SocketAddr) -> bool {
-    let connection = timeout(PATIENCE, TcpStream::connect(address)).await;
+async fn refuses_connection(address: SocketAddr) -> bool {
+    let connection = timeout(CONNECT_REFUSAL_TIMEOUT, TcpStream::connect(address)).await;
     matches!(connection, Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
 }
--- a/crates/direct/src/relay/headers.rs
+++ b/crates/direct/src/relay/headers.rs
@@ -1,4 +1,4 @@
-//! Headers that concern one connection only and are not passed on.
+//! Removes hop-by-hop headers, which are not forwarded.
 
 use http::HeaderMap;
 use http::header::{
@@ -6,9 +6,9 @@
     TRAILER, TRANSFER_ENCODING, UPGRADE,
 };
 
-/// Those of RFC 9110, section 7.6.1, and older ones still seen. The length is
-/// set anew by whoever frames the body.
-const OWN: [HeaderName; 9] = [
+/// The hop-by-hop headers of RFC 9110, section 7.6.1, and older ones still in use.
+/// Content-Length is set again when the body is framed.
+const HOP_BY_HOP: [HeaderName; 9] = [
     CONNECTION,
     PROXY_AUTHENTICATE,
     PROXY_AUTHORIZATION,
@@ -20,8 +20,8 @@
     EXPECT,
 ];
 
-/// Takes them off, and those that `Connection` names.
-pub(super) fn strip(headers: &mut HeaderMap) {
+/// Removes the hop-by-hop headers and those that `Connection` names.
+pub(super) fn remove_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
@@ -29,7 +29,7 @@
         .flat_map(|value| value.split(','))
         .filter_map(|name| HeaderName::try_from(name.trim()).ok())
         .collect();
-    for name in named.iter().chain(&OWN) {
+    for name in named.iter().chain(&HOP_BY_HOP) {
         headers.remove(name);
     }
     headers.remove("keep-alive");
--- a/crates/direct/src/relay/job.rs
+++ b/crates/direct/src/relay/job.rs
@@ -1,4 +1,4 @@
-//! A request on its way, with all that a second attempt needs.
+//! An accepted request, with everything needed to retry it.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, OnceLock};
@@ -25,25 +25,25 @@
 use crate::refusal::Reason;
 use crate::shared::{Admission, Shared, View};
 
-/// What the head of a request line costs beside its headers' names and values.
-const PER_HEADER: usize = 4;
+/// The size of a header line beyond its name and value: `: ` and the line ending.
+const HEADER_LINE_OVERHEAD_BYTES: usize = 4;
 
-/// The length of an id from which on it is cut in logs.
-const ID_SHOWN: usize = 40;
+/// The maximum length of a caller's attempt id in logs.
+const MAX_LOGGED_ID_CHARS: usize = 40;
 
-/// The links of a chain of endpoints that ended from which on a request goes
-/// apart from others. With one link it is most likely innocent, and reading its
-/// prompt anew elsewhere would be wasted.
-const APART: u32 = 2;
+/// The number of endpoints that crashed in a row while running a request from which on it
+/// is placed apart from others. After a single crash the request is most likely innocent,
+/// and reading its prompt again elsewhere would be wasted.
+const MIN_CRASHES_TO_ISOLATE: u32 = 2;
 
-/// A request under the configuration that it was last resolved by.
+/// A request under the configuration by which it was last resolved.
 pub(crate) struct Job {
     pub(super) shared: Arc<Shared>,
     pub(super) method: Method,
     pub(super) target: Uri,
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
-    pub(super) facts: RequestFields,
+    pub(super) fields: RequestFields,
     pub(super) route: Arc<Route>,
     pub(super) workspace: Option<Arc<Workspace>>,
     pub(super) service: ServiceId,
@@ -53,16 +53,16 @@
     limits: Limits,
     host: String,
     arrived: Moment,
-    // Until when it may take, on both clocks: the one counts the time that a
-    // machine is suspended, the other wakes whoever waits.
+    // The deadline on both clocks: the boot clock counts time while the machine is
+    // suspended, the runtime's clock wakes waiting tasks.
     deadline: Moment,
-    until: Instant,
+    timer_deadline: Instant,
     labels: Labels,
     admission: Admission,
     id: String,
     digest: OnceLock<BodyDigest>,
-    // Whether the caller has been told anything.
-    told: AtomicBool,
+    // Whether the caller has been sent a response.
+    responded: AtomicBool,
 }
 
 impl std::fmt::Debug for Job {
@@ -76,15 +76,15 @@
 }
 
 impl Job {
-    /// Takes a request in by its head.
+    /// Resolves a request by its head.
     ///
     /// # Errors
     ///
-    /// Returns why it gets an answer of the instance's own.
+    /// Returns the reason why the instance refuses it.
     pub(super) fn new(
         shared: &Arc<Shared>,
         head: Parts,
-        facts: Option<RequestFields>,
+        fields: Option<RequestFields>,
         arrived: Moment,
         admission: Admission,
     ) -> Result<Self, Reason> {
@@ -94,67 +94,77 @@
             mut headers,
             ..
         } = head;
-        let fresh = shared.is_policy_current();
+        let policy_current = shared.is_policy_current();
         let view = shared.view();
         let policy = view.policy.as_ref().ok_or(Reason::Starting)?;
-        check(&headers, policy.limits())?;
+        check_head(&headers, policy.limits())?;
         let host = host(&uri, &headers).ok_or(Reason::Malformed)?;
-        let facts = facts.ok_or(Reason::Malformed)?;
-        let found = resolve(policy, &host, uri.path(), facts.key.as_deref(), fresh)?;
-        let patience = facts.timeout.unwrap_or(found.route.timeout);
-        let allowed = patience.min(found.route.timeout);
-        headers::strip(&mut headers);
-        let kind = found.route.kind;
-        let workspace = found.workspace.as_deref();
-        let name = workspace.map_or("(open)", |workspace| workspace.name.as_str());
-        let service = draw(&found.route);
+        let fields = fields.ok_or(Reason::Malformed)?;
+        let resolved = resolve(
+            policy,
+            &host,
+            uri.path(),
+            fields.key.as_deref(),
+            policy_current,
+        )?;
+        let requested = fields.timeout.unwrap_or(resolved.route.timeout);
+        let timeout = requested.min(resolved.route.timeout);
+        headers::remove_hop_by_hop(&mut headers);
+        let kind = resolved.route.kind;
+        let workspace = resolved.workspace.as_deref();
+        let workspace_name = workspace.map_or("(open)", |workspace| workspace.name.as_str());
+        let service = pick_service(&resolved.route);
         shared.budget().record_request(service, arrived);
         shared.metrics.requests().in_flight(1);
         Ok(Self {
-            labels: shared.metrics.labels(name, kind.as_str()),
+            labels: shared.metrics.labels(workspace_name, kind.as_str()),
             shared: Arc::clone(shared),
             method,
-            target: origin(&uri),
+            target: origin_form(&uri),
             headers,
             body: Bytes::new(),
-            id: shown(&facts.attempt_id),
+            id: loggable_id(&fields.attempt_id),
             digest: OnceLock::new(),
-            facts,
-            attempts: Attempts::new(kind.idempotent(), found.route.attempts),
-            route: found.route,
-            workspace: found.workspace,
+            fields,
+            attempts: Attempts::new(kind.idempotent(), resolved.route.attempts),
+            route: resolved.route,
+            workspace: resolved.workspace,
             service,
             version: policy.version(),
             tried: Vec::new(),
             limits: policy.limits(),
             host,
             arrived,
-            deadline: arrived + allowed,
-            until: Instant::now() + allowed.saturating_sub(since(boot_time(), arrived)),
+            deadline: arrived + timeout,
+            timer_deadline: Instant::now() + timeout.saturating_sub(since(boot_time(), arrived)),
             admission,
-            told: AtomicBool::new(false),
+            responded: AtomicBool::new(false),
         })
     }
 
-    /// Resolves the request anew under the configuration in force.
+    /// Resolves the request again under the current configuration.
     ///
     /// # Errors
     ///
-    /// Returns why it may no longer be sent.
-    pub(super) fn renew(&mut self, view: &View, fresh: bool) -> Result<(), Reason> {
+    /// Returns the reason why it may no longer be sent.
+    pub(super) fn resolve_again(
+        &mut self,
+        view: &View,
+        policy_current: bool,
+    ) -> Result<(), Reason> {
         let policy = view.policy.as_ref().ok_or(Reason::Starting)?;
-        let key = self.facts.key.as_deref();
-        let found = resolve(policy, &self.host, self.target.path(), key, fresh)?;
-        let moved = !found
+        let key = self.fields.key.as_deref();
+        let resolved = resolve(policy, &self.host, self.target.path(), key, policy_current)?;
+        let moved = !resolved
             .route
             .targets
             .iter()
             .any(|target| target.service == self.service);
         if moved {
-            self.service = draw(&found.route);
+            self.service = pick_service(&resolved.route);
         }
-        self.route = found.route;
-        self.workspace = found.workspace;
+        self.route = resolved.route;
+        self.workspace = resolved.workspace;
         self.version = policy.version();
         Ok(())
     }
@@ -163,8 +173,8 @@
         &self.id
     }
 
-    /// Returns what it is known by if it comes again. It takes some
-    /// microseconds, so it is asked for only once there is a reason.
+    /// Returns the digest that identifies the request if it is sent again. Computing it
+    /// takes some microseconds, so it is done on first use only.
     pub(crate) fn digest(&self) -> BodyDigest {
         *self.digest.get_or_init(|| {
             let path = self.target.path_and_query();
@@ -173,25 +183,28 @@
         })
     }
 
-    /// Returns for how long it is still held back since endpoints ended each
-    /// time that they ran it.
-    pub(super) fn held(&self) -> Option<Duration> {
-        let suspects = self.shared.crash_tracker();
-        if suspects.is_empty() {
+    /// Returns how much longer the request is quarantined because endpoints crashed each
+    /// time they ran it.
+    pub(super) fn quarantine_remaining(&self) -> Option<Duration> {
+        let crash_tracker = self.shared.crash_tracker();
+        if crash_tracker.is_empty() {
             return None;
         }
-        suspects.remaining_hold(&self.digest(), boot_time())
+        crash_tracker.remaining_hold(&self.digest(), boot_time())
     }
 
-    /// Returns what it is placed by if it may be one that crashes endpoints:
-    /// others that share its prompt's parts must not be where it is.
-    pub(super) fn apart(&self) -> Option<u64> {
-        let suspects = self.shared.crash_tracker();
-        if suspects.is_empty() || suspects.chain_length(&self.digest()) < APART {
+    /// Returns the affinity key of a request that may crash endpoints. It differs from
+    /// the key of its prompt, so that requests that share the prompt are not placed on
+    /// the same endpoint.
+    pub(super) fn isolated_affinity_key(&self) -> Option<u64> {
+        let crash_tracker = self.shared.crash_tracker();
+        if crash_tracker.is_empty()
+            || crash_tracker.chain_length(&self.digest()) < MIN_CRASHES_TO_ISOLATE
+        {
             return None;
         }
-        let half = self.digest().first_chunk().copied();
-        half.map(u64::from_le_bytes)
+        let first_half = self.digest().first_chunk().copied();
+        first_half.map(u64::from_le_bytes)
     }
 
     /// Returns whether endpoints in a zone may run it.
@@ -212,9 +225,9 @@
         self.service
     }
 
-    /// Returns the last event that the caller has by its own word.
-    pub(crate) const fn after(&self) -> Option<u64> {
-        self.facts.last_event_id
+    /// Returns the last event that the caller says it has received.
+    pub(crate) const fn last_event_id(&self) -> Option<u64> {
+        self.fields.last_event_id
     }
 
     pub(super) const fn limits(&self) -> Limits {
@@ -233,30 +246,30 @@
         self.body = body;
     }
 
-    /// Returns when its time is over, on the runtime's clock.
-    pub(crate) const fn until(&self) -> Instant {
-        self.until
+    /// Returns the deadline on the runtime's clock.
+    pub(crate) const fn timer_deadline(&self) -> Instant {
+        self.timer_deadline
     }
 
-    /// Returns how much of its time is left.
-    pub(crate) fn left(&self) -> Duration {
+    /// Returns the time until the deadline.
+    pub(crate) fn remaining(&self) -> Duration {
         since(self.deadline, boot_time())
     }
 
-    /// Returns how long ago it arrived.
+    /// Returns the time since the request arrived.
     pub(crate) fn age(&self) -> Duration {
         since(boot_time(), self.arrived)
     }
 
-    /// Returns its urgency; 0 goes first.
+    /// Returns its priority; 0 goes first.
     pub(super) fn rank(&self) -> u8 {
         let own = self.workspace.as_ref().and_then(|workspace| workspace.rank);
         own.unwrap_or(self.route.rank)
     }
 
-    /// Counts and logs the head of an endpoint's answer.
-    pub(crate) fn answered(&self, endpoint: &str, status: u16) {
-        self.told.store(true, Ordering::Relaxed);
+    /// Counts and logs the head of an endpoint's response.
+    pub(crate) fn record_response(&self, endpoint: &str, status: u16) {
+        self.responded.store(true, Ordering::Relaxed);
         let took = self.age();
         let outcome = Outcome::Ran;
         self.shared
@@ -270,9 +283,9 @@
         );
     }
 
-    /// Counts and logs an answer of the instance's own.
-    pub(super) fn refused(&self, reason: Reason) {
-        self.told.store(true, Ordering::Relaxed);
+    /// Counts and logs a refusal by this instance.
+    pub(super) fn record_refusal(&self, reason: Reason) {
+        self.responded.store(true, Ordering::Relaxed);
         let status = reason.status().as_u16();
         let took = self.age();
         self.shared
@@ -287,14 +300,14 @@
         );
     }
 
-    /// Counts and logs the end of an answer's body.
-    pub(crate) fn ended(&self, end: BodyEnd) {
+    /// Counts and logs the end of a response body.
+    pub(crate) fn record_end(&self, end: BodyEnd) {
         let took = self.age();
         godwitpost_process::metrics::Metrics::end(&self.labels, took);
         let level = match end {
             BodyEnd::Whole => {
                 if !self.shared.crash_tracker().is_empty() {
-                    crash::answered(&self.shared, self.digest(), self.arrived);
+                    crash::record_completed(&self.shared, self.digest(), self.arrived);
                 }
                 return;
             }
@@ -304,88 +317,96 @@
         log::log!(
             level, request:% = self.id, end:? = end, sent = self.attempts.sent() + 1,
             took_ms:% = took.as_millis();
-            "answer ended early"
+            "response ended early"
         );
     }
 }
 
-/// How the body of an answer ended.
+/// How the body of a response ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BodyEnd {
-    /// All of it was passed on.
+    /// It was relayed completely.
     Whole,
-    /// It was broken off.
+    /// It broke off.
     Broken,
-    /// The caller went away.
+    /// The caller disconnected.
     Left,
 }
 
 impl Drop for Job {
     fn drop(&mut self) {
-        if !self.told.load(Ordering::Relaxed) {
+        if !self.responded.load(Ordering::Relaxed) {
             log::info!(
                 request:% = self.id, sent = self.attempts.sent(), tried = self.tried.len(),
                 took_ms:% = self.age().as_millis();
-                "caller left before an answer"
+                "caller disconnected before a response"
             );
         }
         self.shared.metrics.requests().in_flight(-1);
     }
 }
 
-struct Found {
+struct Resolved {
     route: Arc<Route>,
     workspace: Option<Arc<Workspace>>,
 }
 
-// A configuration that was not confirmed lately may miss a route or a key that
-// is there by now, and may hold a key that was taken away: it neither serves
-// nor denies, it asks the caller to come again.
+// Resolves a request's route and workspace.
+//
+// A configuration that was not confirmed recently may lack a new route or key, and may
+// still contain a revoked key. In that case the request is neither served nor denied; the
+// caller is asked to retry.
 fn resolve(
     policy: &Policy,
     host: &str,
     path: &str,
     key: Option<&str>,
-    fresh: bool,
-) -> Result<Found, Reason> {
-    let denied = |reason| if fresh { reason } else { Reason::Unconfirmed };
+    policy_current: bool,
+) -> Result<Resolved, Reason> {
+    let denied = |reason| {
+        if policy_current {
+            reason
+        } else {
+            Reason::Unconfirmed
+        }
+    };
     let route = policy
         .route(host, path)
         .ok_or_else(|| denied(Reason::NoRoute))?;
     let workspace = match policy.caller(route, key) {
-        Caller::Known(workspace) if fresh || route.open => Some(workspace),
+        Caller::Known(workspace) if policy_current || route.open => Some(workspace),
         Caller::Known(_) => return Err(Reason::Unconfirmed),
         Caller::Anonymous => None,
         Caller::Unknown => return Err(denied(Reason::UnknownKey)),
     };
-    Ok(Found {
+    Ok(Resolved {
         route: Arc::clone(route),
         workspace,
     })
 }
 
-// Draws one of the route's services by their weights.
-fn draw(route: &Route) -> ServiceId {
+// Picks one of the route's services at random, by their weights.
+fn pick_service(route: &Route) -> ServiceId {
     let weight = |target: &Target| u64::from(target.weight);
     let sum: u64 = route.targets.iter().map(weight).sum();
     let first = route.targets.first().map_or(0, |target| target.service);
     if sum == 0 {
         return first;
     }
-    let mut at = rand::rng().random_range(0..sum);
+    let mut remaining = rand::rng().random_range(0..sum);
     for target in &route.targets {
-        if at < weight(target) {
+        if remaining < weight(target) {
             return target.service;
         }
-        at -= weight(target);
+        remaining -= weight(target);
     }
     first
 }
 
-fn check(headers: &HeaderMap, limits: Limits) -> Result<(), Reason> {
+fn check_head(headers: &HeaderMap, limits: Limits) -> Result<(), Reason> {
     let bytes: usize = headers
         .iter()
-        .map(|(name, value)| name.as_str().len() + value.len() + PER_HEADER)
+        .map(|(name, value)| name.as_str().len() + value.len() + HEADER_LINE_OVERHEAD_BYTES)
         .sum();
     if bytes > limits.head_bytes {
         return Err(Reason::HeadTooLarge);
@@ -396,21 +417,25 @@
     Ok(())
 }
 
-// The host of the target if it names one, else that of the header.
+// Returns the host of the request target, or of the Host header if the target has none.
 fn host(uri: &Uri, headers: &HeaderMap) -> Option<String> {
     let named = uri.authority().map(http::uri::Authority::as_str);
     let header = || headers.get(HOST)?.to_str().ok();
     named.or_else(header).map(str::to_owned)
 }
 
-fn origin(uri: &Uri) -> Uri {
+fn origin_form(uri: &Uri) -> Uri {
     uri.path_and_query()
         .map_or_else(Uri::default, |target| Uri::from(target.clone()))
 }
 
-// An id is the caller's text: it is shown only as far as it can't be mistaken
-// for anything else in a line.
-pub(super) fn shown(id: &str) -> String {
+// Returns an attempt id in the form that logs show. The id is the caller's text, so it is
+// shortened and reduced to characters that can't be mistaken for other parts of a log
+// line.
+pub(super) fn loggable_id(id: &str) -> String {
     let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    id.chars().filter(|c| plain(*c)).take(ID_SHOWN).collect()
+    id.chars()
+        .filter(|c| plain(*c))
+        .take(MAX_LOGGED_ID_CHARS)
+        .collect()
 }
--- a/crates/direct/src/relay/send.rs
+++ b/crates/direct/src/relay/send.rs
@@ -1,4 +1,4 @@
-//! Sending a request until an endpoint answers it, or it is given up.
+//! Sends a request until an endpoint responds or all attempts are used up.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,8 +18,8 @@
 use tokio::time::sleep;
 
 use super::Job;
-use super::choose::{self, Chosen, RETURN, choose};
-use super::crash::{Broken, look};
+use super::choose::{self, Chosen, RESPONSE_RETURN_TIME, choose_endpoint};
+use super::crash::{BrokenRequest, check_for_crash};
 use super::source::{self, Source};
 use crate::attempt::{Failure, Next, Verdict, classify_response};
 use crate::book::Liveness;
@@ -28,47 +28,47 @@
 use crate::roster::Registration;
 use crate::shared::Shared;
 
-/// How many times its objective a request waits for the head of an answer
-/// before it is tried elsewhere, where that does no harm. An endpoint that is
-/// that late will rarely do better than another one that begins now.
-const PATIENCE: u32 = 2;
+/// How long to wait for the response head before trying another endpoint, as a multiple
+/// of the route's objective. This applies only where a retry is safe. An endpoint that is
+/// this late rarely finishes before another one that starts now.
+const HEAD_TIMEOUT_OBJECTIVES: u32 = 2;
 
-/// How long a connection may have rested for a request that runs once at most,
-/// or for the last attempt of another. What is written to a connection that
-/// its endpoint has forgotten is lost without a trace of whether it ran.
-const RESTED: Duration = Duration::from_millis(100);
+/// The maximum idle time of a connection that is used for a request that must not run
+/// twice, or for a retry. If the endpoint has already dropped the connection, the request
+/// is lost without any indication of whether it ran.
+const MAX_IDLE_BEFORE_UNSAFE_SEND: Duration = Duration::from_millis(100);
 
-/// How recent a sign of life has to be. Streams have an event every 25 ms or so;
-/// connections are given up after 250 ms, and what is unconfirmed after 650 ms, in
-/// which a machine may have gone dark.
-const RECENT: Duration = Duration::from_millis(300);
+/// How recently the endpoint must have sent anything to count as alive. Streams have an
+/// event about every 25 ms. Connects time out after 250 ms and unacknowledged data after
+/// 650 ms, so an older sign doesn't rule out that the machine went down meanwhile.
+const MAX_ACTIVITY_AGE: Duration = Duration::from_millis(300);
 
-/// The part of its objective for which a request waits for a share of an endpoint
-/// that is warming up, where there is nothing else: it still has to be answered.
-const WAITS: u32 = 2;
+/// A request waits for a share of a warming endpoint, if there is no other, for at most
+/// its objective divided by this, so that there is time left to answer it.
+const SHARE_WAIT_DIVISOR: u32 = 2;
 
-/// The pause before it looks again.
-const SHARE_PAUSE: Duration = Duration::from_millis(50);
+/// The interval between checks for a free share.
+const SHARE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A request at an endpoint: counted there until this is dropped.
+/// A request at an endpoint. It counts towards the endpoint's load until it is dropped.
 #[derive(Debug)]
 pub(crate) struct InFlightRequest {
     shared: Arc<Shared>,
     registration: Arc<Registration>,
-    sent: Moment,
-    pulse: Liveness,
+    sent_at: Moment,
+    liveness: Liveness,
 }
 
 impl InFlightRequest {
     fn new(shared: &Arc<Shared>, registration: &Arc<Registration>) -> Self {
-        let pulse = shared
+        let liveness = shared
             .endpoint_stats()
             .start_request(registration.endpoint.id);
         Self {
-            pulse,
+            liveness,
             shared: Arc::clone(shared),
             registration: Arc::clone(registration),
-            sent: boot_time(),
+            sent_at: boot_time(),
         }
     }
 
@@ -84,117 +84,118 @@
         self.registration.endpoint.address
     }
 
-    /// Notes that the endpoint broke off an answer.
-    pub(crate) fn broke(&self) {
+    /// Records that the endpoint broke off a response.
+    pub(crate) fn record_broken_response(&self) {
         let now = boot_time();
         self.shared
             .endpoint_stats()
             .record_health_event(self.endpoint(), Event::Failure(now));
     }
 
-    /// Notes that something came from the endpoint.
-    pub(crate) fn heard(&self) {
-        self.pulse.record(boot_time());
+    /// Records that data arrived from the endpoint.
+    pub(crate) fn record_activity(&self) {
+        self.liveness.record(boot_time());
     }
 
-    /// Notes that an answer was held up on its way from the endpoint.
-    pub(crate) fn held_up(&self) {
+    /// Records that the network path delayed the endpoint's response.
+    pub(crate) fn record_stall(&self) {
         let zone = self.registration.endpoint.zone;
         if self.shared.paths().record_stall(zone, boot_time()) {
-            log::warn!(endpoint:% = self.name(); "the way to its availability zone is left for a while");
+            log::warn!(endpoint:% = self.name(); "response was stalled; avoiding the network path to the endpoint's availability zone temporarily");
         }
     }
 
-    /// Notes that the endpoint's machine gave no sign of life to this request.
+    /// Records that the endpoint's machine did not respond to this request.
     ///
-    /// Where one packet of thirty is lost, so is one connection's first, and it comes
-    /// to nothing within its time, while the endpoint goes on with all others. Held to
-    /// be down by that, it would get nothing new for a second or more, and its prompts
-    /// would be read again elsewhere. A dark machine is silent on all its connections.
-    pub(crate) fn dark(&self) {
-        let recent = since(boot_time(), RECENT);
-        if self.pulse.alive_since(self.sent.max(recent)) {
-            log::info!(endpoint:% = self.name(); "a packet was lost; the endpoint answers others");
-            self.held_up();
+    /// Where one packet in thirty is lost, a connection's first packet can be lost too,
+    /// and its connect times out while the endpoint serves all others. Marking the
+    /// endpoint as down for that would keep new requests away for a second or more and
+    /// make other endpoints read its prompts again. A machine that is really down is
+    /// silent on all its connections.
+    pub(crate) fn record_unresponsive(&self) {
+        let oldest = since(boot_time(), MAX_ACTIVITY_AGE);
+        if self.liveness.alive_since(self.sent_at.max(oldest)) {
+            log::info!(endpoint:% = self.name(); "a packet was lost; the endpoint responds to other requests");
+            self.record_stall();
             return;
         }
         self.shared
             .mark_endpoint_down(self.endpoint(), self.address());
     }
 
-    /// Looks whether the endpoint ended with a request of this id and digest,
-    /// the connection for which broke.
-    pub(crate) fn look(&self, request: &str, digest: BodyDigest) {
-        let broken = Broken {
+    /// Starts a check of whether the endpoint crashed with this request, whose connection
+    /// broke.
+    pub(crate) fn check_for_crash(&self, request: &str, digest: BodyDigest) {
+        let broken = BrokenRequest {
             request: request.to_owned(),
             digest,
-            sent: self.sent,
+            sent_at: self.sent_at,
             endpoint: self.endpoint(),
             name: self.name().to_owned(),
             address: self.address(),
         };
-        tokio::spawn(look(Arc::clone(&self.shared), broken));
+        tokio::spawn(check_for_crash(Arc::clone(&self.shared), broken));
     }
 }
 
 impl Drop for InFlightRequest {
     fn drop(&mut self) {
-        let lasted = since(boot_time(), self.sent);
+        let duration = since(boot_time(), self.sent_at);
         self.shared
             .endpoint_stats()
-            .end_request(self.endpoint(), lasted);
+            .end_request(self.endpoint(), duration);
     }
 }
 
-/// An answer whose head the caller may see.
+/// A response from an endpoint whose head may be passed to the caller.
 #[derive(Debug)]
 pub(crate) struct EndpointResponse {
     pub(crate) head: Parts,
     pub(crate) body: Received,
-    pub(crate) flight: InFlightRequest,
+    pub(crate) in_flight: InFlightRequest,
 }
 
-/// How one attempt came out.
-enum Tried {
-    Answer(EndpointResponse),
-    /// Worth another try, and the caller's if there is none.
+/// The result of one attempt.
+enum AttemptResult {
+    Response(EndpointResponse),
+    /// A response that is worth a retry; it is relayed if there is none.
     Fallback(EndpointResponse),
     Failed(Failure),
 }
 
-/// Sends a request to one endpoint after the other, as the rules allow, until
-/// there is an answer for the caller.
+/// Sends a request to one endpoint after another, as the retry rules allow, until there
+/// is a response for the caller.
 ///
 /// # Errors
 ///
-/// Returns why there is none.
+/// Returns the reason why there is none.
 pub(crate) async fn dispatch(
     job: &mut Job,
-    after: Option<u64>,
+    last_event_id: Option<u64>,
 ) -> Result<EndpointResponse, Reason> {
     let mut fallback = None;
     loop {
-        let chosen = match choose(job) {
+        let chosen = match choose_endpoint(job) {
             Ok(chosen) => chosen,
-            Err(Reason::Warming) if job.age() < job.route.objective / WAITS => {
-                sleep(SHARE_PAUSE).await;
+            Err(Reason::Warming) if job.age() < job.route.objective / SHARE_WAIT_DIVISOR => {
+                sleep(SHARE_POLL_INTERVAL).await;
                 continue;
             }
             Err(reason) => return fallback.ok_or_else(|| job.attempts.final_reason(reason)),
         };
-        let failure = match attempt(job, &chosen, after).await {
-            Tried::Answer(sent) => return Ok(sent),
-            Tried::Fallback(sent) => {
-                fallback = Some(sent);
+        let failure = match attempt(job, &chosen, last_event_id).await {
+            AttemptResult::Response(response) => return Ok(response),
+            AttemptResult::Fallback(response) => {
+                fallback = Some(response);
                 Failure::Failed
             }
-            Tried::Failed(failure) => failure,
+            AttemptResult::Failed(failure) => failure,
         };
-        let next = again(job, failure);
+        let next = check_retry(job, failure);
         log::warn!(
             request:% = job.id(), endpoint:% = chosen.registration.endpoint.name, ending:? = failure,
-            next:? = next, sent = job.attempts.sent(), left_ms:% = job.left().as_millis();
-            "attempt ended without an answer"
+            next:? = next, sent = job.attempts.sent(), left_ms:% = job.remaining().as_millis();
+            "attempt failed"
         );
         if let Err(reason) = next {
             return fallback.ok_or(reason);
@@ -202,14 +203,14 @@
     }
 }
 
-// Whether the request may go to another endpoint.
-fn again(job: &mut Job, failure: Failure) -> Result<(), Reason> {
+// Returns `Ok` if the request may be sent to another endpoint.
+fn check_retry(job: &mut Job, failure: Failure) -> Result<(), Reason> {
     let next = job.attempts.record_failure(failure);
-    if job.left().is_zero() {
+    if job.remaining().is_zero() {
         return Err(job.attempts.deadline_reason());
     }
     match next {
-        Next::GiveUp(Reason::Refused) => Err(choose::paused(job).unwrap_or(Reason::Refused)),
+        Next::GiveUp(Reason::Refused) => Err(choose::pause_reason(job).unwrap_or(Reason::Refused)),
         Next::GiveUp(reason) => Err(reason),
         Next::Retry { uses_budget: false } => Ok(()),
         Next::Retry { uses_budget: true } => {
@@ -224,67 +225,70 @@
     }
 }
 
-async fn attempt(job: &mut Job, chosen: &Chosen, after: Option<u64>) -> Tried {
+async fn attempt(job: &mut Job, chosen: &Chosen, last_event_id: Option<u64>) -> AttemptResult {
     let registration = &chosen.registration;
     job.tried.push(registration.endpoint.id);
-    let request = request(job, chosen, after);
-    let wait = wait(job);
-    let flight = InFlightRequest::new(&job.shared, registration);
+    let request = build_request(job, chosen, last_event_id);
+    let head_timeout = head_timeout(job);
+    let in_flight = InFlightRequest::new(&job.shared, registration);
     log::info!(
         request:% = job.id(), route:% = job.route.name, endpoint:% = registration.endpoint.name,
-        choice:% = chosen.choice.as_str(), load:% = chosen.load, part:? = job.facts.affinity_part().map(|part| part.id),
-        source:% = shown(chosen.source.as_ref()), version = job.version,
+        choice:% = chosen.choice.as_str(), load:% = chosen.load, part:? = job.fields.affinity_part().map(|part| part.id),
+        source:% = display_source(chosen.source.as_ref()), version = job.version,
         confirmed_ms:% = job.shared.policy_age().as_millis(),
-        left_ms:% = job.left().as_millis(), wait_ms:% = wait.as_millis();
+        left_ms:% = job.remaining().as_millis(), wait_ms:% = head_timeout.as_millis();
         "request sent"
     );
     let address = registration.endpoint.address;
-    let rested = rested(job);
+    let max_idle = max_idle(job);
     let connector = &job.shared.connector;
-    match connector.send_rested(address, request, wait, rested).await {
-        Ok(response) => received(job, flight, response),
-        Err(error) => Tried::Failed(failed(job, &flight, &error)),
+    match connector
+        .send_rested(address, request, head_timeout, max_idle)
+        .await
+    {
+        Ok(response) => handle_response(job, in_flight, response),
+        Err(error) => AttemptResult::Failed(handle_send_error(job, &in_flight, &error)),
     }
 }
 
-// A source as logs show it.
-fn shown(source: Option<&Source>) -> &dyn std::fmt::Display {
+// Returns a source as logs show it.
+fn display_source(source: Option<&Source>) -> &dyn std::fmt::Display {
     source.map_or(&"none", |source| source)
 }
 
-// How long to wait for the head of an answer.
-fn wait(job: &Job) -> Duration {
-    let another = job.route.kind.idempotent() && job.attempts.sent() + 1 < job.route.attempts;
-    let left = job.left();
-    if another {
-        left.min(job.route.objective * PATIENCE)
+// Returns how long to wait for the response head.
+fn head_timeout(job: &Job) -> Duration {
+    let can_retry = job.route.kind.idempotent() && job.attempts.sent() + 1 < job.route.attempts;
+    let remaining = job.remaining();
+    if can_retry {
+        remaining.min(job.route.objective * HEAD_TIMEOUT_OBJECTIVES)
     } else {
-        left
+        remaining
     }
 }
 
-// How long the connection may have rested that the request is sent over.
-fn rested(job: &Job) -> Duration {
-    let first = job.attempts.sent() == 0;
-    if first && job.route.kind.idempotent() {
+// Returns the maximum idle time of a connection for this attempt.
+fn max_idle(job: &Job) -> Duration {
+    let first_send = job.attempts.sent() == 0;
+    if first_send && job.route.kind.idempotent() {
         Duration::MAX
     } else {
-        RESTED
+        MAX_IDLE_BEFORE_UNSAFE_SEND
     }
 }
 
-fn request(job: &Job, chosen: &Chosen, after: Option<u64>) -> Request<Body> {
+fn build_request(job: &Job, chosen: &Chosen, last_event_id: Option<u64>) -> Request<Body> {
     let registration = &chosen.registration;
     let mut headers = job.headers.clone();
     let outgoing = OutgoingFields {
-        remaining: job.left().saturating_sub(RETURN),
+        remaining: job.remaining().saturating_sub(RESPONSE_RETURN_TIME),
         endpoint: &registration.endpoint.name,
         workspace: job
             .workspace
             .as_ref()
             .map(|workspace| workspace.name.as_str()),
         rank: job.rank(),
-        last_event_id: after,
+        last_event_id,
         source: chosen.source.as_ref().and_then(Source::address),
     };
     (job.shared.dialect.write_request)(&mut headers, &outgoing);
@@ -296,117 +300,131 @@
     request
 }
 
-fn received(job: &Job, flight: InFlightRequest, response: Response<Received>) -> Tried {
+fn handle_response(
+    job: &Job,
+    in_flight: InFlightRequest,
+    response: Response<Received>,
+) -> AttemptResult {
     let (head, body) = response.into_parts();
-    let answer = (job.shared.dialect.read_response)(head.status, &head.headers);
-    note(job, &flight, head.status, &answer);
+    let fields = (job.shared.dialect.read_response)(head.status, &head.headers);
+    record_response(job, &in_flight, head.status, &fields);
     let idempotent = job.route.kind.idempotent();
-    let verdict = classify_response(head.status, &answer, &job.facts.attempt_id, idempotent);
-    let sent = EndpointResponse { head, body, flight };
+    let verdict = classify_response(head.status, &fields, &job.fields.attempt_id, idempotent);
+    let response = EndpointResponse {
+        head,
+        body,
+        in_flight,
+    };
     match verdict {
         Verdict::Relay => {
-            source::note(job, &sent);
-            Tried::Answer(sent)
+            source::record_holder(job, &response);
+            AttemptResult::Response(response)
         }
-        Verdict::Fallback => Tried::Fallback(sent),
+        Verdict::Fallback => AttemptResult::Fallback(response),
         Verdict::Failed(failure) => {
             log::warn!(
-                request:% = job.id(), endpoint:% = sent.flight.name(),
-                status = sent.head.status.as_u16(), not_run = answer.not_run,
-                signed = answer.signed;
-                "answer not passed on"
+                request:% = job.id(), endpoint:% = response.in_flight.name(),
+                status = response.head.status.as_u16(), not_run = fields.not_run,
+                signed = fields.signed;
+                "response not relayed"
             );
-            Tried::Failed(failure)
+            AttemptResult::Failed(failure)
         }
     }
 }
 
-// Learns from an answer what it says of its endpoint.
-fn note(job: &Job, flight: &InFlightRequest, status: StatusCode, answer: &ResponseFields) {
+// Updates the endpoint's state from the head of its response.
+fn record_response(
+    job: &Job,
+    in_flight: &InFlightRequest,
+    status: StatusCode,
+    fields: &ResponseFields,
+) {
     let now = boot_time();
-    flight.pulse.record(now);
-    let id = &job.facts.attempt_id;
-    if answer.is_for_other_attempt(id) {
+    in_flight.liveness.record(now);
+    let id = &job.fields.attempt_id;
+    if fields.is_for_other_attempt(id) {
         return;
     }
-    if answer.is_from_endpoint(status, id) {
-        take_notices(job, flight, status, answer, now);
+    if fields.is_from_endpoint(status, id) {
+        record_notices(job, in_flight, status, fields, now);
     }
-    let mut book = job.shared.endpoint_stats();
+    let mut endpoint_stats = job.shared.endpoint_stats();
     if status == StatusCode::MISDIRECTED_REQUEST {
-        // Somebody else has the address.
-        book.record_unreachable(flight.endpoint(), now);
+        // Another server has the endpoint's address.
+        endpoint_stats.record_unreachable(in_flight.endpoint(), now);
         return;
     }
-    if let Some(report) = answer.report {
-        book.record_report(flight.endpoint(), report, now);
+    if let Some(report) = fields.report {
+        endpoint_stats.record_report(in_flight.endpoint(), report, now);
     }
-    book.record_health_event(flight.endpoint(), Event::Success(now));
+    endpoint_stats.record_health_event(in_flight.endpoint(), Event::Success(now));
 }
 
-// Takes in what an endpoint says of itself beside its load.
-fn take_notices(
+// Applies the notices in a response: that the endpoint is leaving, or that it wants a
+// pause.
+fn record_notices(
     job: &Job,
-    flight: &InFlightRequest,
+    in_flight: &InFlightRequest,
     status: StatusCode,
-    answer: &ResponseFields,
+    fields: &ResponseFields,
     now: Moment,
 ) {
-    if answer.standing == Some(Standing::Leaving) {
+    if fields.standing == Some(Standing::Leaving) {
         job.shared.metrics.count_endpoint_notice("leaving");
-        let life = flight.registration.endpoint_incarnation();
+        let incarnation = in_flight.registration.endpoint_incarnation();
         if job
             .shared
             .notices()
-            .record_leaving(flight.endpoint(), &life, now)
+            .record_leaving(in_flight.endpoint(), &incarnation, now)
         {
             log::info!(
-                request:% = job.id(), endpoint:% = flight.name(), incarnation = life.incarnation;
-                "the answer says that its endpoint is leaving"
+                request:% = job.id(), endpoint:% = in_flight.name(), incarnation = incarnation.incarnation;
+                "endpoint announced in a response that it is leaving"
             );
         }
     }
-    let endpoint = flight.endpoint();
-    if let Some(pause) = answer.retry_after {
+    let endpoint = in_flight.endpoint();
+    if let Some(pause) = fields.retry_after {
         job.shared.metrics.count_endpoint_notice("retry-after");
         job.shared.notices().record_pause(endpoint, pause, now);
         log::warn!(
-            request:% = job.id(), endpoint:% = flight.name(), pause_ms = pause.as_millis();
-            "the answer asks for no requests for a while"
+            request:% = job.id(), endpoint:% = in_flight.name(), pause_ms = pause.as_millis();
+            "endpoint asked for a pause"
         );
-    } else if answer.not_run && turns_away(status) {
+    } else if fields.not_run && is_capacity_refusal(status) {
         job.shared.metrics.count_endpoint_notice("refused");
         let pause = job.shared.notices().record_refusal(endpoint, now);
         log::info!(
-            request:% = job.id(), endpoint:% = flight.name(), pause_ms = pause.as_millis();
-            "endpoint turned a request away; it gets none for a while"
+            request:% = job.id(), endpoint:% = in_flight.name(), pause_ms = pause.as_millis();
+            "endpoint refused a request; pausing it"
         );
-    } else if !answer.not_run && job.shared.notices().record_response(endpoint, now) {
+    } else if !fields.not_run && job.shared.notices().record_response(endpoint, now) {
         log::info!(
-            request:% = job.id(), endpoint:% = flight.name();
-            "endpoint answers again after its pause"
+            request:% = job.id(), endpoint:% = in_flight.name();
+            "endpoint responds again after its pause"
         );
     }
 }
 
-/// Returns whether a status says that its endpoint has no room, and not what is wrong with
-/// the request.
-pub(super) const fn turns_away(status: StatusCode) -> bool {
+/// Returns whether a status means that the endpoint has no capacity, rather than that the
+/// request is at fault.
+pub(super) const fn is_capacity_refusal(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS
     )
 }
 
-fn failed(job: &Job, flight: &InFlightRequest, error: &Error) -> Failure {
-    log::warn!(request:% = job.id(), endpoint:% = flight.name(), error:% = error; "not answered");
+fn handle_send_error(job: &Job, in_flight: &InFlightRequest, error: &Error) -> Failure {
+    log::warn!(request:% = job.id(), endpoint:% = in_flight.name(), error:% = error; "not answered");
     let (Error::NotSent { cause, .. } | Error::Unknown(cause)) = error;
     if cause.is_dark() {
-        flight.dark();
+        in_flight.record_unresponsive();
     } else if matches!(error, Error::Unknown(Cause::Connection(_))) {
-        flight.look(job.id(), job.digest());
+        in_flight.check_for_crash(job.id(), job.digest());
     } else if matches!(cause, Cause::ResponseTimeout) {
-        flight.broke();
+        in_flight.record_broken_response();
     }
     if error.may_have_run() {
         Failure::Lost
@@ -415,12 +433,12 @@
     }
 }
 
-/// A body that is gathered before the caller sees its head.
-pub(super) enum Gathered {
-    /// The whole of it.
+/// A response body that is buffered before its head is passed to the caller.
+pub(super) enum BufferedBody {
+    /// The whole body.
     Whole(Bytes),
-    /// Its beginning and the rest, which is too long to be kept.
-    Long(Bytes, Received),
-    /// It broke off.
+    /// The beginning of a body that is too long to buffer, and the rest of it.
+    TooLong(Bytes, Received),
+    /// The body broke off.
     Broken,
 }
--- a/crates/direct/src/relay/source.rs
+++ b/crates/direct/src/relay/source.rs
@@ -1,4 +1,4 @@
-//! The endpoint from which another one fetches what it lacks of a prompt.
+//! Selects the endpoint that another one fetches missing parts of a prompt from.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -14,14 +14,14 @@
 use crate::roster::Registration;
 use crate::shared::View;
 
-/// Where an attempt's endpoint may fetch the prompt from.
+/// Where the endpoint of an attempt may fetch the prompt from.
 pub(super) struct Source {
-    pick: Selection,
+    selection: Selection,
     from: Option<Arc<Registration>>,
 }
 
 impl Source {
-    /// Returns the address to be named, if any.
+    /// Returns the source's address, if there is a source.
     pub(super) fn address(&self) -> Option<SocketAddr> {
         self.from.as_ref().map(|from| from.endpoint.address)
     }
@@ -29,7 +29,7 @@
 
 impl fmt::Display for Source {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.pick.as_str())?;
+        f.write_str(self.selection.as_str())?;
         match &self.from {
             Some(from) => write!(f, ":{}", from.endpoint.name),
             None => Ok(()),
@@ -37,9 +37,8 @@
     }
 }
 
-/// Finds the source of a request that goes to `target`, if its prompt's parts
-/// count for where it goes.
-pub(super) fn find(
+/// Finds the source for a request to `target`, if the request is placed by its prompt.
+pub(super) fn find_source(
     job: &Job,
     view: &View,
     candidates: &[Candidate],
@@ -47,25 +46,25 @@
     target: &Registration,
     draw: u64,
 ) -> Option<Source> {
-    let part = job.facts.affinity_part().filter(|_| job.route.affinity)?;
-    let prefixes = job.facts.prefixes();
+    let part = job.fields.affinity_part().filter(|_| job.route.affinity)?;
+    let prefixes = job.fields.prefixes();
     let prompt = Prompt {
         part: part.id,
         prefixes: &prefixes,
     };
-    // At the target's address there is only the target: an entry that names another
-    // is of a life before, whose removal wasn't heard of yet. Named as the source,
-    // the endpoint was told to fetch from itself.
-    let before: Vec<EndpointId> = view
+    // Only `target` can listen at its address. Another entry with that address is a
+    // previous incarnation whose removal hasn't arrived yet; named as the source, it made
+    // the endpoint fetch from itself.
+    let at_target_address: Vec<EndpointId> = view
         .holders(job.service)
         .filter(|one| one.endpoint.address == target.endpoint.address)
         .map(|one| one.endpoint.id)
         .collect();
-    let live = candidates
+    let usable = candidates
         .iter()
         .filter(|one| one.exclusion != Some(Exclusion::Tried) && one.access == Access::Full)
         .map(|one| one.endpoint);
-    // What is leaving, or wants no requests for now, still holds what it read.
+    // Endpoints that are leaving or paused still hold what they have read.
     let leaving = view
         .leaving(job.service)
         .iter()
@@ -73,10 +72,11 @@
         .map(|one| one.endpoint.id)
         .chain(paused.iter().map(|one| one.endpoint.id));
     let others: Vec<EndpointId> = {
-        let book = job.shared.endpoint_stats();
-        let sound = |endpoint: &EndpointId| book.access(*endpoint) == Access::Full;
-        live.chain(leaving.filter(sound))
-            .filter(|endpoint| !before.contains(endpoint))
+        let stats = job.shared.endpoint_stats();
+        let healthy = |endpoint: &EndpointId| stats.access(*endpoint) == Access::Full;
+        usable
+            .chain(leaving.filter(healthy))
+            .filter(|endpoint| !at_target_address.contains(endpoint))
             .collect()
     };
     let now = boot_time();
@@ -90,21 +90,21 @@
         warm: &warm,
     };
     let directory = job.shared.directory();
-    let pick = select_source(&directory, prompt, target.endpoint.id, others, draw, now);
+    let selection = select_source(&directory, prompt, target.endpoint.id, others, draw, now);
     drop(directory);
-    job.shared.metrics.count_prompt_source(pick.as_str());
-    let from = match pick {
+    job.shared.metrics.count_prompt_source(selection.as_str());
+    let from = match selection {
         Selection::From { endpoint, .. } => view.holder(job.service, endpoint).map(Arc::clone),
         Selection::AlreadyHeld | Selection::Nobody => None,
     };
-    Some(Source { pick, from })
+    Some(Source { selection, from })
 }
 
-/// Notes that an endpoint which answers holds the request's prompt.
-pub(super) fn note(job: &Job, sent: &EndpointResponse) {
-    if job.route.affinity && sent.head.status.is_success() {
-        let prefixes = job.facts.prefixes();
+/// Records that an endpoint which responded holds the request's prompt.
+pub(super) fn record_holder(job: &Job, response: &EndpointResponse) {
+    if job.route.affinity && response.head.status.is_success() {
+        let prefixes = job.fields.prefixes();
         let mut directory = job.shared.directory();
-        directory.record_read(sent.flight.endpoint(), &prefixes, boot_time());
+        directory.record_read(response.in_flight.endpoint(), &prefixes, boot_time());
     }
 }
--- a/crates/direct/src/stream.rs
+++ b/crates/direct/src/stream.rs
@@ -1,13 +1,12 @@
-//! An answer that is passed on as it comes, and goes on elsewhere if it breaks.
+//! A streamed response that is relayed as it arrives and resumed elsewhere if it breaks.
 //!
-//! Events leave here whole: what came of an event when its endpoint crashed is
-//! dropped, since the endpoint that goes on begins with the same event. Where
-//! the route allows it, a stream that breaks or falls silent is asked for again
-//! after its last whole event; the caller sees one answer with the first
-//! endpoint's head. The broken connection is closed first, which stops the
-//! first endpoint if it still runs. Whatever can't be mended is an error of
-//! the body, upon which hyper aborts the caller's connection, so that nothing
-//! cut ever looks whole.
+//! Only whole events are passed on: a partial event of a failed endpoint is dropped,
+//! since the endpoint that takes over starts with the same event. Where the route allows
+//! it, a stream that breaks or stalls is requested again after its last whole event. The
+//! caller sees one response with the first endpoint's head. The broken connection is
+//! closed first, which stops the first endpoint if it is still running. If the stream
+//! can't be resumed, the body ends with an error, on which hyper aborts the caller's
+//! connection, so a truncated response never looks complete.
 
 use std::fmt;
 use std::pin::Pin;
@@ -26,14 +25,14 @@
 use crate::refusal::Reason;
 use crate::relay::{BodyEnd, EndpointResponse, InFlightRequest, Job, dispatch};
 
-/// How long a stream may be silent before it is asked for elsewhere. Engines
-/// that are preempted or read a long prompt pause for some hundred
-/// milliseconds; callers give up after two seconds at the earliest.
-const SILENCE: Duration = Duration::from_millis(1_500);
+/// How long a stream may be silent before it is resumed elsewhere. Engines that are
+/// preempted or read a long prompt pause for some hundred milliseconds; callers give up
+/// after two seconds at the earliest.
+const MAX_SILENCE: Duration = Duration::from_millis(1_500);
 
-/// What an endpoint did in the middle of a stream.
+/// How an endpoint failed in the middle of a stream.
 #[derive(Debug, displaydoc::Display)]
-enum Cause {
+enum Interruption {
     /// silent
     Silent,
     /// {0}
@@ -42,42 +41,43 @@
 
 /// Why a stream ended early.
 #[derive(Debug, displaydoc::Display)]
-pub(crate) enum Broken {
-    /// the time allowed was over in the middle of the answer
-    Late,
-    /// the endpoint broke off in the middle of the answer
-    Cut,
-    /// the endpoint that was to go on sent something else
-    Astray,
+pub(crate) enum StreamError {
+    /// the deadline passed in the middle of the response
+    DeadlineExceeded,
+    /// the endpoint broke off in the middle of the response
+    Truncated,
+    /// the resumed stream did not continue after the last event
+    UnexpectedEvent,
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for StreamError {}
 
-type Asking = Pin<Box<dyn Future<Output = (Box<Job>, Result<EndpointResponse, Reason>)> + Send>>;
+type Resumption =
+    Pin<Box<dyn Future<Output = (Box<Job>, Result<EndpointResponse, Reason>)> + Send>>;
 
 enum State {
     Reading(Box<Reading>),
-    Asking(Asking),
+    Resuming(Resumption),
     Ended,
 }
 
 struct Reading {
     job: Box<Job>,
     body: Received,
-    flight: InFlightRequest,
+    in_flight: InFlightRequest,
 }
 
-/// The body of such an answer.
+/// The body of a streamed response.
 pub(crate) struct Stream {
     state: State,
-    // What was read before the head was passed on.
-    first: Option<Bytes>,
-    // Cuts and counts events where the stream may be resumed.
+    // Data that was buffered before the head was passed on.
+    buffered: Option<Bytes>,
+    // Splits and counts events if the stream may be resumed.
     events: Option<(EventSplitter, Progress)>,
-    last: Instant,
+    last_event_at: Instant,
     stall_detector: StallDetector,
-    silence: Pin<Box<Sleep>>,
-    deadline: Pin<Box<Sleep>>,
+    silence_timer: Pin<Box<Sleep>>,
+    deadline_timer: Pin<Box<Sleep>>,
 }
 
 impl fmt::Debug for Stream {
@@ -88,67 +88,71 @@
     }
 }
 
-type Step = Option<Result<Frame<Bytes>, BoxError>>;
+type NextFrame = Option<Result<Frame<Bytes>, BoxError>>;
 
 impl Stream {
     pub(crate) fn new(
         job: Box<Job>,
         body: Received,
-        flight: InFlightRequest,
-        first: Bytes,
+        in_flight: InFlightRequest,
+        buffered: Bytes,
     ) -> Self {
         let resumable = job.kind().is_stream() && job.kind().idempotent();
         let now = Instant::now();
         Self {
-            events: (resumable && first.is_empty()).then(Default::default),
-            first: (!first.is_empty()).then_some(first),
-            last: now,
+            events: (resumable && buffered.is_empty()).then(Default::default),
+            buffered: (!buffered.is_empty()).then_some(buffered),
+            last_event_at: now,
             stall_detector: StallDetector::default(),
-            silence: Box::pin(sleep_until(now + SILENCE)),
-            deadline: Box::pin(sleep_until(job.until())),
-            state: State::Reading(Box::new(Reading { job, body, flight })),
+            silence_timer: Box::pin(sleep_until(now + MAX_SILENCE)),
+            deadline_timer: Box::pin(sleep_until(job.timer_deadline())),
+            state: State::Reading(Box::new(Reading {
+                job,
+                body,
+                in_flight,
+            })),
         }
     }
 
-    // What is passed on of a frame; `None` if nothing is yet.
-    fn take(&mut self, frame: Frame<Bytes>) -> Step {
+    // Returns what to pass on of a frame, or `None` if there is no whole event yet.
+    fn accept_frame(&mut self, frame: Frame<Bytes>) -> NextFrame {
         let now = Instant::now();
         if let State::Reading(reading) = &self.state {
-            reading.flight.heard();
-            if self.stall_detector.observe_event(now - self.last) {
-                reading.flight.held_up();
+            reading.in_flight.record_activity();
+            if self.stall_detector.observe_event(now - self.last_event_at) {
+                reading.in_flight.record_stall();
             }
         }
-        self.last = now;
-        let Some((events, resume)) = &mut self.events else {
+        self.last_event_at = now;
+        let Some((events, progress)) = &mut self.events else {
             return Some(Ok(frame));
         };
         let Ok(bytes) = frame.into_data() else {
             return None;
         };
-        match events.push(bytes, resume) {
+        match events.push(bytes, progress) {
             Ok(bytes) if bytes.is_empty() => None,
             Ok(bytes) => Some(Ok(Frame::data(bytes))),
-            Err(astray) => Some(self.give_up(Broken::Astray, &astray.to_string())),
+            Err(error) => Some(self.abort(StreamError::UnexpectedEvent, &error.to_string())),
         }
     }
 
-    fn give_up(&mut self, broken: Broken, cause: &str) -> Result<Frame<Bytes>, BoxError> {
+    fn abort(&mut self, reason: StreamError, cause: &str) -> Result<Frame<Bytes>, BoxError> {
         if let State::Reading(reading) = std::mem::replace(&mut self.state, State::Ended) {
-            let Reading { job, flight, .. } = *reading;
+            let Reading { job, in_flight, .. } = *reading;
             log::warn!(
-                request:% = job.id(), endpoint:% = flight.name(), cause:% = cause;
-                "stream broken off"
+                request:% = job.id(), endpoint:% = in_flight.name(), cause:% = cause;
+                "stream aborted"
             );
-            job.ended(BodyEnd::Broken);
+            job.record_end(BodyEnd::Broken);
         }
-        Err(Box::new(broken))
+        Err(Box::new(reason))
     }
 
-    // The end of the endpoint's answer.
-    fn end(&mut self) -> Step {
+    // Handles the end of the endpoint's response.
+    fn finish(&mut self) -> NextFrame {
         if let State::Reading(reading) = std::mem::replace(&mut self.state, State::Ended) {
-            reading.job.ended(BodyEnd::Whole);
+            reading.job.record_end(BodyEnd::Whole);
         }
         let rest = self
             .events
@@ -158,48 +162,49 @@
             .map(|rest| Ok(Frame::data(rest)))
     }
 
-    // The endpoint broke off or fell silent: ask another one, or give up.
-    fn broken(&mut self, cause: &Cause) -> Option<BoxError> {
+    // Handles a broken or silent endpoint: starts a resumption elsewhere, or returns the
+    // error that ends the stream.
+    fn handle_failure(&mut self, cause: &Interruption) -> Option<BoxError> {
         let State::Reading(reading) = std::mem::replace(&mut self.state, State::Ended) else {
-            return Some(Box::new(Broken::Cut));
+            return Some(Box::new(StreamError::Truncated));
         };
         let Reading {
             mut job,
             body,
-            flight,
+            in_flight,
         } = *reading;
-        // First of all: the endpoint stops when its connection closes.
+        // Closes the connection first, which makes the endpoint stop.
         drop(body);
-        flight.broke();
-        if matches!(cause, Cause::Failed(_)) {
-            flight.look(job.id(), job.digest());
+        in_flight.record_broken_response();
+        if matches!(cause, Interruption::Failed(_)) {
+            in_flight.check_for_crash(job.id(), job.digest());
         }
-        let next = self.next(&mut job);
+        let next = self.resume_point(&mut job);
         log::warn!(
-            request:% = job.id(), endpoint:% = flight.name(), cause:% = cause, after:? = next,
-            left_ms:% = job.left().as_millis();
-            "stream broke"
+            request:% = job.id(), endpoint:% = in_flight.name(), cause:% = cause, after:? = next,
+            left_ms:% = job.remaining().as_millis();
+            "stream interrupted"
         );
-        drop(flight);
+        drop(in_flight);
         let Ok(after) = next else {
-            job.ended(BodyEnd::Broken);
-            return Some(Box::new(Broken::Cut));
+            job.record_end(BodyEnd::Broken);
+            return Some(Box::new(StreamError::Truncated));
         };
         job.shared().metrics.count_resumed_stream();
-        self.state = State::Asking(Box::pin(async move {
-            let sent = dispatch(&mut job, after).await;
-            (job, sent)
+        self.state = State::Resuming(Box::pin(async move {
+            let response = dispatch(&mut job, after).await;
+            (job, response)
         }));
         None
     }
 
-    // The event after which the stream is to go on elsewhere.
-    fn next(&mut self, job: &mut Job) -> Result<Option<u64>, Reason> {
-        let (events, resume) = self.events.as_mut().ok_or(Reason::Broken)?;
-        if resume.is_unnumbered() {
+    // Returns the event after which to resume the stream at another endpoint.
+    fn resume_point(&mut self, job: &mut Job) -> Result<Option<u64>, Reason> {
+        let (events, progress) = self.events.as_mut().ok_or(Reason::Broken)?;
+        if progress.is_unnumbered() {
             return Err(Reason::Broken);
         }
-        // The half of an event that came is dropped.
+        // Drops a partial event.
         drop(events.take_partial());
         if let Next::GiveUp(reason) = job.attempts_mut().record_failure(Failure::Lost) {
             return Err(reason);
@@ -211,54 +216,54 @@
         if !allowed {
             return Err(Reason::Refused);
         }
-        Ok(resume.begin_resume().or_else(|| job.after()))
+        Ok(progress.begin_resume().or_else(|| job.last_event_id()))
     }
 
-    fn answered(
+    fn handle_resumption(
         &mut self,
         job: Box<Job>,
-        sent: Result<EndpointResponse, Reason>,
+        response: Result<EndpointResponse, Reason>,
     ) -> Option<BoxError> {
-        match sent {
-            Ok(sent) if sent.head.status.is_success() => {
-                log::info!(request:% = job.id(), endpoint:% = sent.flight.name(); "stream resumed");
-                self.last = Instant::now();
+        match response {
+            Ok(response) if response.head.status.is_success() => {
+                log::info!(request:% = job.id(), endpoint:% = response.in_flight.name(); "stream resumed");
+                self.last_event_at = Instant::now();
                 self.state = State::Reading(Box::new(Reading {
                     job,
-                    body: sent.body,
-                    flight: sent.flight,
+                    body: response.body,
+                    in_flight: response.in_flight,
                 }));
                 None
             }
-            Ok(sent) => {
+            Ok(response) => {
                 log::warn!(
-                    request:% = job.id(), endpoint:% = sent.flight.name(),
-                    status = sent.head.status.as_u16();
+                    request:% = job.id(), endpoint:% = response.in_flight.name(),
+                    status = response.head.status.as_u16();
                     "stream not resumed"
                 );
-                job.ended(BodyEnd::Broken);
-                Some(Box::new(Broken::Cut))
+                job.record_end(BodyEnd::Broken);
+                Some(Box::new(StreamError::Truncated))
             }
             Err(reason) => {
                 log::warn!(request:% = job.id(), reason:% = reason.as_str(); "stream not resumed");
-                job.ended(BodyEnd::Broken);
-                Some(Box::new(Broken::Cut))
+                job.record_end(BodyEnd::Broken);
+                Some(Box::new(StreamError::Truncated))
             }
         }
     }
 
-    // Whether the stream has been silent for too long. The timer is set anew
-    // only when it fires, not for each event.
-    fn silent(&mut self, cx: &mut Context<'_>) -> bool {
+    // Returns whether the stream has been silent for too long. The timer is reset only
+    // when it fires, not for each event.
+    fn is_silent(&mut self, cx: &mut Context<'_>) -> bool {
         if self.events.is_none() {
             return false;
         }
-        while self.silence.as_mut().poll(cx).is_ready() {
-            let due = self.last + SILENCE;
+        while self.silence_timer.as_mut().poll(cx).is_ready() {
+            let due = self.last_event_at + MAX_SILENCE;
             if due <= Instant::now() {
                 return true;
             }
-            self.silence.as_mut().reset(due);
+            self.silence_timer.as_mut().reset(due);
         }
         false
     }
@@ -268,32 +273,40 @@
     type Data = Bytes;
     type Error = BoxError;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Step> {
+    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<NextFrame> {
         let this = &mut *self;
-        if let Some(first) = this.first.take() {
-            return Poll::Ready(Some(Ok(Frame::data(first))));
+        if let Some(buffered) = this.buffered.take() {
+            return Poll::Ready(Some(Ok(Frame::data(buffered))));
         }
-        if !matches!(this.state, State::Ended) && this.deadline.as_mut().poll(cx).is_ready() {
-            return Poll::Ready(Some(this.give_up(Broken::Late, "time over")));
+        if !matches!(this.state, State::Ended) && this.deadline_timer.as_mut().poll(cx).is_ready() {
+            return Poll::Ready(Some(
+                this.abort(StreamError::DeadlineExceeded, "deadline exceeded"),
+            ));
         }
         loop {
             let error = match &mut this.state {
                 State::Ended => return Poll::Ready(None),
-                State::Asking(asking) => {
-                    let (job, sent) = ready!(asking.as_mut().poll(cx));
-                    let error = this.answered(job, sent);
-                    this.silence.as_mut().reset(Instant::now() + SILENCE);
+                State::Resuming(resuming) => {
+                    let (job, response) = ready!(resuming.as_mut().poll(cx));
+                    let error = this.handle_resumption(job, response);
+                    this.silence_timer
+                        .as_mut()
+                        .reset(Instant::now() + MAX_SILENCE);
                     error
                 }
                 State::Reading(reading) => match Pin::new(&mut reading.body).poll_frame(cx) {
-                    Poll::Pending if this.silent(cx) => this.broken(&Cause::Silent),
+                    Poll::Pending if this.is_silent(cx) => {
+                        this.handle_failure(&Interruption::Silent)
+                    }
                     Poll::Pending => return Poll::Pending,
-                    Poll::Ready(Some(Ok(frame))) => match this.take(frame) {
+                    Poll::Ready(Some(Ok(frame))) => match this.accept_frame(frame) {
                         None => None,
                         step => return Poll::Ready(step),
                     },
-                    Poll::Ready(Some(Err(error))) => this.broken(&Cause::Failed(error.into())),
-                    Poll::Ready(None) => return Poll::Ready(this.end()),
+                    Poll::Ready(Some(Err(error))) => {
+                        this.handle_failure(&Interruption::Failed(error.into()))
+                    }
+                    Poll::Ready(None) => return Poll::Ready(this.finish()),
                 },
             };
             if let Some(error) = error {
@@ -307,7 +320,7 @@
 impl Drop for Stream {
     fn drop(&mut self) {
         if let State::Reading(reading) = &self.state {
-            reading.job.ended(BodyEnd::Left);
+            reading.job.record_end(BodyEnd::Left);
         }
     }
 }
