--- a/crates/state/src/claim.rs
+++ b/crates/state/src/claim.rs
@@ -1,21 +1,23 @@
-//! At most one run for each idempotency key, agreed through the log.
+//! At-most-once execution per idempotency key, coordinated through the log.
 //!
-//! The instance that will send an unrepeatable request to an endpoint, its
-//! dispatcher, first needs a claim in the log that is the earliest for the
-//! request's key. Claims are batched: keys hash into [`PARTITIONS`] streams,
-//! and the *batcher* of a partition, found by rendezvous hashing over the live
-//! instances, appends what dispatchers send it. Its verdicts come from the
-//! fold of the stream up to the record's own offset and from nothing else, so
-//! they stay right while several instances think they are the batcher.
+//! Before an instance (the dispatcher) sends an unrepeatable request to an
+//! endpoint, its claim must be the earliest one in the log for the request's
+//! key. Claims are batched: keys hash into [`PARTITIONS`] streams, and the
+//! *batcher* of a partition appends the claims that dispatchers send it. The
+//! batcher is chosen by rendezvous hashing over the live instances. A verdict
+//! depends only on the stream's records up to and including the claim's own
+//! record, so verdicts stay correct while several instances act as the batcher
+//! of one partition.
 //!
-//! - [`Table`] is the fold: the first claim of a key in log order wins for
-//!   ever.
-//! - [`Batcher`] appends, settles lost answers by reading back, and answers.
-//! - [`Holder`] is the dispatcher's side: it alone decides to start a request,
-//!   and gives it up by itself when the caller's deadline passes.
-//! - [`ResponseCache`] holds finished answers for callers that send a key again.
-//! - [`key`] reads keys and their time of issue, which bounds how long the
-//!   log has to remember them.
+//! - [`Table`] is the state folded from the stream: the first claim of a key in
+//!   log order wins permanently.
+//! - [`Batcher`] appends claims, reads the stream back after a lost response,
+//!   and returns verdicts.
+//! - [`Holder`] is the dispatcher's side. It alone decides whether a request
+//!   starts, and it abandons the claim when the caller's deadline passes.
+//! - [`ResponseCache`] keeps finished responses for callers that resend a key.
+//! - [`key`] parses keys and their issue times, which bound how long the log
+//!   has to retain claims.
 
 use std::time::Duration;
 
@@ -42,68 +44,71 @@
 
 pub use crate::log::{AppendFailure, Page, StoredRecord};
 
-/// Streams that claims are spread over.
+/// The number of streams that claims are distributed over.
 ///
-/// With a batch each [`BATCH_PERIOD`] at most, 16 partitions make 320 appends
-/// a second, within the several hundred that the log takes; at 1,700 claims a
-/// second (17,000 requests, one in ten unrepeatable) that is about five claims
-/// and five fates a batch. More partitions spread a batcher's memory and its
-/// loss over more instances but cost appends.
+/// With at most one batch per [`BATCH_PERIOD`], 16 partitions make 320 appends
+/// per second, within the several hundred that the log accepts. At 1,700 claims
+/// per second (17,000 requests, one in ten unrepeatable) a batch has about five
+/// claims and five outcomes. More partitions spread a batcher's memory, and the
+/// impact of its failure, over more instances but need more appends.
 pub const PARTITIONS: u16 = 16;
 
-/// The least time between two appends to one partition.
+/// The minimum time between two appends to one partition.
 ///
-/// It adds half of itself to an unrepeatable request's latency on average.
+/// On average it adds half of its length to the latency of an unrepeatable
+/// request.
 pub const BATCH_PERIOD: Duration = Duration::from_millis(50);
 
-/// How far ahead of the log's clock a key's time of issue may lie.
+/// How far a key's issue time may be ahead of the log's clock.
 ///
-/// Callers stamp keys with their own clocks; 30 s is far above what NTP keeps.
-/// It lengthens by itself the time that the log must remember claims.
+/// Callers set issue times from their own clocks; 30 s is far above the error
+/// of an NTP-synchronized clock. The log must retain claims for this much
+/// longer.
 pub const MAX_CLOCK_SKEW: Duration = Duration::from_secs(30);
 
-/// Names one claim; no two claims share it, and a claim sent again keeps it.
+/// Identifies one claim uniquely; a resent claim keeps its ID.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Id {
-    /// The dispatcher that alone may start the request.
+    /// The dispatcher, the only instance that may start the request.
     pub holder: InstanceId,
-    /// The holder's incarnation; a restarted holder has forgotten the claim.
+    /// The holder's incarnation; a restarted holder no longer knows the claim.
     pub incarnation: Incarnation,
-    /// Counts the claims of that incarnation.
+    /// The sequence number of the claim within that incarnation.
     pub sequence: u64,
 }
 
-/// A claim as it stands in the log.
+/// A claim as recorded in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Names the claim.
+    /// Identifies the claim.
     pub id: Id,
-    /// What is claimed.
+    /// The claimed key.
     pub key: KeyDigest,
-    /// The body that came with the key; another one is refused.
+    /// The digest of the body sent with the key; another body is refused.
     pub body: BodyDigest,
     /// When the caller issued the key, in whole milliseconds.
     pub issued: Moment,
 }
 
-/// One entry of a batch.
+/// One item of a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Item {
-    /// A dispatcher asks for the key.
+    /// A claim of a key by a dispatcher.
     Claim(Record),
-    /// The winner's holder tells how the request ended, as best effort.
+    /// The outcome of a claimed request, reported by its holder on a
+    /// best-effort basis.
     Outcome {
         /// The key that was claimed.
         key: KeyDigest,
-        /// The claim that won it.
+        /// The claim that won the key.
         id: Id,
-        /// How it ended.
+        /// How the request ended.
         outcome: Outcome,
     },
 }
 
 impl Item {
-    /// Returns the key that the item is about.
+    /// Returns the key that the item refers to.
     #[must_use]
     pub const fn key(&self) -> &KeyDigest {
         match self {
@@ -113,47 +118,49 @@
     }
 }
 
-/// What a batcher answers a claim.
+/// The batcher's decision on a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// The claim is the first of its key: its holder may start the request.
+    /// The claim is the first for its key; its holder may start the request.
     Claimed,
-    /// Another claim of the key came first.
+    /// Another claim of the key came first in the log.
     Taken {
         /// The claim that won.
         by: Id,
-        /// How the winner ended, where the log says.
+        /// The outcome of the winner's request, if the log has it.
         #[serde(rename = "fate")]
         outcome: Option<Outcome>,
     },
-    /// The key was claimed with another body.
+    /// The key was already claimed with another body.
     OtherBody,
-    /// The key is older than the log's memory of claims.
+    /// The key was issued before the claim window, or before the records that
+    /// could be read.
     Expired,
-    /// The key's time of issue is too far ahead of the log's clock.
+    /// The key's issue time is too far ahead of the log's clock.
     Early,
-    /// The log gave no verdict in time; the holder must give the claim up.
+    /// The log returned no verdict in time; the holder must abandon the claim.
     Unavailable,
 }
 
-/// Returns the partition that a key's claims are in.
+/// Returns the partition that contains a key's claims.
 #[must_use]
 pub fn partition(key: &KeyDigest) -> u16 {
     u16::from_le_bytes([key[0], key[1]]) % PARTITIONS
 }
 
-/// Returns the name of a partition's stream in the log.
+/// Returns the name of a partition's log stream.
 #[must_use]
 pub fn stream_name(partition: u16) -> String {
     format!("claims-{partition}")
 }
 
-/// Returns the instance among the live ones that batches a partition.
+/// Returns the instance, among the live ones, that is the batcher of a partition.
 pub fn batcher_for(
     partition: u16,
     live: impl IntoIterator<Item = InstanceId>,
 ) -> Option<InstanceId> {
-    // Keeps a partition's scores apart from those of other rendezvous keys.
+    // Keeps the scores of partitions distinct from those of other rendezvous
+    // keys.
     const SALT: u64 = 0x636c_6169_6d73_0000;
     hash::winner(SALT | u64::from(partition), live)
 }
--- a/crates/state/src/claim/answers.rs
+++ b/crates/state/src/claim/answers.rs
@@ -1,8 +1,9 @@
-//! Finished answers, held for callers that send their key again.
+//! Finished responses, cached for callers that resend their key.
 //!
-//! The dispatcher holds them, because it alone saw the answer whole. The
-//! memory is bounded by bytes and by time; what is dropped costs a caller the
-//! replay, not the promise: the claim in the log still says that it ran.
+//! The dispatcher caches them because no other instance saw the complete
+//! response. The cache is bounded by bytes and by age. After an eviction a
+//! caller no longer gets the response replayed, but the request still cannot
+//! run twice: the claim in the log says that it ran.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -10,107 +11,109 @@
 use godwitpost_types::clock::Moment;
 use godwitpost_types::id::{BodyDigest, KeyDigest};
 
-/// Answers by key, the oldest dropped first.
+/// Responses by key; the oldest is evicted first.
 #[derive(Debug)]
-pub struct ResponseCache<A> {
-    most_bytes: usize,
-    longest: Duration,
+pub struct ResponseCache<R> {
+    max_bytes: usize,
+    max_age: Duration,
     bytes: usize,
-    held: BTreeMap<KeyDigest, Held<A>>,
-    order: VecDeque<KeyDigest>,
+    entries: BTreeMap<KeyDigest, Entry<R>>,
+    insertion_order: VecDeque<KeyDigest>,
 }
 
 #[derive(Debug)]
-struct Held<A> {
+struct Entry<R> {
     body: BodyDigest,
-    since: Moment,
+    inserted_at: Moment,
     size: usize,
-    answer: A,
+    response: R,
 }
 
-/// What is held for a key.
+/// The result of looking up a key.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Lookup<'a, A> {
-    /// The answer of the request that ran.
-    Hit(&'a A),
-    /// An answer to another body under the same key.
+pub enum Lookup<'a, R> {
+    /// The response of the request that ran.
+    Hit(&'a R),
+    /// A response exists under the same key, but for another body.
     OtherBody,
-    /// Nothing.
+    /// No response is cached for the key.
     Miss,
 }
 
-impl<A> ResponseCache<A> {
-    /// Returns an empty store that keeps `most_bytes` for `longest` at most.
+impl<R> ResponseCache<R> {
+    /// Returns an empty cache limited to `max_bytes` and to responses younger
+    /// than `max_age`.
     #[must_use]
-    pub const fn new(most_bytes: usize, longest: Duration) -> Self {
+    pub const fn new(max_bytes: usize, max_age: Duration) -> Self {
         Self {
-            most_bytes,
-            longest,
+            max_bytes,
+            max_age,
             bytes: 0,
-            held: BTreeMap::new(),
-            order: VecDeque::new(),
+            entries: BTreeMap::new(),
+            insertion_order: VecDeque::new(),
         }
     }
 
-    /// Holds an answer of `size` bytes, dropping older ones to make room.
+    /// Inserts a response of `size` bytes, evicting older ones to make room.
     ///
-    /// An answer larger than the whole store, or a second one for a key, is
-    /// not held.
+    /// A response larger than the cache, or a second one for a key, is not
+    /// inserted.
     pub fn insert(
         &mut self,
         now: Moment,
         key: KeyDigest,
         body: BodyDigest,
-        answer: A,
+        response: R,
         size: usize,
     ) {
-        self.expire(now);
-        if size > self.most_bytes || self.held.contains_key(&key) {
+        self.evict_expired(now);
+        if size > self.max_bytes || self.entries.contains_key(&key) {
             return;
         }
-        while self.bytes + size > self.most_bytes {
-            self.drop_oldest();
+        while self.bytes + size > self.max_bytes {
+            self.evict_oldest();
         }
         self.bytes += size;
-        self.order.push_back(key);
-        let held = Held {
+        self.insertion_order.push_back(key);
+        let entry = Entry {
             body,
-            since: now,
+            inserted_at: now,
             size,
-            answer,
+            response,
         };
-        self.held.insert(key, held);
+        self.entries.insert(key, entry);
     }
 
-    /// Returns what is held for a key that came with `body`.
-    pub fn get(&mut self, now: Moment, key: &KeyDigest, body: &BodyDigest) -> Lookup<'_, A> {
-        self.expire(now);
-        match self.held.get(key) {
+    /// Looks up the response to a key that was sent with `body`.
+    pub fn get(&mut self, now: Moment, key: &KeyDigest, body: &BodyDigest) -> Lookup<'_, R> {
+        self.evict_expired(now);
+        match self.entries.get(key) {
             None => Lookup::Miss,
-            Some(held) if held.body != *body => Lookup::OtherBody,
-            Some(held) => Lookup::Hit(&held.answer),
+            Some(entry) if entry.body != *body => Lookup::OtherBody,
+            Some(entry) => Lookup::Hit(&entry.response),
         }
     }
 
-    /// Returns the bytes held, as their sizes were given.
+    /// Returns the total of the sizes that were passed to
+    /// [`ResponseCache::insert`].
     #[must_use]
     pub const fn bytes(&self) -> usize {
         self.bytes
     }
 
-    fn expire(&mut self, now: Moment) {
-        while let Some(key) = self.order.front() {
-            if self.held[key].since + self.longest > now {
+    fn evict_expired(&mut self, now: Moment) {
+        while let Some(key) = self.insertion_order.front() {
+            if self.entries[key].inserted_at + self.max_age > now {
                 break;
             }
-            self.drop_oldest();
+            self.evict_oldest();
         }
     }
 
-    fn drop_oldest(&mut self) {
-        if let Some(key) = self.order.pop_front() {
-            let held = self.held.remove(&key);
-            self.bytes -= held.map_or(0, |held| held.size);
+    fn evict_oldest(&mut self) {
+        if let Some(key) = self.insertion_order.pop_front() {
+            let entry = self.entries.remove(&key);
+            self.bytes -= entry.map_or(0, |entry| entry.size);
         }
     }
 }
--- a/crates/state/src/claim/batch.rs
+++ b/crates/state/src/claim/batch.rs
@@ -1,10 +1,10 @@
-//! The bytes of a batch, in the log and between instances.
+//! The encoding of a batch, in the log and between instances.
 //!
-//! A batch is a MessagePack array of items, and an item an array whose first
-//! element tells its kind. The visitors are written by hand because 1,700
-//! claims a second are encoded once and decoded by their batchers, and again
-//! by whoever takes a partition over: arrays of integers and 16-byte strings
-//! need no field names and no allocation but the batch's own.
+//! A batch is a MessagePack array of items. An item is an array whose first
+//! element is its kind. The visitors are written by hand for speed: 1,700 claims
+//! per second are encoded once and decoded by their batchers, and decoded again
+//! by an instance that takes over a partition. Arrays of integers and 16-byte
+//! strings need no field names and no allocation except for the batch itself.
 
 use std::fmt;
 use std::time::Duration;
@@ -15,16 +15,16 @@
 
 use super::{Id, Item, Record};
 
-const CLAIM: u8 = 0;
-const FATE: u8 = 1;
-// Elements of either kind, its tag counted: both are padded to one length so
-// that the visitor needs no lookahead.
-const ELEMENTS: usize = 7;
+const CLAIM_KIND: u8 = 0;
+const OUTCOME_KIND: u8 = 1;
+// Array length of an item, including the kind. Both kinds have the same length
+// so that the visitor needs no lookahead.
+const ITEM_ELEMENTS: usize = 7;
 
-/// Why bytes are no batch.
+/// Why bytes could not be decoded as a batch.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum Error {
-    /// the bytes are no batch of claims ({0}); the record is skipped, check who else writes to this stream
+    /// the bytes are not a batch of claims ({0}); the record is skipped, check which other program writes to this stream
     Malformed(String),
 }
 
@@ -34,7 +34,7 @@
 ///
 /// # Panics
 ///
-/// Panics if the encoder fails, which writing to memory never does.
+/// Panics if the encoder fails, which does not happen when it writes to memory.
 #[must_use]
 pub fn encode(items: &[Item]) -> Vec<u8> {
     rmp_serde::to_vec(items).expect("a batch encodes into memory")
@@ -44,18 +44,18 @@
 ///
 /// # Errors
 ///
-/// Returns [`Error::Malformed`] for anything that [`encode`] did not write.
+/// Returns [`Error::Malformed`] for bytes that [`encode`] did not write.
 pub fn decode(bytes: &[u8]) -> Result<Vec<Item>, Error> {
     rmp_serde::from_slice(bytes).map_err(|cause| Error::Malformed(cause.to_string()))
 }
 
 impl Serialize for Item {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        let mut tuple = serializer.serialize_tuple(ELEMENTS)?;
+        let mut tuple = serializer.serialize_tuple(ITEM_ELEMENTS)?;
         match self {
             Self::Claim(record) => {
-                tuple.serialize_element(&CLAIM)?;
-                id(&mut tuple, &record.id)?;
+                tuple.serialize_element(&CLAIM_KIND)?;
+                serialize_id(&mut tuple, &record.id)?;
                 tuple.serialize_element(&Bytes(record.key))?;
                 tuple.serialize_element(&Bytes(record.body))?;
                 tuple.serialize_element(&millis(record.issued))?;
@@ -65,18 +65,18 @@
                 id: claim,
                 outcome,
             } => {
-                tuple.serialize_element(&FATE)?;
-                id(&mut tuple, claim)?;
+                tuple.serialize_element(&OUTCOME_KIND)?;
+                serialize_id(&mut tuple, claim)?;
                 tuple.serialize_element(&Bytes(*key))?;
                 tuple.serialize_element(&Bytes([]))?;
-                tuple.serialize_element(&number(*outcome))?;
+                tuple.serialize_element(&outcome_code(*outcome))?;
             }
         }
         tuple.end()
     }
 }
 
-fn id<T: SerializeTuple>(tuple: &mut T, id: &Id) -> Result<(), T::Error> {
+fn serialize_id<T: SerializeTuple>(tuple: &mut T, id: &Id) -> Result<(), T::Error> {
     tuple.serialize_element(&id.holder)?;
     tuple.serialize_element(&id.incarnation)?;
     tuple.serialize_element(&id.sequence)
@@ -84,7 +84,7 @@
 
 impl<'de> Deserialize<'de> for Item {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_tuple(ELEMENTS, ItemVisitor)
+        deserializer.deserialize_tuple(ITEM_ELEMENTS, ItemVisitor)
     }
 }
 
@@ -98,17 +98,17 @@
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Item, A::Error> {
-        let kind: u8 = element(&mut seq)?;
+        let kind: u8 = next_element(&mut seq)?;
         let id = Id {
-            holder: element(&mut seq)?,
-            incarnation: element(&mut seq)?,
-            sequence: element(&mut seq)?,
+            holder: next_element(&mut seq)?,
+            incarnation: next_element(&mut seq)?,
+            sequence: next_element(&mut seq)?,
         };
-        let Bytes(key) = element(&mut seq)?;
+        let Bytes(key) = next_element(&mut seq)?;
         match kind {
-            CLAIM => {
-                let Bytes(body) = element(&mut seq)?;
-                let issued = Duration::from_millis(element(&mut seq)?);
+            CLAIM_KIND => {
+                let Bytes(body) = next_element(&mut seq)?;
+                let issued = Duration::from_millis(next_element(&mut seq)?);
                 Ok(Item::Claim(Record {
                     id,
                     key,
@@ -116,9 +116,9 @@
                     issued,
                 }))
             }
-            FATE => {
-                let Bytes([]) = element(&mut seq)?;
-                let outcome = outcome(element(&mut seq)?)?;
+            OUTCOME_KIND => {
+                let Bytes([]) = next_element(&mut seq)?;
+                let outcome = decode_outcome(next_element(&mut seq)?)?;
                 Ok(Item::Outcome { key, id, outcome })
             }
             _ => Err(de::Error::custom("unknown kind of item")),
@@ -126,7 +126,7 @@
     }
 }
 
-fn element<'de, A: SeqAccess<'de>, T: Deserialize<'de>>(seq: &mut A) -> Result<T, A::Error> {
+fn next_element<'de, A: SeqAccess<'de>, T: Deserialize<'de>>(seq: &mut A) -> Result<T, A::Error> {
     seq.next_element()?
         .ok_or_else(|| de::Error::custom("an item has too few elements"))
 }
@@ -135,7 +135,7 @@
     u64::try_from(issued.as_millis()).unwrap_or(u64::MAX)
 }
 
-const fn number(outcome: Outcome) -> u64 {
+const fn outcome_code(outcome: Outcome) -> u64 {
     match outcome {
         Outcome::Ran => 0,
         Outcome::NotRun => 1,
@@ -143,8 +143,8 @@
     }
 }
 
-fn outcome<E: de::Error>(number: u64) -> Result<Outcome, E> {
-    match number {
+fn decode_outcome<E: de::Error>(code: u64) -> Result<Outcome, E> {
+    match code {
         0 => Ok(Outcome::Ran),
         1 => Ok(Outcome::NotRun),
         2 => Ok(Outcome::Unknown),
@@ -152,8 +152,8 @@
     }
 }
 
-// A byte string of fixed length; serde's own arrays would be written as an
-// array of numbers, half of which take two bytes.
+// A byte string of fixed length. Serde encodes an array as an array of numbers,
+// half of which take two bytes each.
 struct Bytes<const N: usize>([u8; N]);
 
 impl<const N: usize> Serialize for Bytes<N> {
--- a/crates/state/src/claim/batch/tests.rs
+++ b/crates/state/src/claim/batch/tests.rs
@@ -1,4 +1,4 @@
-//! Batches survive their encoding, and strangers' bytes don't pass for one.
+//! Batches round-trip through their encoding; other bytes are rejected.
 
 use proptest::prelude::*;
 
@@ -8,7 +8,7 @@
     let id = (any::<u64>(), any::<u64>(), any::<u64>());
     let digests = (any::<[u8; 16]>(), any::<[u8; 16]>());
     (id, digests, any::<u32>(), 0..4_u8).prop_map(
-        |((holder, incarnation, sequence), d, n, kind)| {
+        |((holder, incarnation, sequence), digests, n, kind)| {
             let id = Id {
                 holder,
                 incarnation,
@@ -21,14 +21,14 @@
                 _ => {
                     return Item::Claim(Record {
                         id,
-                        key: d.0,
-                        body: d.1,
+                        key: digests.0,
+                        body: digests.1,
                         issued: Duration::from_millis(u64::from(n)),
                     });
                 }
             };
             Item::Outcome {
-                key: d.0,
+                key: digests.0,
                 id,
                 outcome,
             }
@@ -38,25 +38,25 @@
 
 proptest! {
     #[test]
-    fn a_batch_survives_its_encoding(items in prop::collection::vec(any_item(), 0..20)) {
+    fn batch_round_trips(items in prop::collection::vec(any_item(), 0..20)) {
         prop_assert_eq!(decode(&encode(&items)), Ok(items));
     }
 
     #[test]
-    fn a_cut_batch_is_an_error(items in prop::collection::vec(any_item(), 1..4), cut in 1..60_usize) {
+    fn truncated_batch_is_an_error(items in prop::collection::vec(any_item(), 1..4), cut in 1..60_usize) {
         let bytes = encode(&items);
-        let short = &bytes[..bytes.len().saturating_sub(cut)];
-        prop_assert!(decode(short).is_err());
+        let truncated = &bytes[..bytes.len().saturating_sub(cut)];
+        prop_assert!(decode(truncated).is_err());
     }
 
     #[test]
-    fn strange_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = decode(&bytes).map(|items| encode(&items));
     }
 }
 
 #[test]
-fn a_claim_takes_66_bytes() {
+fn claim_is_encoded_in_66_bytes() {
     let record = Record {
         id: Id {
             holder: u64::MAX,
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,9 +1,10 @@
-//! Decisions on state: at-most-once claims, membership, leases, orders, drain.
+//! State machines for at-most-once claims, membership, leases, orders and
+//! drain.
 //!
-//! Everything here is a pure state machine or fold. Nothing opens a socket,
-//! starts a thread, reads a clock or draws ambient randomness: an event comes
-//! in with its moment, and an enum of what to do next comes out. The router
-//! carries the messages; tests and benches drive the same code directly.
+//! All code in this crate is deterministic. It opens no sockets, starts no
+//! threads, reads no clocks and uses no global randomness: callers pass in each
+//! event with its time and receive an enum that says what to do next. The
+//! router does the I/O; tests and benchmarks drive the same code directly.
 
 pub mod claim;
 pub mod drain;
--- a/crates/state/src/log.rs
+++ b/crates/state/src/log.rs
@@ -1,35 +1,36 @@
-//! What the log service answers, as the machines that use it see it.
+//! Results of log service calls, as the state machines receive them.
 
 use godwitpost_types::clock::Moment;
 use godwitpost_types::id::Offset;
 
-/// What is known of an append that brought no offset.
+/// Why an append returned no offset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AppendFailure {
-    /// The log refused it or was never reached: it has no effect.
+    /// The log refused the append or was not reached, so it has no effect.
     NotApplied,
-    /// Its answer was lost: it may have taken effect, or still will.
+    /// The response was lost. The append may have taken effect or may still do
+    /// so.
     Unknown,
 }
 
-/// One answer to a read.
+/// The result of one read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
-    /// The oldest record still kept.
+    /// The offset of the oldest record that the log retains.
     pub first: Offset,
     /// The offset that the next append would get.
     pub next: Offset,
-    /// The records, in order and without gaps.
+    /// The records, in offset order and without gaps.
     pub records: Vec<StoredRecord>,
 }
 
-/// A record of the stream.
+/// A record as stored in a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredRecord {
-    /// Its offset.
+    /// The offset in the stream.
     pub offset: Offset,
-    /// The log's time for it.
+    /// The time that the log assigned to the record.
     pub time: Moment,
-    /// Its bytes.
+    /// The encoded payload.
     pub body: Vec<u8>,
 }
