--- a/crates/state/src/claim/batcher/tests.rs
+++ b/crates/state/src/claim/batcher/tests.rs
@@ -1,4 +1,4 @@
-//! A batcher answers from the fold alone, and gives up in time.
+//! Verdicts come only from applied records, and claims time out.
 
 use super::*;
 use crate::log::StoredRecord;
@@ -35,8 +35,8 @@
     }
 }
 
-/// A batcher that has read an empty stream and waits to append one claim.
-fn ready(record: Record) -> Batcher {
+/// A batcher that has read an empty stream and is about to append one claim.
+fn batcher_with_claim(record: Record) -> Batcher {
     let mut batcher = Batcher::new(WINDOW);
     assert!(matches!(batcher.next(at(0)), Next::Read { from: 0, .. }));
     batcher.apply_page(at(0), &Page::default());
@@ -51,7 +51,7 @@
     }
 }
 
-const fn answer(record: &Record, verdict: Verdict) -> Next {
+const fn reply(record: &Record, verdict: Verdict) -> Next {
     Next::Reply {
         id: record.id,
         verdict,
@@ -59,53 +59,53 @@
 }
 
 #[test]
-fn a_claim_is_appended_and_answered() {
+fn claim_is_appended_and_gets_its_verdict() {
     let record = claim(1, 7);
-    let mut batcher = ready(record);
+    let mut batcher = batcher_with_claim(record);
     let ticket = ticket(&batcher.next(at(0)));
     assert!(matches!(batcher.next(at(1)), Next::Wait(_)));
     batcher.appended(at(5), ticket, 0, at(4));
-    assert_eq!(batcher.next(at(5)), answer(&record, Verdict::Claimed));
+    assert_eq!(batcher.next(at(5)), reply(&record, Verdict::Claimed));
 }
 
-/// A booking is confirmed twice. Another batcher appended first; this one's
-/// append came back with a later offset and it answered at once.
+/// A request ran twice when another batcher appended first and this batcher
+/// returned a verdict without reading the records before its own.
 #[test]
-fn records_in_between_are_read_before_the_answer() {
-    let mine = claim(1, 7);
+fn records_in_between_are_read_before_the_verdict() {
+    let own = claim(1, 7);
     let other = claim(2, 7);
-    let mut batcher = ready(mine);
+    let mut batcher = batcher_with_claim(own);
     let ticket = ticket(&batcher.next(at(0)));
     batcher.appended(at(5), ticket, 1, at(4));
     assert!(matches!(batcher.next(at(5)), Next::Read { from: 0, .. }));
-    let records = vec![(0, vec![Item::Claim(other)]), (1, vec![Item::Claim(mine)])];
+    let records = vec![(0, vec![Item::Claim(other)]), (1, vec![Item::Claim(own)])];
     batcher.apply_page(at(6), &page(0, 2, records));
     let taken = Verdict::Taken {
         by: other.id,
         outcome: None,
     };
-    assert_eq!(batcher.next(at(6)), answer(&mine, taken));
+    assert_eq!(batcher.next(at(6)), reply(&own, taken));
 }
 
-/// A shop waits and is refused though its claim stands. The answer to the
-/// append was lost; reading back finds the record.
+/// A claim must not be refused because the response to its append was lost.
+/// Reading the stream back finds the record.
 #[test]
-fn a_lost_answer_is_settled_by_reading_back() {
+fn lost_append_response_is_resolved_by_reading_back() {
     let record = claim(1, 7);
-    let mut batcher = ready(record);
+    let mut batcher = batcher_with_claim(record);
     let ticket = ticket(&batcher.next(at(0)));
     batcher.append_failed(at(500), ticket, AppendFailure::Unknown);
     assert!(matches!(batcher.next(at(500)), Next::Read { from: 0, .. }));
     batcher.apply_page(at(501), &page(0, 1, vec![(0, vec![Item::Claim(record)])]));
-    assert_eq!(batcher.next(at(501)), answer(&record, Verdict::Claimed));
+    assert_eq!(batcher.next(at(501)), reply(&record, Verdict::Claimed));
 }
 
-/// An order runs twice: the append was lost, did not show when read back, was
-/// made again, and the first one took effect late.
+/// A request must not run twice when an append is not found by reading back, is
+/// repeated, and the first one takes effect late.
 #[test]
-fn an_append_that_takes_effect_late_changes_nothing() {
+fn append_that_takes_effect_late_is_ignored() {
     let record = claim(1, 7);
-    let mut batcher = ready(record);
+    let mut batcher = batcher_with_claim(record);
     let first = ticket(&batcher.next(at(0)));
     batcher.append_failed(at(500), first, AppendFailure::Unknown);
     batcher.next(at(500));
@@ -118,74 +118,71 @@
         (1, vec![Item::Claim(record)]),
     ];
     batcher.apply_page(at(511), &page(0, 2, twice));
-    assert_eq!(batcher.next(at(511)), answer(&record, Verdict::Claimed));
+    assert_eq!(batcher.next(at(511)), reply(&record, Verdict::Claimed));
     assert!(matches!(batcher.next(at(511)), Next::Wait(_)));
 }
 
-/// A shop waits for its whole deadline while the log is down. The batcher
-/// should say so at once, and at once again to those that come after.
+/// Callers must not wait until their deadline while the log is down. Claims get
+/// `Unavailable` at once, and so do claims that arrive shortly afterwards.
 #[test]
-fn a_log_that_is_down_is_told_at_once() {
+fn claims_fail_at_once_while_the_log_is_down() {
     let record = claim(1, 7);
-    let mut batcher = ready(record);
+    let mut batcher = batcher_with_claim(record);
     let first = ticket(&batcher.next(at(0)));
     batcher.append_failed(at(2), first, AppendFailure::NotApplied);
     let second = ticket(&batcher.next(at(50)));
     batcher.append_failed(at(52), second, AppendFailure::NotApplied);
-    assert_eq!(batcher.next(at(52)), answer(&record, Verdict::Unavailable));
+    assert_eq!(batcher.next(at(52)), reply(&record, Verdict::Unavailable));
     let later = claim(2, 8);
     batcher.submit(at(60), Item::Claim(later));
-    assert_eq!(batcher.next(at(60)), answer(&later, Verdict::Unavailable));
+    assert_eq!(batcher.next(at(60)), reply(&later, Verdict::Unavailable));
     let recovered = claim(3, 9);
     batcher.submit(at(600), Item::Claim(recovered));
     assert!(matches!(batcher.next(at(600)), Next::Append { .. }));
 }
 
-/// A batcher whose append never returns at all must not hold callers beyond
-/// the time in which *not run* can still be told.
+/// An append that never returns must not delay callers beyond the time in which
+/// *not run* can still be reported.
 #[test]
-fn a_silent_log_exhausts_its_patience() {
+fn claim_times_out_if_the_log_does_not_respond() {
     let record = claim(1, 7);
-    let mut batcher = ready(record);
+    let mut batcher = batcher_with_claim(record);
     ticket(&batcher.next(at(0)));
     assert!(matches!(batcher.next(at(999)), Next::Wait(Some(_))));
-    assert_eq!(
-        batcher.next(at(1000)),
-        answer(&record, Verdict::Unavailable)
-    );
+    assert_eq!(batcher.next(at(1000)), reply(&record, Verdict::Unavailable));
 }
 
-/// A stranger's record in the stream must not stop the fold.
+/// A foreign record in the stream must not block the records after it.
 #[test]
-fn a_malformed_record_claims_nothing() {
+fn malformed_record_is_skipped() {
     let record = claim(1, 7);
-    let mut batcher = ready(record);
+    let mut batcher = batcher_with_claim(record);
     let ticket = ticket(&batcher.next(at(0)));
     batcher.appended(at(5), ticket, 1, at(4));
     batcher.next(at(5));
     let mut page = page(0, 2, vec![(0, vec![]), (1, vec![Item::Claim(record)])]);
     page.records[0].body = b"not a batch".to_vec();
     batcher.apply_page(at(6), &page);
-    assert_eq!(batcher.next(at(6)), answer(&record, Verdict::Claimed));
+    assert_eq!(batcher.next(at(6)), reply(&record, Verdict::Claimed));
 }
 
-/// A router dies because the log answers with a page that leaves a record out.
-/// What is missing may hold winners, so older keys are refused instead.
+/// A page with a missing record must not make the router panic. The missing
+/// records may contain winning claims, so older keys are refused.
 #[test]
-fn a_page_with_a_gap_is_taken_for_truncation() {
+fn page_with_a_gap_is_treated_as_truncation() {
     let record = claim(1, 7);
-    let mut batcher = ready(record);
+    let mut batcher = batcher_with_claim(record);
     let ticket = ticket(&batcher.next(at(0)));
     batcher.appended(at(5), ticket, 2, at(4));
     batcher.next(at(5));
     let records = vec![(0, vec![]), (2, vec![Item::Claim(record)])];
     batcher.apply_page(at(6), &page(0, 3, records));
-    assert_eq!(batcher.next(at(6)), answer(&record, Verdict::Expired));
+    assert_eq!(batcher.next(at(6)), reply(&record, Verdict::Expired));
 }
 
 #[test]
-fn batches_keep_their_period_and_size() {
-    let mut batcher = ready(claim(0, 0));
+fn batches_respect_period_and_size() {
+    let mut batcher = batcher_with_claim(claim(0, 0));
     for holder in 1..=300 {
         batcher.submit(at(0), Item::Claim(claim(holder, 1)));
     }
@@ -202,32 +199,32 @@
     assert!(matches!(batcher.next(at(50)), Next::Append { .. }));
 }
 
-/// A caller gives up while its claim waits for a batch. Appending it all the
-/// same would only spend the key.
+/// A claim whose caller left before its batch was appended must not be
+/// appended, as that would make the key unusable for no purpose.
 #[test]
-fn a_claim_that_was_given_up_is_not_appended() {
-    let mut batcher = ready(claim(1, 7));
-    let gone = claim(2, 8);
-    batcher.submit(at(0), Item::Claim(gone));
-    let fate = Item::Outcome {
-        key: gone.key,
-        id: gone.id,
+fn abandoned_claim_is_not_appended() {
+    let mut batcher = batcher_with_claim(claim(1, 7));
+    let abandoned = claim(2, 8);
+    batcher.submit(at(0), Item::Claim(abandoned));
+    let outcome = Item::Outcome {
+        key: abandoned.key,
+        id: abandoned.id,
         outcome: godwitpost_types::outcome::Outcome::NotRun,
     };
-    batcher.submit(at(0), fate);
+    batcher.submit(at(0), outcome);
     let Next::Append { body, .. } = batcher.next(at(0)) else {
         panic!("an append is due");
     };
-    let items = vec![Item::Claim(claim(1, 7)), fate];
+    let items = vec![Item::Claim(claim(1, 7)), outcome];
     assert_eq!(batch::decode(&body), Ok(items));
 }
 
-/// Orders are refused for minutes after an instance was replaced. Its
-/// successor reads a day of claims to learn the last quarter of an hour.
+/// A new batcher must not read a day of claims to obtain a window of a quarter
+/// of an hour; requests were refused for minutes after an instance was replaced.
 #[test]
-fn a_new_batcher_reads_its_window_only() {
+fn new_batcher_reads_only_its_window() {
     let day = 86_400 * 20;
-    // A batch each 50 ms, the last one now.
+    // One batch every 50 ms; the last one is at the current time.
     let time = |offset: Offset| at(offset * 50);
     let mut batcher = Batcher::new(WINDOW);
     let now = at(day * 50);
--- a/crates/state/src/claim/seek.rs
+++ b/crates/state/src/claim/seek.rs
@@ -1,47 +1,48 @@
-//! Finds where in a stream the claim window begins.
+//! Finds the offset in a stream at which the claim window begins.
 //!
-//! The log may keep a stream for days, and a new batcher needs its last
-//! minutes. Records are in order of their time, so a few reads of one record
-//! each find the place: doubling steps until the window or the stream's end
-//! is passed, then halving. Starting anywhere is safe, since the fold vouches
-//! only for what it can have seen; starting early enough loses no key.
+//! The log may retain a stream for days, but a new batcher needs only its last
+//! minutes. Records are ordered by time, so a few reads of one record each
+//! suffice: the search doubles its step until it passes the start of the window
+//! or the end of the stream, then bisects. Any starting offset is safe, since
+//! the table refuses keys whose claims it may have missed. An early enough one
+//! refuses no key within the window.
 
 use godwitpost_types::clock::Moment;
 use godwitpost_types::id::Offset;
 
 use super::Page;
 
-/// Records that are read rather than searched; one page.
-const NEAR: Offset = 1000;
+/// The range that is read sequentially instead of searched; one page.
+const MAX_SCAN_RECORDS: Offset = 1000;
 
-/// A search for the last record that is older than the window.
+/// A search for the last record before the claim window.
 #[derive(Clone, Debug)]
-pub(super) struct Seek {
-    // Records at or before this time are not needed.
-    wanted: Moment,
-    // The window begins at or after this offset.
+pub(super) struct Search {
+    // Records at or before this time are outside the window.
+    window_start: Moment,
+    // Lower bound of the start of the window.
     low: Offset,
-    // It begins before this offset, once known.
+    // Upper bound of the start of the window; `None` until known.
     high: Option<Offset>,
     step: Offset,
-    begun: bool,
+    started: bool,
 }
 
-impl Seek {
-    /// Returns a search for a window that begins after `wanted`.
-    pub(super) const fn new(wanted: Moment) -> Self {
+impl Search {
+    /// Returns a search for a window that begins after `window_start`.
+    pub(super) const fn new(window_start: Moment) -> Self {
         Self {
-            wanted,
+            window_start,
             low: 0,
             high: None,
-            step: NEAR,
-            begun: false,
+            step: MAX_SCAN_RECORDS,
+            started: false,
         }
     }
 
-    /// Returns the offset to read one record at.
-    pub(super) const fn probe(&self) -> Offset {
-        if !self.begun {
+    /// Returns the offset at which to read one record next.
+    pub(super) const fn probe_offset(&self) -> Offset {
+        if !self.started {
             return 0;
         }
         match self.high {
@@ -50,28 +51,28 @@
         }
     }
 
-    /// Takes what the probe brought; returns where to start reading, once
-    /// found.
+    /// Applies the result of a probe. Returns the offset to start reading from
+    /// once it is found.
     pub(super) fn apply_probe(&mut self, page: &Page) -> Option<Offset> {
-        let probe = self.probe().max(page.first);
+        let probe = self.probe_offset().max(page.first);
         let record = page.records.first().filter(|r| r.offset == probe);
-        let old = record.is_some_and(|record| record.time <= self.wanted);
-        if !self.begun {
-            self.begun = true;
+        let before_window = record.is_some_and(|record| record.time <= self.window_start);
+        if !self.started {
+            self.started = true;
             self.low = page.first;
-            return (!old).then_some(page.first);
+            return (!before_window).then_some(page.first);
         }
-        if old {
+        if before_window {
             self.low = probe;
             self.step *= 2;
         } else {
-            // Too new, or past the end.
+            // Within the window, or past the end of the stream.
             self.high = Some(probe);
         }
         let high = self.high?;
-        // The log may have dropped records meanwhile.
+        // The log may have deleted records in the meantime.
         self.low = self.low.max(page.first);
-        (high.saturating_sub(self.low) <= NEAR).then_some(self.low)
+        (high.saturating_sub(self.low) <= MAX_SCAN_RECORDS).then_some(self.low)
     }
 }
 
--- a/crates/state/src/claim/seek/tests.rs
+++ b/crates/state/src/claim/seek/tests.rs
@@ -1,4 +1,4 @@
-//! The search ends within a page before the window, in few reads.
+//! The search ends at most one page before the window, in few reads.
 
 use std::time::Duration;
 
@@ -7,9 +7,9 @@
 use super::super::StoredRecord;
 use super::*;
 
-/// A stream of `next` records whose first ones are dropped; the record at `n`
-/// has the time `n`.
-fn probe(first: Offset, next: Offset, from: Offset) -> Page {
+/// Reads one record of a stream that retains the offsets `first..next`. The
+/// record at offset `n` has the time `n`.
+fn read_one(first: Offset, next: Offset, from: Offset) -> Page {
     let at = from.max(first);
     let record = (at < next).then(|| StoredRecord {
         offset: at,
@@ -18,7 +18,7 @@
     });
     Page {
         first,
-        // As a client says that can't tell the stream's end.
+        // As reported by a client that does not know the end of the stream.
         next: at + 2 * u64::from(record.is_some()),
         records: record.into_iter().collect(),
     }
@@ -26,26 +26,26 @@
 
 proptest! {
     #[test]
-    fn it_starts_before_the_window_and_not_long_before(
+    fn search_ends_at_most_one_page_before_the_window(
         first in 0..50_000_u64,
         length in 0..3_000_000_u64,
-        wanted in 0..3_000_000_u64,
+        window_start in 0..3_000_000_u64,
     ) {
         let next = first + length;
-        let mut seek = Seek::new(Duration::from_secs(wanted));
+        let mut search = Search::new(Duration::from_secs(window_start));
         let mut probes = 0;
         let start = loop {
             probes += 1;
             prop_assert!(probes < 40, "no end of probes");
-            if let Some(start) = seek.apply_probe(&probe(first, next, seek.probe())) {
+            if let Some(start) = search.apply_probe(&read_one(first, next, search.probe_offset())) {
                 break start;
             }
         };
-        // The last record that is old enough, if any is kept.
-        let last_old = wanted.min(next.saturating_sub(1));
-        if length > 0 && first <= wanted {
-            prop_assert!(start <= last_old);
-            prop_assert!(last_old - start <= NEAR);
+        // The last record before the window, if any is retained.
+        let last_before_window = window_start.min(next.saturating_sub(1));
+        if length > 0 && first <= window_start {
+            prop_assert!(start <= last_before_window);
+            prop_assert!(last_before_window - start <= MAX_SCAN_RECORDS);
         } else {
             prop_assert_eq!(start, first);
         }
