--- a/crates/state/src/claim/holder.rs
+++ b/crates/state/src/claim/holder.rs
@@ -1,11 +1,11 @@
-//! The dispatcher's side of a claim: it alone decides whether a request starts.
+//! The dispatcher's side of a claim, which decides whether a request starts.
 //!
-//! A claim in the log permits its holder to start the request; it does not
-//! oblige it. When the caller's deadline passes, or the caller goes away, the
-//! holder gives the claim up in its own memory. From then on
-//! [`Holder::try_start`] refuses, so *not run* is true whatever the log still
-//! does with the record. A holder that was paused asks [`Holder::try_start`] with
-//! the moment it woke at and is refused in the same way.
+//! A claim in the log allows its holder to start the request but does not
+//! require it. When the caller's deadline passes or the caller disconnects, the
+//! holder abandons the claim in its own memory. From then on
+//! [`Holder::try_start`] returns false, so *not run* is correct whatever happens
+//! to the record in the log. A holder that was paused calls
+//! [`Holder::try_start`] with the time after the pause and is refused likewise.
 
 use std::collections::BTreeMap;
 
@@ -16,20 +16,20 @@
 use super::key::Key;
 use super::{Id, Item, Record, Verdict};
 
-// Claims given up that are remembered, so that a resend of their key is told
-// that it never ran though the log may not have heard. A hundred seconds of a
-// dispatcher's share of claims at 5 a second; forgetting one only means that
-// the resend is told *unknown*.
-const REMEMBERED: usize = 512;
+// Abandoned claims are retained so that a resend of their key is refused as not
+// run even if the log has no outcome. 512 last a hundred seconds at a
+// dispatcher's 5 claims per second. Once an entry is dropped, the resend is
+// answered with *unknown*.
+const MAX_ABANDONED_CLAIMS: usize = 512;
 
-/// The claims of one dispatcher in one incarnation.
+/// The claims of one dispatcher incarnation.
 #[derive(Debug)]
 pub struct Holder {
-    own: InstanceId,
+    instance: InstanceId,
     incarnation: Incarnation,
     sequence: u64,
     claims: BTreeMap<u64, Claim>,
-    given_up: BTreeMap<u64, Record>,
+    abandoned: BTreeMap<u64, Record>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -41,42 +41,43 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    Asked,
+    Pending,
     Claimed,
     Started,
 }
 
-/// What to do with a request after a verdict.
+/// What to do with a request after the verdict on its claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// The request may go on; [`Holder::try_start`] decides just before its first
-    /// byte leaves.
+    /// The request may proceed; [`Holder::try_start`] decides right before its
+    /// first byte is sent.
     Claimed,
-    /// The caller is refused.
+    /// Refuse the request.
     Refuse {
-        /// Why, and the outcome to tell.
+        /// The reason, which determines the outcome to report to the caller.
         refusal: Refusal,
-        /// A fate to send to the batcher, if the claim may be in the log.
+        /// An outcome to send to the batcher, if the claim may be in the log.
         report: Option<Item>,
     },
-    /// The claim was given up before, and won: send this fate to the batcher,
-    /// so that a resend of the key hears that it never ran.
+    /// The claim won after it was abandoned. Send this outcome to the batcher so
+    /// that a resend of the key is refused as not run.
     Report(Item),
-    /// The claim was settled before; nothing is to be done.
+    /// Nothing to do; the claim is unknown here or was already decided.
     Ignore,
 }
 
-/// What giving up came to.
+/// The result of abandoning a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AbandonResult {
-    /// The request never starts; *not run* may be told. The fate is to be
-    /// sent to the batcher, for whoever comes with the key again.
+    /// The request will never start, so *not run* may be reported. Send the
+    /// outcome to the batcher, for resends of the key.
     NotRun(Item),
-    /// It has started, or was never held here: its fate is unknown.
+    /// The request has started, or its claim is not held here, so the outcome is
+    /// unknown.
     TooLate,
 }
 
-/// Why an unrepeatable request is refused, and the way out.
+/// Why an unrepeatable request is refused, and what the caller can do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum Refusal {
     /// a request with this key already ran; do not send it again, its answer is no longer held
@@ -100,12 +101,12 @@
 impl std::error::Error for Refusal {}
 
 impl Refusal {
-    /// Returns the outcome to tell the caller.
+    /// Returns the outcome to report to the caller.
     #[must_use]
     pub const fn outcome(self) -> Outcome {
         match self {
             Self::Ran => Outcome::Ran,
-            // An old key has most likely been sent before.
+            // An expired key was most likely sent before.
             Self::Running | Self::Expired => Outcome::Unknown,
             Self::Spent | Self::OtherBody | Self::Early | Self::Unavailable | Self::Deadline => {
                 Outcome::NotRun
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Returns whether the outcome speaks for the attempt or for the key.
+    /// Returns whether the outcome applies to the attempt or to the key.
     #[must_use]
     pub const fn scope(self) -> Scope {
         match self {
@@ -128,13 +129,13 @@
 impl Holder {
     /// Returns a holder without claims.
     #[must_use]
-    pub const fn new(own: InstanceId, incarnation: Incarnation) -> Self {
+    pub const fn new(instance: InstanceId, incarnation: Incarnation) -> Self {
         Self {
-            own,
+            instance,
             incarnation,
             sequence: 0,
             claims: BTreeMap::new(),
-            given_up: BTreeMap::new(),
+            abandoned: BTreeMap::new(),
         }
     }
 
@@ -150,20 +151,20 @@
         let claim = Claim {
             record,
             deadline,
-            stage: Stage::Asked,
+            stage: Stage::Pending,
         };
         self.claims.insert(self.sequence, claim);
         record
     }
 
-    /// Takes the batcher's verdict on a claim.
+    /// Applies the batcher's verdict on a claim.
     pub fn apply_verdict(&mut self, now: Moment, id: Id, verdict: Verdict) -> Step {
         if !self.owns(id) {
             return Step::Ignore;
         }
         match self.claims.get_mut(&id.sequence) {
-            None => self.late(id, verdict),
-            Some(claim) if claim.stage != Stage::Asked => Step::Ignore,
+            None => self.late_verdict(id, verdict),
+            Some(claim) if claim.stage != Stage::Pending => Step::Ignore,
             Some(claim) if verdict == Verdict::Claimed && now < claim.deadline => {
                 claim.stage = Stage::Claimed;
                 Step::Claimed
@@ -172,9 +173,9 @@
         }
     }
 
-    /// Returns whether the request may start, and counts it as started.
+    /// Returns whether the request may start, and marks it as started.
     ///
-    /// To be asked once, right before the first byte leaves for an endpoint.
+    /// Must be called once, right before the first byte is sent to an endpoint.
     #[must_use]
     pub fn try_start(&mut self, now: Moment, id: Id) -> bool {
         if !self.owns(id) {
@@ -189,7 +190,8 @@
         }
     }
 
-    /// Gives a claim up because its caller's deadline passed or it went away.
+    /// Abandons a claim whose caller's deadline passed or whose caller
+    /// disconnected.
     pub fn abandon(&mut self, id: Id) -> AbandonResult {
         if !self.owns(id) {
             return AbandonResult::TooLate;
@@ -198,19 +200,19 @@
             None => AbandonResult::TooLate,
             Some(claim) if claim.stage == Stage::Started => AbandonResult::TooLate,
             Some(_) => self
-                .give_up(id)
+                .abandon_claim(id)
                 .map_or(AbandonResult::TooLate, AbandonResult::NotRun),
         }
     }
 
-    /// Returns whether a claim was given up here, so that its request never
-    /// starts; for instances that met the claim as their key's winner.
+    /// Returns whether this holder abandoned a claim, so that its request never
+    /// starts. Used when the claim won the key of another claim.
     #[must_use]
     pub fn has_abandoned(&self, id: Id) -> bool {
-        self.owns(id) && self.given_up.contains_key(&id.sequence)
+        self.owns(id) && self.abandoned.contains_key(&id.sequence)
     }
 
-    /// Forgets a claim whose request ended and returns the fate to record, if
+    /// Removes a claim whose request ended and returns the outcome to record, if
     /// it is known.
     pub fn finish(&mut self, id: Id, outcome: Outcome) -> Option<Item> {
         if !self.owns(id) {
@@ -218,10 +220,10 @@
         }
         let claim = self.claims.remove(&id.sequence)?;
         let known = outcome != Outcome::Unknown;
-        known.then(|| fate(&claim.record, outcome))
+        known.then(|| outcome_item(&claim.record, outcome))
     }
 
-    /// Returns claims that have passed their deadline without starting.
+    /// Returns the claims whose deadline passed before their request started.
     pub fn overdue(&self, now: Moment) -> impl Iterator<Item = Id> + '_ {
         self.claims
             .values()
@@ -229,7 +231,7 @@
             .map(|claim| claim.record.id)
     }
 
-    /// Returns the number of claims that are neither finished nor given up.
+    /// Returns the number of claims that are neither finished nor abandoned.
     #[must_use]
     pub fn len(&self) -> usize {
         self.claims.len()
@@ -243,75 +245,72 @@
 
     const fn id(&self, sequence: u64) -> Id {
         Id {
-            holder: self.own,
+            holder: self.instance,
             incarnation: self.incarnation,
             sequence,
         }
     }
 
     const fn owns(&self, id: Id) -> bool {
-        id.holder == self.own && id.incarnation == self.incarnation
+        id.holder == self.instance && id.incarnation == self.incarnation
     }
 
     fn refuse(&mut self, id: Id, verdict: Verdict) -> Step {
         let refusal = match verdict {
-            // It won, after the caller's deadline.
+            // The claim won, but after the caller's deadline.
             Verdict::Claimed => Refusal::Deadline,
-            Verdict::Taken { by, outcome } => self.taken(by, outcome),
+            Verdict::Taken { by, outcome } => self.refusal_for_taken(by, outcome),
             Verdict::OtherBody => Refusal::OtherBody,
             Verdict::Expired => Refusal::Expired,
             Verdict::Early => Refusal::Early,
             Verdict::Unavailable => Refusal::Unavailable,
         };
-        // What may be in the log without a fate: a claim that won too late, or
-        // that nobody could tell about.
-        let spent = match verdict {
-            Verdict::Claimed | Verdict::Unavailable => self.give_up(id),
+        // A claim that won too late, or got no verdict, may be in the log without
+        // an outcome.
+        let report = match verdict {
+            Verdict::Claimed | Verdict::Unavailable => self.abandon_claim(id),
             _ => None,
         };
         self.claims.remove(&id.sequence);
-        Step::Refuse {
-            refusal,
-            report: spent,
-        }
+        Step::Refuse { refusal, report }
     }
 
-    fn taken(&self, by: Id, outcome: Option<Outcome>) -> Refusal {
+    fn refusal_for_taken(&self, by: Id, outcome: Option<Outcome>) -> Refusal {
         match outcome {
             Some(Outcome::Ran) => Refusal::Ran,
             Some(Outcome::NotRun) => Refusal::Spent,
-            // The log has not heard, but it was this holder's own claim.
+            // The log has no outcome, but this holder abandoned the claim itself.
             None if self.has_abandoned(by) => Refusal::Spent,
             Some(Outcome::Unknown) | None => Refusal::Running,
         }
     }
 
-    fn late(&mut self, id: Id, verdict: Verdict) -> Step {
-        match self.given_up.get(&id.sequence) {
+    fn late_verdict(&mut self, id: Id, verdict: Verdict) -> Step {
+        match self.abandoned.get(&id.sequence) {
             Some(record) if verdict == Verdict::Claimed => {
-                Step::Report(fate(record, Outcome::NotRun))
+                Step::Report(outcome_item(record, Outcome::NotRun))
             }
             _ => Step::Ignore,
         }
     }
 
-    // The claim may be in the log by now or later, so its fate is always told:
-    // the fold takes it only if the claim has won.
-    fn give_up(&mut self, id: Id) -> Option<Item> {
+    // The claim may be in the log now or later, so an outcome is always returned.
+    // The table applies it only if the claim has won.
+    fn abandon_claim(&mut self, id: Id) -> Option<Item> {
         let claim = self.claims.remove(&id.sequence)?;
-        self.remember(claim.record);
-        Some(fate(&claim.record, Outcome::NotRun))
+        self.retain_abandoned(claim.record);
+        Some(outcome_item(&claim.record, Outcome::NotRun))
     }
 
-    fn remember(&mut self, record: Record) {
-        self.given_up.insert(record.id.sequence, record);
-        if self.given_up.len() > REMEMBERED {
-            self.given_up.pop_first();
+    fn retain_abandoned(&mut self, record: Record) {
+        self.abandoned.insert(record.id.sequence, record);
+        if self.abandoned.len() > MAX_ABANDONED_CLAIMS {
+            self.abandoned.pop_first();
         }
     }
 }
 
-const fn fate(record: &Record, outcome: Outcome) -> Item {
+const fn outcome_item(record: &Record, outcome: Outcome) -> Item {
     Item::Outcome {
         key: record.key,
         id: record.id,
--- a/crates/state/src/claim/holder/tests.rs
+++ b/crates/state/src/claim/holder/tests.rs
@@ -1,4 +1,4 @@
-//! A holder that gave a claim up never starts its request.
+//! A holder that abandoned a claim never starts its request.
 
 use std::time::Duration;
 
@@ -23,11 +23,10 @@
     }
 }
 
-/// A caller is told *not run* and its order is printed. The dispatcher is
-/// paused after its claim won; the deadline passes; it wakes and goes on
-/// where it was.
+/// A request must not run after its caller was told *not run*. The dispatcher
+/// is paused after its claim won, and resumes after the deadline.
 #[test]
-fn a_holder_that_slept_past_the_deadline_does_not_start() {
+fn holder_paused_past_the_deadline_does_not_start() {
     let mut holder = Holder::new(1, 1);
     let id = holder.open(&KEY, [0; 16], at(110)).id;
     assert_eq!(
@@ -39,11 +38,10 @@
     assert!(!holder.try_start(at(105), id));
 }
 
-/// A caller sends its key again and hears *unknown* for a quarter of an hour.
-/// Its first attempt was given up before the verdict came, the claim won all
-/// the same, and nobody wrote down that it never ran.
+/// A resend of a key got *unknown* for a quarter of an hour when the first claim
+/// was abandoned before its verdict, then won, and no outcome was recorded.
 #[test]
-fn a_verdict_after_giving_up_spends_the_key() {
+fn claim_won_after_abandoning_reports_not_run() {
     let mut holder = Holder::new(1, 1);
     let id = holder.open(&KEY, [0; 16], at(110)).id;
     assert_eq!(holder.abandon(id), AbandonResult::NotRun(not_run(id)));
@@ -52,10 +50,10 @@
     assert!(!holder.try_start(at(104), id));
 }
 
-/// A caller sends its key again and hears *unknown*, though the instance that
-/// it asks gave the key's winner up itself: the fate was lost on its way.
+/// A resend of a key must not get *unknown* from the instance that abandoned the
+/// winning claim itself, even if the outcome was lost on its way to the log.
 #[test]
-fn a_holder_knows_what_it_gave_up_itself() {
+fn resend_at_the_abandoning_holder_is_refused_as_not_run() {
     let mut holder = Holder::new(1, 1);
     let first = holder.open(&KEY, [0; 16], at(110)).id;
     holder.abandon(first);
@@ -75,10 +73,10 @@
     );
 }
 
-/// An order runs twice after its dispatcher restarted: a verdict for the dead
-/// process starts the request of the new one.
+/// A request must not run twice after its dispatcher restarted, when a verdict
+/// for the former incarnation starts the request of the new one.
 #[test]
-fn a_verdict_for_another_incarnation_is_ignored() {
+fn verdict_for_another_incarnation_is_ignored() {
     let mut before = Holder::new(1, 1);
     let id = before.open(&KEY, [0; 16], at(110)).id;
     let mut after = Holder::new(1, 2);
@@ -91,63 +89,63 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Act {
+enum Event {
     Verdict(Verdict),
     Start,
     Abandon,
     Finish,
-    Pass(u64),
+    Elapse(u64),
 }
 
-fn any_act() -> impl Strategy<Value = Act> {
+fn any_event() -> impl Strategy<Value = Event> {
     let by = Id {
         holder: 9,
         incarnation: 1,
         sequence: 1,
     };
     prop_oneof![
-        Just(Act::Verdict(Verdict::Claimed)),
-        Just(Act::Verdict(Verdict::Unavailable)),
-        Just(Act::Verdict(Verdict::Taken { by, outcome: None })),
-        Just(Act::Start),
-        Just(Act::Abandon),
-        Just(Act::Finish),
-        (1..5_u64).prop_map(Act::Pass),
+        Just(Event::Verdict(Verdict::Claimed)),
+        Just(Event::Verdict(Verdict::Unavailable)),
+        Just(Event::Verdict(Verdict::Taken { by, outcome: None })),
+        Just(Event::Start),
+        Just(Event::Abandon),
+        Just(Event::Finish),
+        (1..5_u64).prop_map(Event::Elapse),
     ]
 }
 
 proptest! {
     #[test]
-    fn it_starts_at_most_once_and_never_after_not_run(
-        acts in prop::collection::vec(any_act(), 1..20),
+    fn request_starts_at_most_once_and_never_after_not_run(
+        events in prop::collection::vec(any_event(), 1..20),
     ) {
         let mut holder = Holder::new(1, 1);
         let id = holder.open(&KEY, [0; 16], at(110)).id;
         let mut now = at(100);
         let mut started = 0;
-        let mut told_not_run = false;
-        for act in acts {
-            match act {
-                Act::Verdict(verdict) => {
+        let mut reported_not_run = false;
+        for event in events {
+            match event {
+                Event::Verdict(verdict) => {
                     let step = holder.apply_verdict(now, id, verdict);
                     if let Step::Refuse { refusal, .. } = step {
-                        told_not_run |= refusal.outcome() == Outcome::NotRun;
+                        reported_not_run |= refusal.outcome() == Outcome::NotRun;
                     }
                 }
-                Act::Start => {
+                Event::Start => {
                     let start = holder.try_start(now, id);
-                    prop_assert!(!start || !told_not_run);
+                    prop_assert!(!start || !reported_not_run);
                     started += u32::from(start);
                 }
-                Act::Abandon => {
+                Event::Abandon => {
                     let not_run = matches!(holder.abandon(id), AbandonResult::NotRun(_));
                     prop_assert!(!not_run || started == 0);
-                    told_not_run |= not_run;
+                    reported_not_run |= not_run;
                 }
-                Act::Finish => {
+                Event::Finish => {
                     holder.finish(id, Outcome::Unknown);
                 }
-                Act::Pass(seconds) => now += at(seconds),
+                Event::Elapse(seconds) => now += at(seconds),
             }
         }
         prop_assert!(started <= 1);
--- a/crates/state/src/claim/key.rs
+++ b/crates/state/src/claim/key.rs
@@ -1,10 +1,10 @@
-//! Idempotency keys and their time of issue.
+//! Idempotency keys and their issue times.
 //!
-//! The log keeps records for a limited time, so a key must say how old it is:
-//! otherwise one that the log has forgotten would look new and its request
-//! would run again. A version 7 UUID carries its time; any other key needs
-//! the header [`ISSUED_HEADER`]. The time is part of the key's identity: the
-//! same text with another time is another key.
+//! The log retains records for a limited time, so each key needs an issue time.
+//! Otherwise a key whose claim the log no longer has would look new, and its
+//! request would run again. A version 7 UUID contains its time; any other key
+//! needs the header [`ISSUED_HEADER`]. The time is part of the key's identity:
+//! the same text with another time is another key.
 
 use std::time::Duration;
 
@@ -13,16 +13,16 @@
 
 use super::MAX_CLOCK_SKEW;
 
-/// The header that dates a key which is not a version 7 UUID.
+/// The header with the issue time of a key that is not a version 7 UUID.
 pub const ISSUED_HEADER: &str = "Godwitpost-Key-Issued";
 
-/// The longest key taken, in bytes; keeps heads and memory small.
+/// The maximum length of a key; limits header sizes and memory use.
 pub const MAX_KEY_BYTES: usize = 255;
 
-/// A key as its caller identified it.
+/// An idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Key {
-    /// The digest of the workspace, the text and the time of issue.
+    /// The digest of the workspace, the text and the issue time.
     pub digest: KeyDigest,
     /// When the caller issued it, in whole milliseconds.
     pub issued: Moment,
@@ -48,11 +48,12 @@
 impl std::error::Error for Error {}
 
 impl Key {
-    /// Reads a key from its header and the optional header that dates it.
+    /// Parses a key from its header and the optional header with its issue time.
     ///
     /// # Errors
     ///
-    /// Returns an [`Error`] for a key that is empty, too long or undated.
+    /// Returns an [`Error`] for a key that is empty, too long or has no valid
+    /// issue time.
     pub fn parse(workspace: WorkspaceId, text: &str, issued: Option<&str>) -> Result<Self, Error> {
         if text.is_empty() {
             return Err(Error::Empty);
@@ -67,8 +68,8 @@
         })
     }
 
-    /// Checks on the instance's own clock that the key is not plainly too old
-    /// or too new; the log's clock decides in the end.
+    /// Checks by the instance's clock that the key is neither too old nor issued
+    /// too far in the future. The final decision is made by the log's clock.
     ///
     /// # Errors
     ///
@@ -92,7 +93,7 @@
 }
 
 fn unix_seconds(text: &str) -> Result<Moment, Error> {
-    // Twelve digits reach the year 33,658 and can't overflow milliseconds.
+    // Twelve digits reach the year 33,658 and cannot overflow as milliseconds.
     if text.is_empty() || text.len() > 12 || !text.bytes().all(|b| b.is_ascii_digit()) {
         return Err(Error::InvalidIssueTime);
     }
@@ -101,7 +102,7 @@
         .map_err(|_not_a_number| Error::InvalidIssueTime)
 }
 
-// The first 48 bits of a version 7 UUID are its unix time in milliseconds
+// The first 48 bits of a version 7 UUID are its Unix time in milliseconds
 // (RFC 9562, section 5.7).
 fn uuid_time(text: &str) -> Option<Moment> {
     let bytes = text.as_bytes();
--- a/crates/state/src/claim/key/tests.rs
+++ b/crates/state/src/claim/key/tests.rs
@@ -1,17 +1,17 @@
-//! Keys say when they were issued, or are refused.
+//! Keys without a valid issue time are refused.
 
 use super::*;
 
 const UUID: &str = "019ae0f0-8c00-7abc-8def-0123456789ab";
 
 #[test]
-fn a_version_7_uuid_carries_its_time() {
+fn version_7_uuid_contains_its_time() {
     let key = Key::parse(1, UUID, None).expect("well formed");
     assert_eq!(key.issued, Duration::from_millis(0x019a_e0f0_8c00));
 }
 
 #[test]
-fn other_keys_need_the_header() {
+fn other_keys_need_the_issue_time_header() {
     assert_eq!(Key::parse(1, "order-7", None), Err(Error::MissingIssueTime));
     let version_4 = UUID.replace("-7abc", "-4abc");
     assert_eq!(
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_key_is_its_workspace_text_and_time() {
+fn digest_depends_on_workspace_text_and_time() {
     let key = |workspace, text, time| {
         Key::parse(workspace, text, Some(time))
             .expect("dated")
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn strange_keys_are_refused() {
+fn invalid_keys_are_refused() {
     assert_eq!(Key::parse(1, "", None), Err(Error::Empty));
     assert_eq!(Key::parse(1, &"x".repeat(256), None), Err(Error::TooLong));
     let wide = "0\u{e9}9ae0f0-8c00-7abc-8def-0123456789a";
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn the_window_has_two_ends() {
+fn issue_time_is_checked_at_both_ends_of_the_window() {
     let key = Key::parse(1, "a", Some("1000")).expect("dated");
     let window = Duration::from_mins(15);
     let check = |now| key.check_issue_time(Duration::from_secs(now), window);
--- a/crates/state/src/claim/table.rs
+++ b/crates/state/src/claim/table.rs
@@ -1,14 +1,15 @@
-//! The fold of one partition's stream into who won which key.
+//! The winning claims of one partition, folded from its stream.
 //!
-//! The fold depends on the log's records, offsets and times alone, so every
-//! reader that has read enough of the stream gives the same verdict. What is
-//! *enough* follows from a key's time of issue: a claim counts only if its key
-//! was issued no later than [`MAX_CLOCK_SKEW`] after the record's time, so all claims of
-//! a key issued at `i` have times of `i - MAX_CLOCK_SKEW` or later. A reader that holds
-//! every record after some time has therefore seen all claims of each key
-//! issued more than [`MAX_CLOCK_SKEW`] after it. The table keeps that limit as its
-//! *floor* and calls every key at or below it expired. Truncation raises the
-//! floor, and so does the claim window, which also bounds the memory.
+//! The table depends only on the log's records, offsets and times, so all
+//! readers that have read enough of the stream return the same verdict. How much
+//! is enough follows from a key's issue time. A claim counts only if its key was
+//! issued at most [`MAX_CLOCK_SKEW`] after the record's time, so all claims of a
+//! key issued at `i` have times of `i - MAX_CLOCK_SKEW` or later. A reader that
+//! has all records after a time `t` has therefore seen all claims of each key
+//! issued more than [`MAX_CLOCK_SKEW`] after `t`. The table keeps that limit as
+//! its *floor* and treats every key issued at or before it as expired.
+//! Truncation of the stream raises the floor. So does the claim window, which
+//! also bounds memory use.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -19,23 +20,23 @@
 
 use super::{Id, Item, MAX_CLOCK_SKEW, Record, Verdict};
 
-/// Winners of one partition's keys, as the log has them.
+/// The winning claims of one partition's keys.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    next: Offset,
-    time: Moment,
+    next_offset: Offset,
+    log_time: Moment,
     floor: Moment,
-    gap: bool,
+    after_gap: bool,
     window: Duration,
     winners: BTreeMap<KeyDigest, Winner>,
-    by_issue: BTreeSet<(Moment, KeyDigest)>,
+    by_issue_time: BTreeSet<(Moment, KeyDigest)>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Winner {
     id: Id,
     body: BodyDigest,
-    fate: Option<Outcome>,
+    outcome: Option<Outcome>,
 }
 
 impl Table {
@@ -50,7 +51,7 @@
 
     /// Sets the claim window, which a new bundle may change.
     ///
-    /// A longer window brings no forgotten key back: the floor never falls.
+    /// A longer window does not restore expired keys, as the floor never falls.
     pub fn set_window(&mut self, window: Duration) {
         self.window = window;
     }
@@ -64,60 +65,63 @@
     /// Returns the offset of the next record to apply.
     #[must_use]
     pub const fn next_offset(&self) -> Offset {
-        self.next
+        self.next_offset
     }
 
-    /// Returns the time of issue at and below which every key is refused.
+    /// Returns the floor: keys issued at or before it are refused.
     #[must_use]
     pub const fn floor(&self) -> Moment {
         self.floor
     }
 
-    /// Returns the number of keys held.
+    /// Returns the number of keys in the table.
     #[must_use]
     pub fn len(&self) -> usize {
         self.winners.len()
     }
 
-    /// Returns whether no key is held.
+    /// Returns whether the table has no keys.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.winners.is_empty()
     }
 
-    /// Goes on at `offset` because the records before it can't be read.
+    /// Continues at `offset` because the records before it cannot be read.
     ///
-    /// Those records may hold winners that the table then misses. Until the
-    /// next record's time is known no key can be vouched for.
+    /// The table may miss winners in those records. The time of the next record
+    /// determines up to which issue time keys are refused.
     pub fn skip_to(&mut self, offset: Offset) {
-        if offset > self.next {
-            self.next = offset;
-            self.gap = true;
+        if offset > self.next_offset {
+            self.next_offset = offset;
+            self.after_gap = true;
         }
     }
 
-    /// Applies the batch at `offset` with the log's time for it.
+    /// Applies the batch at `offset`, which the log recorded at `time`.
     ///
-    /// Offsets already applied are ignored.
+    /// Ignores offsets that are already applied.
     ///
     /// # Panics
     ///
-    /// Panics if an offset is left out without [`Table::skip_to`].
+    /// Panics if an offset is skipped without [`Table::skip_to`].
     pub fn apply(&mut self, offset: Offset, time: Moment, batch: &[Item]) {
-        if offset < self.next {
+        if offset < self.next_offset {
             return;
         }
-        assert_eq!(offset, self.next, "a claim batch was left out of the fold");
-        self.next = offset.saturating_add(1);
-        self.time = self.time.max(time);
+        assert_eq!(
+            offset, self.next_offset,
+            "a claim batch was left out of the fold"
+        );
+        self.next_offset = offset.saturating_add(1);
+        self.log_time = self.log_time.max(time);
         self.raise_floor();
         for item in batch {
             self.apply_item(item);
         }
     }
 
-    /// Returns the verdict on a claim, `None` while its record is not applied
-    /// and its key is free.
+    /// Returns the verdict on a claim, or `None` while its record is not applied
+    /// and no other claim has its key.
     #[must_use]
     pub fn verdict(&self, record: &Record) -> Option<Verdict> {
         if record.issued <= self.floor {
@@ -127,37 +131,37 @@
         Some(winner.verdict(record))
     }
 
-    /// Returns whether a claim's time of issue is too far ahead of the log.
+    /// Returns whether a claim's issue time is too far ahead of the log's clock.
     #[must_use]
     pub fn is_early(&self, record: &Record) -> bool {
-        record.issued > self.time + MAX_CLOCK_SKEW
+        record.issued > self.log_time + MAX_CLOCK_SKEW
     }
 
     fn raise_floor(&mut self) {
-        let aged = self.time.saturating_sub(self.window);
-        self.floor = self.floor.max(aged);
-        if self.gap {
-            // Every record that was lost is at most as late as this one.
-            self.floor = self.floor.max(self.time + MAX_CLOCK_SKEW);
-            self.gap = false;
+        let window_start = self.log_time.saturating_sub(self.window);
+        self.floor = self.floor.max(window_start);
+        if self.after_gap {
+            // Skipped records are not later than this one.
+            self.floor = self.floor.max(self.log_time + MAX_CLOCK_SKEW);
+            self.after_gap = false;
         }
-        while let Some(&(issued, key)) = self.by_issue.first() {
+        while let Some(&(issued, key)) = self.by_issue_time.first() {
             if issued > self.floor {
                 break;
             }
-            self.by_issue.pop_first();
+            self.by_issue_time.pop_first();
             self.winners.remove(&key);
         }
     }
 
     fn apply_item(&mut self, item: &Item) {
         match item {
-            Item::Claim(record) => self.claim(record),
-            Item::Outcome { key, id, outcome } => self.fate(key, *id, *outcome),
+            Item::Claim(record) => self.apply_claim(record),
+            Item::Outcome { key, id, outcome } => self.apply_outcome(key, *id, *outcome),
         }
     }
 
-    fn claim(&mut self, record: &Record) {
+    fn apply_claim(&mut self, record: &Record) {
         if record.issued <= self.floor || self.is_early(record) {
             return;
         }
@@ -165,16 +169,17 @@
             return;
         }
         self.winners.insert(record.key, Winner::new(record));
-        self.by_issue.insert((record.issued, record.key));
+        self.by_issue_time.insert((record.issued, record.key));
     }
 
-    fn fate(&mut self, key: &KeyDigest, id: Id, outcome: Outcome) {
+    fn apply_outcome(&mut self, key: &KeyDigest, id: Id, outcome: Outcome) {
         let Some(winner) = self.winners.get_mut(key) else {
             return;
         };
-        // Only the winner knows; the first word stays.
-        if winner.id == id && winner.fate.is_none() {
-            winner.fate = Some(outcome);
+        // Only the winner's holder knows the outcome; the first one reported is
+        // final.
+        if winner.id == id && winner.outcome.is_none() {
+            winner.outcome = Some(outcome);
         }
     }
 }
@@ -184,7 +189,7 @@
         Self {
             id: record.id,
             body: record.body,
-            fate: None,
+            outcome: None,
         }
     }
 
@@ -197,7 +202,7 @@
         }
         Verdict::Taken {
             by: self.id,
-            outcome: self.fate,
+            outcome: self.outcome,
         }
     }
 }
--- a/crates/state/src/claim/table/tests.rs
+++ b/crates/state/src/claim/table/tests.rs
@@ -1,4 +1,4 @@
-//! The fold gives one winner a key, to every reader, from any start.
+//! Each key has one winner for all readers, wherever they start to read.
 
 use proptest::prelude::*;
 
@@ -23,11 +23,10 @@
     }
 }
 
-/// A shop is told that its order was refused, though it was placed. The
-/// append of its claim timed out and took effect; the retry made a second
-/// record of the same claim, which lost against the first.
+/// A caller must not be refused because its claim has two records: the first
+/// append timed out but took effect, and the retry added another one.
 #[test]
-fn a_record_that_is_there_twice_counts_once() {
+fn duplicate_record_of_a_claim_is_ignored() {
     let record = claim(1, 7, 1000);
     let mut table = Table::new(WINDOW);
     table.apply(0, at(1001), &[Item::Claim(record)]);
@@ -36,17 +35,17 @@
     assert_eq!(table.len(), 1);
 }
 
-/// A booking runs twice. A reader starts on a truncated stream, misses the
-/// claim that won, and takes the resent one for the first.
+/// A request must not run twice when a reader of a truncated stream misses the
+/// winning claim and treats a resent one as the first.
 #[test]
-fn a_truncated_start_vouches_for_younger_keys_only() {
-    let lost = claim(1, 7, 1000);
+fn truncated_stream_allows_only_younger_keys() {
+    let missed = claim(1, 7, 1000);
     let resent = claim(2, 7, 1000);
     let younger = claim(2, 8, 1040);
     let mut table = Table::new(WINDOW);
     table.skip_to(1);
     table.apply(1, at(1005), &[Item::Claim(resent), Item::Claim(younger)]);
-    assert_eq!(table.verdict(&lost), Some(Verdict::Expired));
+    assert_eq!(table.verdict(&missed), Some(Verdict::Expired));
     assert_eq!(table.verdict(&resent), Some(Verdict::Expired));
     assert_eq!(table.verdict(&younger), None, "36 s ahead of its record");
     let later = claim(3, 9, 1036);
@@ -54,10 +53,10 @@
     assert_eq!(table.verdict(&later), Some(Verdict::Claimed));
 }
 
-/// An order runs twice. A new bundle lengthens the claim window, and a key
-/// that was forgotten under the shorter one is honoured again.
+/// A request must not run twice when a new bundle lengthens the claim window and
+/// a key that expired under the shorter one is accepted again.
 #[test]
-fn a_longer_window_brings_no_forgotten_key_back() {
+fn longer_window_does_not_restore_expired_keys() {
     let record = claim(1, 7, 1000);
     let mut table = Table::new(WINDOW);
     table.apply(0, at(1001), &[Item::Claim(record)]);
@@ -68,10 +67,10 @@
     assert_eq!(table.verdict(&resent), Some(Verdict::Expired));
 }
 
-/// A reader that asks about another body must not get the answer of the
-/// first: the caller reused a key by mistake.
+/// A caller that reuses a key with another body by mistake must not get the
+/// response to the first body.
 #[test]
-fn a_key_with_another_body_is_refused() {
+fn key_with_another_body_is_refused() {
     let record = claim(1, 7, 1000);
     let mut table = Table::new(WINDOW);
     table.apply(0, at(1001), &[Item::Claim(record)]);
@@ -80,13 +79,13 @@
     assert_eq!(table.verdict(&other), Some(Verdict::OtherBody));
 }
 
-/// A shop is told that its order never ran while it is being printed. A
-/// claim that lost writes a fate for the key.
+/// A caller must not be told *not run* while its request is running, because a
+/// claim that lost recorded an outcome for the key.
 #[test]
-fn only_the_winner_tells_the_fate() {
+fn only_the_winner_sets_the_outcome() {
     let winner = claim(1, 7, 1000);
     let loser = claim(2, 7, 1000);
-    let fate = |record: &Record, outcome| Item::Outcome {
+    let outcome_of = |record: &Record, outcome| Item::Outcome {
         key: record.key,
         id: record.id,
         outcome,
@@ -98,9 +97,9 @@
         &[
             Item::Claim(winner),
             Item::Claim(loser),
-            fate(&loser, Outcome::NotRun),
-            fate(&winner, Outcome::Ran),
-            fate(&winner, Outcome::NotRun),
+            outcome_of(&loser, Outcome::NotRun),
+            outcome_of(&winner, Outcome::Ran),
+            outcome_of(&winner, Outcome::NotRun),
         ],
     );
     let taken = Verdict::Taken {
@@ -143,24 +142,24 @@
 
 proptest! {
     #[test]
-    fn every_start_gives_the_same_winner_or_none(
+    fn all_readers_agree_on_the_winner_or_have_none(
         batches in any_batches(),
         starts in prop::collection::vec(0..30_usize, 1..4),
     ) {
-        let (_, whole) = fold(&batches, 0);
+        let (_, all_winners) = fold(&batches, 0);
         for start in starts {
-            let (_, part) = fold(&batches, start.min(batches.len()));
-            for (key, ids) in part {
-                let mut all = ids;
-                all.extend(whole.get(&key).into_iter().flatten());
-                all.dedup();
-                prop_assert_eq!(all.len(), 1, "two winners of {:?}", key);
+            let (_, partial) = fold(&batches, start.min(batches.len()));
+            for (key, ids) in partial {
+                let mut distinct = ids;
+                distinct.extend(all_winners.get(&key).into_iter().flatten());
+                distinct.dedup();
+                prop_assert_eq!(distinct.len(), 1, "two winners of {:?}", key);
             }
         }
     }
 
     #[test]
-    fn memory_is_bounded_by_the_window(batches in any_batches()) {
+    fn memory_is_bounded_by_the_claim_window(batches in any_batches()) {
         let (mut table, _) = fold(&batches, 0);
         let next = table.next_offset();
         table.apply(next, at(1_000_000), &[]);
