--- a/crates/state/src/claim/table.rs
+++ b/crates/state/src/claim/table.rs
@@ -110,7 +110,7 @@
         }
         assert_eq!(
             offset, self.next_offset,
-            "a claim batch was left out of the fold"
+            "a claim batch was skipped without skip_to"
         );
         self.next_offset = offset.saturating_add(1);
         self.log_time = self.log_time.max(time);
--- a/crates/state/src/lease.rs
+++ b/crates/state/src/lease.rs
@@ -1,11 +1,14 @@
-//! Who may give a pool of endpoints orders, agreed through the log.
+//! Leases that allow one instance to send orders to a pool of endpoints,
+//! coordinated through the log.
 //!
-//! One stream, [`STREAM_NAME`], holds the leases of all pools. The fold is
-//! [`Table`]: a lease is taken when none runs at the record's own log time, and
-//! its fencing number is the offset of the record that took it, so a later
-//! lease always has a greater one. [`Holder`] takes, renews and doubts a lease
-//! for one instance: it measures the end on its own clock from *before* it
-//! asked, less [`EXPIRY_MARGIN`], so it stops before the log lets anyone else in.
+//! One stream, [`STREAM_NAME`], contains the leases of all pools. [`Table`] is
+//! the state folded from it. A lease is granted if no other lease of the pool is
+//! valid at the log time of the record that acquires it. The lease's fencing
+//! number is the offset of that record, so a later lease always has a greater
+//! one. [`Holder`] acquires, renews and releases a lease for one instance. It
+//! measures the expiry on its own clock, from *before* it sent the record, and
+//! subtracts [`EXPIRY_MARGIN`], so it stops before the log grants the lease to
+//! another instance.
 
 use std::time::Duration;
 
@@ -18,56 +21,58 @@
 pub use holder::{Holder, Next};
 pub use table::{Lease, Table};
 
-/// The log stream of all leases.
+/// The name of the log stream with the leases of all pools.
 pub const STREAM_NAME: &str = "leases";
 
-/// How long a lease runs from the log's time of its record.
+/// How long a lease is valid after the log time of its record.
 ///
-/// A dead holder leaves its pool without orders for this long and the
-/// successor's wait; orders are about minutes of loading, so nothing hurries.
+/// After a holder fails, its pool gets no orders for this time plus the
+/// successor's first-order delay. That is acceptable because orders start loads
+/// that take minutes.
 pub const LEASE_DURATION: Duration = Duration::from_secs(15);
 
-/// How often a holder renews.
+/// The time between two renewals of a lease.
 ///
-/// A third of the term, so that two renewals may be lost; 35 pools cost seven
-/// appends a second.
+/// A third of [`LEASE_DURATION`], so that two renewals may be lost. 35 pools
+/// need seven appends per second.
 pub const RENEW_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What a holder takes off its lease's end on its own clock.
+/// How long before a lease expires its holder stops sending orders.
 ///
-/// It covers clocks that run at different rates over a term (far under a
-/// percent) and the time that an order is under way to its endpoint.
+/// Covers the drift between clocks over one lease (far under one percent) and
+/// the time that an order takes to reach its endpoint.
 pub const EXPIRY_MARGIN: Duration = Duration::from_secs(3);
 
-/// A pool of endpoints that orders are planned for: a service.
+/// The ID of a pool of endpoints: the ID of the service they belong to.
 pub type Pool = u64;
 
-/// One record of the stream.
+/// One record of the lease stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The pool.
+    /// The pool whose lease the operation is on.
     pub pool: Pool,
-    /// Who asks.
+    /// The instance that requests the operation.
     pub holder: InstanceId,
-    /// The life of who asks; a restart doesn't inherit a lease.
+    /// The incarnation of that instance; a restarted instance does not inherit a
+    /// lease.
     pub incarnation: Incarnation,
-    /// Tells this record from the asker's others, so that it knows when it
-    /// sent the one it meets.
+    /// Identifies the record among those of the instance, so that it can find
+    /// when it sent the record.
     pub ticket: u64,
-    /// What is asked.
+    /// The requested operation.
     #[serde(rename = "ask")]
     pub operation: Operation,
 }
 
-/// What a record asks.
+/// An operation on the lease of a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Operation {
-    /// The lease, if none runs.
+    /// Acquire the lease if no other one is valid.
     #[serde(rename = "Take")]
     Acquire,
-    /// Another term of the lease with this fencing number.
+    /// Extend the lease with this fencing number by [`LEASE_DURATION`].
     Renew(Offset),
-    /// The end of the lease with this fencing number.
+    /// End the lease with this fencing number.
     Release(Offset),
 }
 
@@ -76,13 +81,14 @@
     ///
     /// # Panics
     ///
-    /// Panics if the encoder fails, which writing to memory never does.
+    /// Panics if the encoder fails, which does not happen when it writes to
+    /// memory.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         rmp_serde::to_vec(self).expect("a record encodes into memory")
     }
 
-    /// Decodes a record; `None` for anything that is not one.
+    /// Decodes a record, or returns `None` if the bytes are not one.
     #[must_use]
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         rmp_serde::from_slice(bytes).ok()
--- a/crates/state/src/lease/holder.rs
+++ b/crates/state/src/lease/holder.rs
@@ -1,13 +1,15 @@
-//! Takes and keeps the lease of one pool for one instance.
+//! Acquires and renews the lease of one pool for one instance.
 //!
-//! Every instance may run one for each pool; only the *candidate*, the pool's
-//! rendezvous winner in its own view, asks for the lease. Two candidates
-//! during a disagreement both ask, and the fold says who holds it.
+//! Every instance may run one holder per pool. Only the *candidate*, which is the
+//! instance that its own view shows as the pool's rendezvous winner, requests the
+//! lease. If the views differ, several candidates request it and the table
+//! determines which one holds it.
 //!
-//! A holder may be paused at any point without knowing. So
-//! [`Holder::may_order`] compares its own clock with the lease's end on that
-//! same clock, right before each order. The end is counted from before the
-//! append was sent: the log's record is later, so the log's end is later too.
+//! A process may be paused at any point without noticing. Therefore
+//! [`Holder::may_order`] is called right before each order and compares the
+//! instance's clock with the lease's expiry on the same clock. The expiry is
+//! counted from before the append was sent. The log's record has a later time,
+//! so the lease expires later in the log.
 
 use godwitpost_types::clock::Moment;
 use godwitpost_types::id::{Incarnation, InstanceId, Offset};
@@ -15,294 +17,299 @@
 use super::{EXPIRY_MARGIN, LEASE_DURATION, Operation, Pool, RENEW_INTERVAL, Record, Table};
 use crate::log::{AppendFailure, Page};
 
-/// What the holder wants done next.
+/// The holder's next step, which the caller carries out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Append to [`super::STREAM_NAME`]; answer with [`Holder::appended`] or
-    /// [`Holder::append_failed`].
+    /// Append to [`super::STREAM_NAME`]; report the result with
+    /// [`Holder::appended`] or [`Holder::append_failed`].
     Append {
-        /// Names the append in its answer.
+        /// Identifies the append when its result is reported.
         ticket: u64,
-        /// The record's bytes.
+        /// The encoded record.
         body: Vec<u8>,
     },
-    /// Read the stream without waiting; answer with [`Holder::apply_page`] or
-    /// [`Holder::read_failed`].
+    /// Read the stream without waiting for new records; report the result with
+    /// [`Holder::apply_page`] or [`Holder::read_failed`].
     Read {
-        /// The first offset wanted.
+        /// The offset to read from.
         from: Offset,
-        /// Records wanted at most.
+        /// The maximum number of records.
         limit: u32,
     },
-    /// Nothing until this moment or the next event; `None` for no moment.
+    /// Do nothing until this time or the next event; `None` waits for an event.
     Wait(Option<Moment>),
 }
 
-// Time between two tries after a failure or a lost race.
+// The delay after a failed call or after losing the lease to another candidate.
 const RETRY_DELAY: std::time::Duration = std::time::Duration::from_secs(1);
 
-// Records asked for in one read.
+// The maximum number of records requested per read.
 const READ_PAGE_RECORDS: u32 = 1000;
 
 /// One instance's side of one pool's lease.
 #[derive(Debug)]
 pub struct Holder {
     pool: Pool,
-    own: InstanceId,
+    instance: InstanceId,
     incarnation: Incarnation,
     table: Table,
     candidate: bool,
-    flight: Option<Flight>,
-    // When the appends were sent whose records may yet be met, in order.
-    sent: Vec<Flight>,
-    tickets: u64,
-    reading: bool,
-    read_at: Moment,
-    append_at: Moment,
-    // Since when no sign of another's lease has come.
-    quiet_since: Moment,
-    held: Option<Held>,
+    in_flight: Option<SentAppend>,
+    // Appends whose records may still be read from the stream, oldest first.
+    pending_appends: Vec<SentAppend>,
+    last_ticket: u64,
+    read_in_flight: bool,
+    next_read_at: Moment,
+    next_append_at: Moment,
+    // When the pool's lease in the table last changed.
+    lease_changed_at: Moment,
+    lease: Option<HeldLease>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Flight {
+struct SentAppend {
     ticket: u64,
-    at: Moment,
+    sent_at: Moment,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Held {
+struct HeldLease {
     fence: Offset,
-    since: Moment,
-    until: Moment,
+    acquired_at: Moment,
+    expires_at: Moment,
 }
 
 impl Holder {
-    /// Returns a holder that is no candidate yet.
+    /// Returns a holder that is not yet a candidate.
     #[must_use]
-    pub fn new(pool: Pool, own: InstanceId, incarnation: Incarnation) -> Self {
+    pub fn new(pool: Pool, instance: InstanceId, incarnation: Incarnation) -> Self {
         Self {
             pool,
-            own,
+            instance,
             incarnation,
             table: Table::new(),
             candidate: false,
-            flight: None,
-            sent: Vec::new(),
-            tickets: 0,
-            reading: false,
-            read_at: Moment::ZERO,
-            append_at: Moment::ZERO,
-            quiet_since: Moment::ZERO,
-            held: None,
+            in_flight: None,
+            pending_appends: Vec::new(),
+            last_ticket: 0,
+            read_in_flight: false,
+            next_read_at: Moment::ZERO,
+            next_append_at: Moment::ZERO,
+            lease_changed_at: Moment::ZERO,
+            lease: None,
         }
     }
 
-    /// Sets whether this instance should hold the lease; one that should not
-    /// any more releases it.
+    /// Sets whether this instance should hold the lease. If it should not, the
+    /// holder releases a lease that it has.
     pub fn set_candidate(&mut self, candidate: bool) {
         self.candidate = candidate;
         if !candidate {
-            self.append_at = Moment::ZERO;
+            self.next_append_at = Moment::ZERO;
         }
     }
 
-    /// Returns the fencing number if an order may go out at `now`.
+    /// Returns the fencing number if an order may be sent at `now`.
     ///
-    /// To be asked right before each order.
+    /// Must be called right before each order.
     #[must_use]
     pub fn may_order(&self, now: Moment) -> Option<Offset> {
-        self.held
-            .filter(|held| self.candidate && now + EXPIRY_MARGIN < held.until)
-            .map(|held| held.fence)
+        self.lease
+            .filter(|lease| self.candidate && now + EXPIRY_MARGIN < lease.expires_at)
+            .map(|lease| lease.fence)
     }
 
-    /// Returns since when the lease is held, if it is.
+    /// Returns when the current lease was acquired, if one is lease.
     #[must_use]
     pub fn held_since(&self) -> Option<Moment> {
-        self.held.map(|held| held.since)
+        self.lease.map(|lease| lease.acquired_at)
     }
 
     /// Returns what to do next; call it until it returns [`Next::Wait`].
     pub fn next(&mut self, now: Moment) -> Next {
-        if self.held.is_some_and(|held| held.until <= now) {
-            self.held = None;
+        if self.lease.is_some_and(|lease| lease.expires_at <= now) {
+            self.lease = None;
         }
-        if self.busy() {
+        if self.has_call_in_flight() {
             return Next::Wait(None);
         }
-        if !self.candidate && self.held.is_none() {
+        if !self.candidate && self.lease.is_none() {
             return Next::Wait(None);
         }
-        if now >= self.read_at {
-            self.reading = true;
+        if now >= self.next_read_at {
+            self.read_in_flight = true;
             return Next::Read {
                 from: self.table.next_offset(),
                 limit: READ_PAGE_RECORDS,
             };
         }
-        if now >= self.append_at
+        if now >= self.next_append_at
             && let Some(operation) = self.next_operation(now)
         {
             return self.append(now, operation);
         }
-        Next::Wait(Some(self.read_at.min(self.next_operation_at())))
+        Next::Wait(Some(self.next_read_at.min(self.next_operation_at())))
     }
 
-    /// Takes the log's answer to an append: the record is there to be read.
+    /// Handles a successful append; the record can now be read.
     pub fn appended(&mut self, now: Moment, ticket: u64) {
-        self.land(now, ticket);
+        self.finish_append(now, ticket);
     }
 
-    /// Takes the failure of an append.
+    /// Handles a failed append.
     ///
-    /// One of unknown fate is looked for by reading, like any other.
+    /// If it is unknown whether the append took effect, reading the stream shows
+    /// it, as for a successful append.
     pub fn append_failed(&mut self, now: Moment, ticket: u64, failure: AppendFailure) {
-        self.land(now, ticket);
+        self.finish_append(now, ticket);
         if failure == AppendFailure::NotApplied {
-            self.sent.retain(|sent| sent.ticket != ticket);
+            self.pending_appends.retain(|sent| sent.ticket != ticket);
         }
     }
 
-    /// Takes the log's answer to a read.
+    /// Handles the result of a read.
     pub fn apply_page(&mut self, now: Moment, page: &Page) {
-        self.reading = false;
+        self.read_in_flight = false;
         self.table.skip_to(page.first);
         let before = self.table.busy_until(self.pool);
         for stored in &page.records {
             let record = Record::decode(&stored.body);
-            // Offsets have no gaps; a log that leaves some out is taken for
-            // one that has dropped them.
+            // Offsets have no gaps. Missing ones are treated as records that the
+            // log has deleted.
             self.table.skip_to(stored.offset);
             self.table
                 .apply(stored.offset, stored.time, record.as_ref());
             if let Some(record) = record {
-                self.met(now, stored.offset, &record);
+                self.apply_own_record(now, stored.offset, &record);
             }
         }
         if self.table.busy_until(self.pool) != before {
-            self.quiet_since = now;
+            self.lease_changed_at = now;
         }
         let behind = self.table.next_offset() < page.next;
-        self.read_at = if behind { now } else { now + RENEW_INTERVAL };
+        self.next_read_at = if behind { now } else { now + RENEW_INTERVAL };
     }
 
-    /// Takes the failure of a read.
+    /// Handles a failed read.
     pub fn read_failed(&mut self, now: Moment) {
-        self.reading = false;
-        self.read_at = now + RETRY_DELAY;
+        self.read_in_flight = false;
+        self.next_read_at = now + RETRY_DELAY;
     }
 
-    const fn busy(&self) -> bool {
-        self.reading || self.flight.is_some()
+    const fn has_call_in_flight(&self) -> bool {
+        self.read_in_flight || self.in_flight.is_some()
     }
 
-    // When there will be something to ask for, if nothing else happens.
+    // Returns when the next operation is due if no other event occurs.
     fn next_operation_at(&self) -> Moment {
-        let wanted = match self.held {
+        let due = match self.lease {
             Some(_) if !self.candidate => Moment::ZERO,
-            Some(held) => held.until.saturating_sub(LEASE_DURATION) + RENEW_INTERVAL,
-            None => self.free_at(),
+            Some(lease) => lease.expires_at.saturating_sub(LEASE_DURATION) + RENEW_INTERVAL,
+            None => self.available_at(),
         };
-        wanted.max(self.append_at)
+        due.max(self.next_append_at)
     }
 
-    // When the lease that another holds, or may hold, has ended at the latest:
-    // its record is older than the moment it was first read at. Asking earlier
-    // would keep unsure readers unsure for ever, this one among them.
-    fn free_at(&self) -> Moment {
+    // Returns by when a lease that another instance holds, or may hold, has
+    // expired. Its record is older than the time when it was first read here. A
+    // request sent earlier would extend the uncertainty of readers that cannot
+    // tell whether a lease is valid, this one included, without end.
+    fn available_at(&self) -> Moment {
         if self.table.busy_until(self.pool) > self.table.log_time() {
-            self.quiet_since + LEASE_DURATION
+            self.lease_changed_at + LEASE_DURATION
         } else {
             Moment::ZERO
         }
     }
 
-    // What to ask for, if anything, after the stream has been read to its end.
+    // Returns the operation to request now, if any, once the stream has been
+    // read to its end.
     fn next_operation(&self, now: Moment) -> Option<Operation> {
         if now < self.next_operation_at() {
             return None;
         }
-        match self.held {
-            Some(held) if !self.candidate => Some(Operation::Release(held.fence)),
-            Some(held) => Some(Operation::Renew(held.fence)),
+        match self.lease {
+            Some(lease) if !self.candidate => Some(Operation::Release(lease.fence)),
+            Some(lease) => Some(Operation::Renew(lease.fence)),
             None => self.candidate.then_some(Operation::Acquire),
         }
     }
 
     fn append(&mut self, now: Moment, operation: Operation) -> Next {
-        self.tickets += 1;
-        let flight = Flight {
-            ticket: self.tickets,
-            at: now,
+        self.last_ticket += 1;
+        let append = SentAppend {
+            ticket: self.last_ticket,
+            sent_at: now,
         };
-        self.flight = Some(flight);
-        // Older ones would give a lease that has ended already.
-        self.sent.retain(|sent| now < sent.at + LEASE_DURATION);
-        self.sent.push(flight);
+        self.in_flight = Some(append);
+        // Records of older appends could only grant a lease that has expired.
+        self.pending_appends
+            .retain(|sent| now < sent.sent_at + LEASE_DURATION);
+        self.pending_appends.push(append);
         if let Operation::Release(_) = operation {
-            // From here on the log may let a successor in.
-            self.held = None;
+            // From now on the log may grant the lease to a successor.
+            self.lease = None;
         }
         let record = Record {
             pool: self.pool,
-            holder: self.own,
+            holder: self.instance,
             incarnation: self.incarnation,
-            ticket: flight.ticket,
+            ticket: append.ticket,
             operation,
         };
         Next::Append {
-            ticket: flight.ticket,
+            ticket: append.ticket,
             body: record.encode(),
         }
     }
 
-    fn land(&mut self, now: Moment, ticket: u64) {
+    fn finish_append(&mut self, now: Moment, ticket: u64) {
         if self
-            .flight
-            .take_if(|flight| flight.ticket == ticket)
+            .in_flight
+            .take_if(|append| append.ticket == ticket)
             .is_some()
         {
-            self.read_at = now;
-            // One that should not hold the lease any more releases it once and
-            // asks for nothing else. A pause would outlast the stop of an
-            // instance whose renewal was just under way, and the successor
-            // would wait out the whole term.
+            self.next_read_at = now;
+            // There is no delay for a holder that is no longer a candidate. It
+            // requests nothing but one release. An instance that stops while a
+            // renewal is in append could exit within the delay, and its
+            // successor would have to wait for the whole lease to expire.
             if self.candidate {
-                self.append_at = now + RETRY_DELAY;
+                self.next_append_at = now + RETRY_DELAY;
             }
         }
     }
 
-    // Meets a record of the own pool in the fold.
-    fn met(&mut self, now: Moment, offset: Offset, record: &Record) {
-        let own = record.holder == self.own && record.incarnation == self.incarnation;
+    // Handles a record that was just applied to the table, if it belongs to this
+    // holder.
+    fn apply_own_record(&mut self, now: Moment, offset: Offset, record: &Record) {
+        let own = record.holder == self.instance && record.incarnation == self.incarnation;
         if !own || record.pool != self.pool {
             return;
         }
         let Some(index) = self
-            .sent
+            .pending_appends
             .iter()
             .position(|sent| sent.ticket == record.ticket)
         else {
             return;
         };
-        let sent = self.sent.remove(index);
+        let sent = self.pending_appends.remove(index);
         let Some(current) = self.table.current(self.pool) else {
             return;
         };
-        let until = sent.at + LEASE_DURATION;
+        let expires_at = sent.sent_at + LEASE_DURATION;
         match record.operation {
             Operation::Acquire if current.fence == offset => {
-                self.held = Some(Held {
+                self.lease = Some(HeldLease {
                     fence: offset,
-                    since: now,
-                    until,
+                    acquired_at: now,
+                    expires_at,
                 });
             }
             Operation::Renew(fence) if current.fence == fence => {
-                if let Some(held) = self.held.as_mut().filter(|held| held.fence == fence) {
-                    held.until = held.until.max(until);
+                if let Some(lease) = self.lease.as_mut().filter(|lease| lease.fence == fence) {
+                    lease.expires_at = lease.expires_at.max(expires_at);
                 }
             }
             _ => {}
--- a/crates/state/src/lease/table.rs
+++ b/crates/state/src/lease/table.rs
@@ -1,10 +1,12 @@
-//! The fold of the lease stream.
+//! The leases of all pools, folded from the lease stream.
 //!
-//! A reader of a truncated stream can't know what ran before. It is *unsure*
-//! of a pool for a term after the first record it has, and each ask that it
-//! meets meanwhile, which may have been granted, makes it unsure for another
-//! term. So whatever an all-knowing reader takes for running, an unsure one
-//! takes for possibly running, and a lease that both take for free is free.
+//! A reader of a truncated stream cannot know which leases were granted before
+//! its first record. It is *uncertain* about each pool for one
+//! [`LEASE_DURATION`] after that record. Each acquisition or renewal that it
+//! reads meanwhile may have been granted, and keeps it uncertain for another
+//! [`LEASE_DURATION`]. A lease that is valid for a reader of the whole stream is
+//! therefore possibly valid for an uncertain one, and a pool that an uncertain
+//! reader considers free is free.
 
 use std::collections::BTreeMap;
 
@@ -13,28 +15,29 @@
 
 use super::{LEASE_DURATION, Operation, Pool, Record};
 
-/// The running leases, as the log has them.
+/// The latest lease of each pool, by the records applied so far.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    next: Offset,
-    time: Moment,
-    gap: bool,
-    // Until when an unseen lease may run, for pools not named in `unsure`.
-    blind_until: Moment,
-    unsure: BTreeMap<Pool, Moment>,
+    next_offset: Offset,
+    log_time: Moment,
+    after_gap: bool,
+    // Until when an unknown lease may be valid, for pools without an entry in
+    // `uncertain`.
+    unlisted_uncertain_until: Moment,
+    uncertain: BTreeMap<Pool, Moment>,
     current: BTreeMap<Pool, Lease>,
 }
 
-/// A lease that runs, or ran last.
+/// The current lease of a pool, or its last one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
-    /// Who holds it.
+    /// The instance that holds the lease.
     pub holder: InstanceId,
-    /// The holder's life.
+    /// The holder's incarnation.
     pub incarnation: Incarnation,
-    /// Its fencing number: the offset of the record that took it.
+    /// The fencing number: the offset of the record that acquired the lease.
     pub fence: Offset,
-    /// When it ends on the log's clock.
+    /// When the lease expires, by the log's clock.
     pub expires_at: Moment,
 }
 
@@ -48,54 +51,57 @@
     /// Returns the offset of the next record to apply.
     #[must_use]
     pub const fn next_offset(&self) -> Offset {
-        self.next
+        self.next_offset
     }
 
-    /// Returns the log's time of the last record applied.
+    /// Returns the log time of the last record applied.
     #[must_use]
     pub const fn log_time(&self) -> Moment {
-        self.time
+        self.log_time
     }
 
-    /// Returns the lease of a pool that runs or ran last.
+    /// Returns the current lease of a pool, or its last one.
     #[must_use]
     pub fn current(&self, pool: Pool) -> Option<&Lease> {
         self.current.get(&pool)
     }
 
-    /// Returns until when, on the log's clock, a lease of the pool runs or may
-    /// run unseen.
+    /// Returns until when, by the log's clock, a lease of the pool is valid or an
+    /// unknown one may be.
     #[must_use]
     pub fn busy_until(&self, pool: Pool) -> Moment {
         match self.current.get(&pool) {
             Some(current) => current.expires_at,
-            None => self.unsure_until(pool),
+            None => self.uncertain_until(pool),
         }
     }
 
-    /// Goes on at `offset` because the records before it are gone.
+    /// Continues at `offset` because the records before it cannot be read.
     pub fn skip_to(&mut self, offset: Offset) {
-        if offset > self.next {
-            self.next = offset;
-            self.gap = true;
+        if offset > self.next_offset {
+            self.next_offset = offset;
+            self.after_gap = true;
         }
     }
 
-    /// Applies the record at `offset`; offsets already applied are ignored,
-    /// and `None` stands for bytes that are no record.
+    /// Applies the record at `offset`. Ignores offsets that are already applied.
+    /// `None` stands for bytes that are not a lease record.
     ///
     /// # Panics
     ///
-    /// Panics if an offset is left out without [`Table::skip_to`].
+    /// Panics if an offset is skipped without [`Table::skip_to`].
     pub fn apply(&mut self, offset: Offset, time: Moment, record: Option<&Record>) {
-        if offset < self.next {
+        if offset < self.next_offset {
             return;
         }
-        assert_eq!(offset, self.next, "a lease record was left out of the fold");
-        self.next = offset.saturating_add(1);
-        self.time = self.time.max(time);
-        if self.gap {
-            self.lose_sight();
+        assert_eq!(
+            offset, self.next_offset,
+            "a lease record was skipped without skip_to"
+        );
+        self.next_offset = offset.saturating_add(1);
+        self.log_time = self.log_time.max(time);
+        if self.after_gap {
+            self.mark_uncertain();
         }
         if let Some(record) = record {
             self.apply_record(offset, record);
@@ -104,61 +110,64 @@
 
     fn apply_record(&mut self, offset: Offset, record: &Record) {
         match record.operation {
-            Operation::Acquire => self.take(offset, record),
-            Operation::Renew(fence) => self.renew(fence, record),
-            Operation::Release(fence) => self.release(fence, record),
+            Operation::Acquire => self.apply_acquire(offset, record),
+            Operation::Renew(fence) => self.apply_renew(fence, record),
+            Operation::Release(fence) => self.apply_release(fence, record),
         }
     }
 
-    // After a gap: what was known may have ended and been taken by others.
-    fn lose_sight(&mut self) {
-        self.gap = false;
-        self.blind_until = self.time + LEASE_DURATION;
+    // Called after a gap, in which known leases may have ended and other
+    // instances may have acquired new ones.
+    fn mark_uncertain(&mut self) {
+        self.after_gap = false;
+        self.unlisted_uncertain_until = self.log_time + LEASE_DURATION;
         for (pool, current) in std::mem::take(&mut self.current) {
-            let until = current.expires_at.max(self.blind_until);
-            self.unsure.insert(pool, until);
+            let until = current.expires_at.max(self.unlisted_uncertain_until);
+            self.uncertain.insert(pool, until);
         }
     }
 
-    fn take(&mut self, offset: Offset, record: &Record) {
-        if self.is_unsure(record.pool) {
-            self.unsure.insert(record.pool, self.time + LEASE_DURATION);
+    fn apply_acquire(&mut self, offset: Offset, record: &Record) {
+        if self.is_uncertain(record.pool) {
+            self.uncertain
+                .insert(record.pool, self.log_time + LEASE_DURATION);
             return;
         }
-        if self.runs(record.pool) {
+        if self.has_valid_lease(record.pool) {
             return;
         }
         let current = Lease {
             holder: record.holder,
             incarnation: record.incarnation,
             fence: offset,
-            expires_at: self.time + LEASE_DURATION,
+            expires_at: self.log_time + LEASE_DURATION,
         };
-        self.unsure.remove(&record.pool);
+        self.uncertain.remove(&record.pool);
         self.current.insert(record.pool, current);
     }
 
-    fn renew(&mut self, fence: Offset, record: &Record) {
-        if self.is_unsure(record.pool) {
-            self.unsure.insert(record.pool, self.time + LEASE_DURATION);
+    fn apply_renew(&mut self, fence: Offset, record: &Record) {
+        if self.is_uncertain(record.pool) {
+            self.uncertain
+                .insert(record.pool, self.log_time + LEASE_DURATION);
             return;
         }
-        let expires_at = self.time + LEASE_DURATION;
-        if let Some(current) = self.named(fence, record) {
+        let expires_at = self.log_time + LEASE_DURATION;
+        if let Some(current) = self.valid_lease_mut(fence, record) {
             current.expires_at = expires_at;
         }
     }
 
-    fn release(&mut self, fence: Offset, record: &Record) {
-        let time = self.time;
-        if let Some(current) = self.named(fence, record) {
+    fn apply_release(&mut self, fence: Offset, record: &Record) {
+        let time = self.log_time;
+        if let Some(current) = self.valid_lease_mut(fence, record) {
             current.expires_at = time;
         }
     }
 
-    // The running lease that the record names.
-    fn named(&mut self, fence: Offset, record: &Record) -> Option<&mut Lease> {
-        let time = self.time;
+    // Returns the valid lease that the record refers to.
+    fn valid_lease_mut(&mut self, fence: Offset, record: &Record) -> Option<&mut Lease> {
+        let time = self.log_time;
         self.current.get_mut(&record.pool).filter(|current| {
             current.fence == fence
                 && current.holder == record.holder
@@ -167,21 +176,21 @@
         })
     }
 
-    fn runs(&self, pool: Pool) -> bool {
+    fn has_valid_lease(&self, pool: Pool) -> bool {
         let current = self.current.get(&pool);
-        current.is_some_and(|current| self.time < current.expires_at)
+        current.is_some_and(|current| self.log_time < current.expires_at)
     }
 
-    fn is_unsure(&self, pool: Pool) -> bool {
+    fn is_uncertain(&self, pool: Pool) -> bool {
         if self.current.contains_key(&pool) {
             return false;
         }
-        self.time < self.unsure_until(pool)
+        self.log_time < self.uncertain_until(pool)
     }
 
-    fn unsure_until(&self, pool: Pool) -> Moment {
-        let until = self.unsure.get(&pool).copied();
-        until.unwrap_or(self.blind_until)
+    fn uncertain_until(&self, pool: Pool) -> Moment {
+        let until = self.uncertain.get(&pool).copied();
+        until.unwrap_or(self.unlisted_uncertain_until)
     }
 }
 
--- a/crates/state/src/lease/table/tests.rs
+++ b/crates/state/src/lease/table/tests.rs
@@ -1,4 +1,4 @@
-//! One holder at a time, for every reader, from any start.
+//! All readers agree on one holder at a time, wherever they start to read.
 
 use std::time::Duration;
 
@@ -22,10 +22,10 @@
     }
 }
 
-/// A runner gets orders from two holders: the second took the lease before
-/// the first one's had ended.
+/// An endpoint must not get orders from two holders, when the second acquires
+/// the lease before the first one's has expired.
 #[test]
-fn a_lease_is_taken_only_after_the_last_one_ended() {
+fn lease_is_acquired_only_after_the_last_one_expired() {
     let mut table = Table::new();
     table.apply(0, at(0), Some(&record(1, Operation::Acquire)));
     table.apply(1, at(14), Some(&record(2, Operation::Acquire)));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_release_lets_the_next_one_in_at_once() {
+fn release_lets_the_next_holder_acquire_at_once() {
     let mut table = Table::new();
     table.apply(0, at(0), Some(&record(1, Operation::Acquire)));
     table.apply(1, at(1), Some(&record(2, Operation::Release(0))));
@@ -56,47 +56,47 @@
     assert_eq!(table.current(POOL).map(|c| c.fence), Some(4));
 }
 
-fn any_ask() -> impl Strategy<Value = (u64, InstanceId, Operation)> {
-    let ask = prop_oneof![
+fn any_operation() -> impl Strategy<Value = (u64, InstanceId, Operation)> {
+    let operation = prop_oneof![
         Just(Operation::Acquire),
         (0..40_u64).prop_map(Operation::Renew),
         (0..40_u64).prop_map(Operation::Release),
     ];
-    (0..12_u64, 1..4_u64, ask)
+    (0..12_u64, 1..4_u64, operation)
 }
 
 proptest! {
-    /// A reader that started late names a holder only if the all-knowing one
-    /// names the same.
+    /// A reader that started late reports a holder only if a reader of the whole
+    /// stream reports the same.
     #[test]
-    fn a_late_reader_is_unsure_or_right(
-        asks in prop::collection::vec(any_ask(), 1..40),
+    fn late_reader_is_uncertain_or_correct(
+        operations in prop::collection::vec(any_operation(), 1..40),
         start in 0..40_u64,
     ) {
-        let mut whole = Table::new();
-        let mut part = Table::new();
-        part.skip_to(start);
+        let mut full = Table::new();
+        let mut partial = Table::new();
+        partial.skip_to(start);
         let mut seconds = 0;
-        for (offset, (step, holder, ask)) in (0..).zip(asks) {
+        for (offset, (step, holder, operation)) in (0..).zip(operations) {
             seconds += step;
-            // Holders renew and release what they hold, mostly.
-            let ask = match (ask, whole.current(POOL)) {
+            // Most renewals and releases refer to the current lease.
+            let operation = match (operation, full.current(POOL)) {
                 (Operation::Renew(n), Some(current)) if n % 4 > 0 => Operation::Renew(current.fence),
                 (Operation::Release(n), Some(current)) if n % 4 > 0 => Operation::Release(current.fence),
-                (ask, _) => ask,
+                (operation, _) => operation,
             };
-            whole.apply(offset, at(seconds), Some(&record(holder, ask)));
+            full.apply(offset, at(seconds), Some(&record(holder, operation)));
             if offset >= start {
-                part.apply(offset, at(seconds), Some(&record(holder, ask)));
+                partial.apply(offset, at(seconds), Some(&record(holder, operation)));
             }
-            let runs = |table: &Table| {
+            let valid_lease = |table: &Table| {
                 let current = table.current(POOL).copied();
                 current.filter(|current| table.log_time() < current.expires_at)
             };
             if offset >= start
-                && let Some(named) = runs(&part)
+                && let Some(reported) = valid_lease(&partial)
             {
-                prop_assert_eq!(Some(named), runs(&whole));
+                prop_assert_eq!(Some(reported), valid_lease(&full));
             }
         }
     }
