--- a/crates/direct/src/board.rs
+++ b/crates/direct/src/board.rs
@@ -38,7 +38,7 @@
 
 /// How many holders of prompt prefixes are retained for peers: those of some seconds in a
 /// fleet of hundreds, of a minute in a fleet of ten.
-const MAX_HOLDINGS: usize = 2_000;
+const MAX_HOLDERS: usize = 2_000;
 
 /// A peer's request for an update.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -66,7 +66,7 @@
     pub loads: Vec<Load>,
     /// Endpoints that the peer found to hold prompt prefixes.
     #[serde(rename = "held")]
-    pub holdings: Vec<PrefixHolder>,
+    pub holders: Vec<PrefixHolder>,
 }
 
 /// The answer to an [`UpdateRequest`].
@@ -116,7 +116,7 @@
     pub loads: Vec<Load>,
     /// Endpoints that were found to hold prompt prefixes.
     #[serde(rename = "held")]
-    pub holdings: Vec<PrefixHolder>,
+    pub holders: Vec<PrefixHolder>,
     /// Instances to poll when no seed can be reached.
     pub standbys: Vec<SocketAddr>,
     /// The number of instances, if the answering instance has counted them.
@@ -137,13 +137,13 @@
     entries: BTreeMap<String, Entry>,
     // The latest revision of any endpoint entry.
     last_endpoint_change: u64,
-    // Requests with a revision before this one get the full state, since later removals
-    // may have been forgotten.
+    // Requests with a revision before this one get the full state, since later removals may
+    // have been dropped.
     pruned_revision: u64,
     // By revision.
     evidence: BTreeMap<u64, Evidence>,
     // By revision; with the time at which the holder was found.
-    holdings: BTreeMap<u64, (PrefixHolder, Moment)>,
+    holders: BTreeMap<u64, (PrefixHolder, Moment)>,
 }
 
 /// How soon a request has to be answered.
@@ -208,7 +208,7 @@
             last_endpoint_change: 0,
             pruned_revision: 0,
             evidence: BTreeMap::new(),
-            holdings: BTreeMap::new(),
+            holders: BTreeMap::new(),
         }
     }
 
@@ -223,11 +223,11 @@
 
     /// Records that an endpoint was found to hold a prompt prefix at `found_at`. This
     /// alone causes no early answer.
-    pub fn add_holding(&mut self, holding: PrefixHolder, found_at: Moment) {
+    pub fn add_holder(&mut self, holder: PrefixHolder, found_at: Moment) {
         self.revision += 1;
-        self.holdings.insert(self.revision, (holding, found_at));
-        if self.holdings.len() > MAX_HOLDINGS {
-            self.holdings.pop_first();
+        self.holders.insert(self.revision, (holder, found_at));
+        if self.holders.len() > MAX_HOLDERS {
+            self.holders.pop_first();
         }
     }
 
@@ -404,12 +404,12 @@
                 .map(|(_, evidence)| ForwardedEvidence::from_evidence(evidence, now))
                 .collect(),
             loads: Vec::new(),
-            holdings: self
-                .holdings
+            holders: self
+                .holders
                 .range(after.saturating_add(1)..)
                 .rev()
                 .take(holders::MAX_HOLDERS_PER_MESSAGE)
-                .map(|(_, (holding, found_at))| holding.aged(since(now, *found_at)))
+                .map(|(_, (holder, found_at))| holder.aged(since(now, *found_at)))
                 .collect(),
             standbys: Vec::new(),
             instances: None,
--- a/crates/direct/src/board/tests.rs
+++ b/crates/direct/src/board/tests.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::{MAX_HOLDINGS, MAX_REMOVED_ENDPOINTS, Replica, Update, UpdateRequest, Urgency};
+use super::{MAX_HOLDERS, MAX_REMOVED_ENDPOINTS, Replica, Update, UpdateRequest, Urgency};
 use crate::evacuation::Evacuation;
 use crate::holders::{MAX_HOLDERS_PER_MESSAGE, PrefixHolder};
 use crate::policy::Content;
@@ -53,7 +53,7 @@
         evacuation: Position::START,
         wait: Duration::ZERO,
         loads: Vec::new(),
-        holdings: Vec::new(),
+        holders: Vec::new(),
     }
 }
 
@@ -66,7 +66,7 @@
     evacuation: Position::START,
     wait: Duration::ZERO,
     loads: Vec::new(),
-    holdings: Vec::new(),
+    holders: Vec::new(),
 };
 
 fn position(rng: &mut ChaCha8Rng) -> Position {
@@ -195,25 +195,25 @@
 #[test]
 fn holders_are_sent_once_and_cause_no_early_answer() {
     let mut replica = Replica::new(7);
-    let holding = |span| PrefixHolder {
+    let holder = |span| PrefixHolder {
         span,
         endpoint: 1,
         age: at(5),
     };
-    for span in 0..2 * MAX_HOLDINGS as u64 {
-        replica.add_holding(holding(span), at(span));
+    for span in 0..2 * MAX_HOLDERS as u64 {
+        replica.add_holder(holder(span), at(span));
     }
-    let now = at(2 * MAX_HOLDINGS as u64);
+    let now = at(2 * MAX_HOLDERS as u64);
     let update = replica.build_update(&FIRST_REQUEST, at(0), now);
-    assert_eq!(update.holdings.len(), MAX_HOLDERS_PER_MESSAGE);
-    assert_eq!(update.holdings[0].span, 2 * MAX_HOLDINGS as u64 - 1);
-    assert_eq!(update.holdings[0].age, at(6));
-    replica.add_holding(holding(1), now);
+    assert_eq!(update.holders.len(), MAX_HOLDERS_PER_MESSAGE);
+    assert_eq!(update.holders[0].span, 2 * MAX_HOLDERS as u64 - 1);
+    assert_eq!(update.holders[0].age, at(6));
+    replica.add_holder(holder(1), now);
     let update = replica.build_update(&next_request(&update), at(0), now);
-    assert_eq!(update.holdings, vec![holding(1)]);
+    assert_eq!(update.holders, vec![holder(1)]);
     assert!(!is_news(&update));
     let update = replica.build_update(&next_request(&update), at(0), now);
-    assert!(update.holdings.is_empty());
+    assert!(update.holders.is_empty());
 }
 
 /// Three hundred instances that start together read the log and then poll. Sending all of
@@ -335,13 +335,13 @@
     let mut replica = Replica::new(7);
     let request = next_request(&replica.build_update(&FIRST_REQUEST, Duration::ZERO, at(0)));
     for span in 0..500 {
-        let holding = PrefixHolder {
+        let holder = PrefixHolder {
             span,
             endpoint: 3,
             age: Duration::ZERO,
         };
-        replica.add_holding(holding, at(1));
+        replica.add_holder(holder, at(1));
     }
     let update = replica.build_update(&request, Duration::ZERO, at(2));
-    assert_eq!(update.holdings.len(), 500);
+    assert_eq!(update.holders.len(), 500);
 }
--- a/crates/direct/src/book.rs
+++ b/crates/direct/src/book.rs
@@ -212,16 +212,16 @@
     /// Records a load report from an endpoint.
     pub fn record_report(&mut self, endpoint: EndpointId, report: Report, now: Moment) {
         let entry = self.entry(endpoint);
-        let all = report.running.saturating_add(report.waiting);
-        entry.reports.add(all.saturating_sub(entry.own), now);
-        self.new_loads.insert(endpoint, (all, now));
+        let requests = report.running.saturating_add(report.waiting);
+        entry.reports.add(requests.saturating_sub(entry.own), now);
+        self.new_loads.insert(endpoint, (requests, now));
     }
 
     /// Records a load that an endpoint reported to another instance at `at`.
-    pub fn record_peer_load(&mut self, endpoint: EndpointId, all: u32, at: Moment) {
+    pub fn record_peer_load(&mut self, endpoint: EndpointId, requests: u32, at: Moment) {
         let entry = self.entry(endpoint);
         if entry.reports.last_at() < Some(at) {
-            entry.reports.add(all.saturating_sub(entry.own), at);
+            entry.reports.add(requests.saturating_sub(entry.own), at);
         }
     }
 
@@ -238,9 +238,9 @@
     pub fn take_new_loads(&mut self, now: Moment) -> Vec<Load> {
         std::mem::take(&mut self.new_loads)
             .into_iter()
-            .map(|(endpoint, (all, at))| Load {
+            .map(|(endpoint, (requests, at))| Load {
                 endpoint,
-                requests: all,
+                requests,
                 age: since(now, at),
             })
             .collect()
@@ -259,10 +259,10 @@
             .iter()
             .filter_map(|(endpoint, entry)| {
                 let age = since(now, entry.reports.last_at()?);
-                let all = entry.reports.last_others().saturating_add(entry.own);
+                let requests = entry.reports.last_others().saturating_add(entry.own);
                 (age < MAX_SHARED_LOAD_AGE).then_some(Load {
                     endpoint: *endpoint,
-                    requests: all,
+                    requests,
                     age,
                 })
             })
--- a/crates/direct/src/control/entries.rs
+++ b/crates/direct/src/control/entries.rs
@@ -80,9 +80,9 @@
                 );
                 return false;
             }
-            SetResult::Restored | SetResult::WarmingAgain | SetResult::Changed => {}
+            SetResult::Renewed | SetResult::WarmingAgain | SetResult::Changed => {}
         }
-        if setting == SetResult::Restored {
+        if setting == SetResult::Renewed {
             self.tell(told);
             log::info!(endpoint:% = endpoint.name; "lapsed entry is back");
             return false;
--- a/crates/direct/src/control/peers/answer.rs
+++ b/crates/direct/src/control/peers/answer.rs
@@ -49,12 +49,12 @@
         return status(StatusCode::BAD_REQUEST);
     };
     let until = Instant::now() + question.wait.min(LONGEST_WAIT);
-    shared.askers().record_poll(question.peer_address, began);
+    shared.pollers().record_poll(question.peer_address, began);
     take(shared, &question.loads, began);
-    for holding in &question.holdings {
+    for holding in &question.holders {
         shared.directory().apply_and_forward(holding, began);
     }
-    let mut news = shared.peer_news();
+    let mut news = shared.replica_changes();
     loop {
         news.mark_unchanged();
         match shared.update_replica(false, |replica| replica.urgency(&question)) {
@@ -92,7 +92,7 @@
 // A standby's own askers are no better informed than it is, so only seeds name any.
 fn name_instances(shared: &Shared, told: &mut Update, now: Moment) {
     if shared.settings.is_seed() {
-        told.standbys = shared.askers().standbys(told.incarnation, now);
+        told.standbys = shared.pollers().standbys(told.incarnation, now);
     }
     told.instances = shared.instance_count(now);
 }
--- a/crates/direct/src/control/peers/passing.rs
+++ b/crates/direct/src/control/peers/passing.rs
@@ -38,11 +38,11 @@
         return status(StatusCode::BAD_REQUEST);
     };
     if let Some(own) = heard.own {
-        shared.askers().record_peer_count(own, heard.count, now);
+        shared.pollers().record_peer_count(own, heard.count, now);
     }
     for holding in heard.held {
         if shared.directory().apply_remote(&holding, now) {
-            shared.update_replica(false, |replica| replica.add_holding(holding, now));
+            shared.update_replica(false, |replica| replica.add_holder(holding, now));
         }
     }
     status(StatusCode::OK)
@@ -71,14 +71,14 @@
         let now = boot_time();
         let heard = Heard {
             own: shared.settings.listen.peers,
-            count: shared.askers().own_count(now),
+            count: shared.pollers().own_count(now),
             held: shared.directory().take_unsent(now),
         };
         for holding in &heard.held {
-            shared.update_replica(false, |replica| replica.add_holding(*holding, now));
+            shared.update_replica(false, |replica| replica.add_holder(*holding, now));
         }
         if shared.uptime() >= STARTS {
-            let count = shared.askers().count(now);
+            let count = shared.pollers().count(now);
             shared.set_instance_count(count, now);
         }
         for peer in shared.settings.other_seeds() {
--- a/crates/direct/src/control/peers/peer.rs
+++ b/crates/direct/src/control/peers/peer.rs
@@ -161,7 +161,7 @@
             evacuation: evacuation.max(self.told.evacuation),
             wait,
             loads: self.shared.endpoint_stats().take_new_loads(boot_time()),
-            holdings: self.shared.directory().take_unsent(boot_time()),
+            holders: self.shared.directory().take_unsent(boot_time()),
         };
         let asked = boot_time();
         let mut told = timeout(wait + PATIENCE, self.send(&question))
@@ -173,7 +173,7 @@
         if let Some(instances) = told.instances {
             self.shared.set_instance_count(instances, made);
         }
-        for holding in &told.holdings {
+        for holding in &told.holders {
             self.shared.directory().apply_remote(holding, made);
         }
         Ok(Answered {
--- a/crates/direct/src/control/peers/tests.rs
+++ b/crates/direct/src/control/peers/tests.rs
@@ -39,7 +39,7 @@
     evacuation: Position::START,
     wait: at(400),
     loads: Vec::new(),
-    holdings: Vec::new(),
+    holders: Vec::new(),
 };
 
 /// The instance that others ask was cut from the log. Those that asked it went
--- a/crates/direct/src/evacuation/tests.rs
+++ b/crates/direct/src/evacuation/tests.rs
@@ -198,7 +198,7 @@
             evacuation: self.known.as_of,
             wait: Duration::ZERO,
             loads: Vec::new(),
-            holdings: Vec::new(),
+            holders: Vec::new(),
         }
     }
 }
--- a/crates/direct/src/roster.rs
+++ b/crates/direct/src/roster.rs
@@ -37,7 +37,7 @@
 /// The number of heartbeats for which the log has to be unavailable for entries to
 /// expire. They expire after three heartbeats, and the last one may have been about to be
 /// sent.
-const MIN_ABSENCE_HEARTBEATS: u32 = 2;
+const MIN_OUTAGE_HEARTBEATS: u32 = 2;
 
 /// The number of heartbeats after a restore from a copy during which the copy may hold
 /// entries of endpoints that are gone: three until those expire, and one until that is
@@ -136,13 +136,13 @@
     Peer(u64),
 }
 
-/// The outcome of applying an entry.
+/// The outcome of applying an entry to the roster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SetResult {
     /// Only the heartbeat is new.
     Unchanged,
     /// An expired entry is back unchanged.
-    Restored,
+    Renewed,
     /// The endpoint is warming up again; the rest is unchanged.
     WarmingAgain,
     /// The endpoint is new or its entry changed.
@@ -187,7 +187,7 @@
         // Endpoints with expired entries may have had no time to write them again before
         // a further outage, so one heartbeat is enough.
         let expired = self.entries.values().any(|entry| entry.expired);
-        let heartbeats = if expired { 1 } else { MIN_ABSENCE_HEARTBEATS };
+        let heartbeats = if expired { 1 } else { MIN_OUTAGE_HEARTBEATS };
         if outage.is_some_and(|outage| outage >= self.heartbeat * heartbeats) {
             self.recovered_at = Some(now);
         }
@@ -250,8 +250,8 @@
         self.restored_at.is_some_and(|at| now < at + time)
     }
 
-    /// Returns the unconfirmed entries that were not removed in the meantime, to be
-    /// applied now.
+    /// Takes the unconfirmed entries that were not removed in the meantime, to be applied
+    /// now that the stale entries of the copy have expired. Returns none before.
     pub fn take_unconfirmed(&mut self) -> Vec<Registration> {
         // Expirations can't be seen while the log can't be read.
         if self.last_read.is_none_or(|read| self.may_be_stale(read)) {
@@ -295,7 +295,7 @@
                 if warms_again {
                     SetResult::WarmingAgain
                 } else if expired {
-                    SetResult::Restored
+                    SetResult::Renewed
                 } else {
                     SetResult::Unchanged
                 }
--- a/crates/direct/src/roster/tests.rs
+++ b/crates/direct/src/roster/tests.rs
@@ -52,7 +52,7 @@
     assert_eq!(names(&roster), ["a", "b"]);
     roster.record_read(at(7_000));
     let returned = roster.apply(endpoint("a", Standing::Live), at(0));
-    assert_eq!(returned, SetResult::Restored);
+    assert_eq!(returned, SetResult::Renewed);
     roster.record_read(at(8_000));
     assert_eq!(roster.remove_expired(at(8_000)), [""; 0]);
     roster.record_read(at(8_300));
--- a/crates/direct/src/shared.rs
+++ b/crates/direct/src/shared.rs
@@ -53,10 +53,10 @@
 /// state between them.
 const BYTES_PER_REQUEST: usize = 96 << 10;
 
-/// In-flight requests may fill this fraction of the memory: one half.
+/// In-flight requests may use the configured memory divided by this.
 const REQUEST_MEMORY_DIVISOR: usize = 2;
 
-/// Callers' bodies may fill this fraction of the memory: one quarter.
+/// Callers' bodies may use the configured memory divided by this.
 const BODY_MEMORY_DIVISOR: usize = 4;
 
 /// A service counts as reduced if at least one in this many of its endpoints is out of
@@ -168,7 +168,7 @@
     started_at: Moment,
     replica: Mutex<Replica>,
     // Signals that the replica has changes for peers.
-    peer_news: watch::Sender<u64>,
+    replica_changes: watch::Sender<u64>,
     log_unavailable: watch::Sender<bool>,
     // Whether the log has to be read again before it can be relied on.
     log_needs_reread: AtomicBool,
@@ -176,11 +176,11 @@
     notices: Mutex<Notices>,
     directory: Mutex<Directory>,
     budget: Mutex<Budget>,
-    askers: Mutex<Pollers>,
+    pollers: Mutex<Pollers>,
     crash_tracker: Mutex<CrashTracker>,
     paths: Mutex<Paths>,
     shares: Mutex<Shares>,
-    count: Mutex<InstanceCount>,
+    instance_count: Mutex<InstanceCount>,
     in_flight: AtomicUsize,
     body_bytes: AtomicUsize,
     draining: AtomicBool,
@@ -206,17 +206,17 @@
             view_changes: watch::channel(()).0,
             started_at: boot_time(),
             replica: Mutex::new(Replica::new(rand::rng().random_range(1..=u64::MAX))),
-            peer_news: watch::channel(0).0,
+            replica_changes: watch::channel(0).0,
             log_unavailable: watch::channel(false).0,
             log_needs_reread: AtomicBool::new(false),
             endpoint_stats: Mutex::default(),
             notices: Mutex::default(),
             directory: Mutex::default(),
-            askers: Mutex::default(),
+            pollers: Mutex::default(),
             crash_tracker: Mutex::default(),
             paths: Mutex::default(),
             shares: Mutex::new(Shares::new(rand::rng().random())),
-            count: Mutex::default(),
+            instance_count: Mutex::default(),
             in_flight: AtomicUsize::new(0),
             body_bytes: AtomicUsize::new(0),
             draining: AtomicBool::new(false),
@@ -290,7 +290,7 @@
     ) -> T {
         let result = change(&mut self.replica.lock().unwrap_or_else(PoisonError::into_inner));
         if notify {
-            self.peer_news
+            self.replica_changes
                 .send_modify(|count| *count = count.wrapping_add(1));
         }
         result
@@ -321,8 +321,8 @@
     }
 
     /// Returns a receiver that is notified when there are changes for peers.
-    pub(crate) fn peer_news(&self) -> watch::Receiver<u64> {
-        self.peer_news.subscribe()
+    pub(crate) fn replica_changes(&self) -> watch::Receiver<u64> {
+        self.replica_changes.subscribe()
     }
 
     pub(crate) fn endpoint_stats(&self) -> MutexGuard<'_, EndpointStats> {
@@ -344,14 +344,14 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn askers(&self) -> MutexGuard<'_, Pollers> {
-        self.askers.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn pollers(&self) -> MutexGuard<'_, Pollers> {
+        self.pollers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns whether peers poll this instance instead of the log now, or are configured
     /// to.
     pub(crate) fn serves_peers(&self) -> bool {
-        self.settings.is_seed() || self.askers().any_recent(boot_time())
+        self.settings.is_seed() || self.pollers().any_recent(boot_time())
     }
 
     pub(crate) fn crash_tracker(&self) -> MutexGuard<'_, CrashTracker> {
@@ -371,7 +371,10 @@
 
     /// Records the number of instances.
     pub(crate) fn set_instance_count(&self, instances: u32, now: Moment) {
-        let mut count = self.count.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut count = self
+            .instance_count
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         count.update(instances, now);
     }
 
@@ -381,7 +384,10 @@
         if self.settings.listen.peers.is_none() {
             return Some(1);
         }
-        let count = self.count.lock().unwrap_or_else(PoisonError::into_inner);
+        let count = self
+            .instance_count
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         count.get(now)
     }
 
--- a/crates/direct/tests/restores/instance.rs
+++ b/crates/direct/tests/restores/instance.rs
@@ -267,7 +267,7 @@
             evacuation: self.board.evacuation_position(),
             wait: Duration::ZERO,
             loads: Vec::new(),
-            holdings: Vec::new(),
+            holders: Vec::new(),
         }
     }
 
