--- a/crates/direct/src/attempt.rs
+++ b/crates/direct/src/attempt.rs
@@ -1,53 +1,53 @@
-//! What follows an attempt to have a request run.
+//! Decides what follows a failed attempt of a request.
 //!
-//! A request may go to another endpoint if it is proved that nothing has run,
-//! or if running it twice does no harm. The route says to how many endpoints
-//! it may be sent, and a budget bounds the repeats of all requests together.
-//! An attempt that never reached an endpoint costs neither.
+//! A request may go to another endpoint if it is certain that it has not run, or if
+//! running it twice does no harm. The route limits the number of endpoints that it may be
+//! sent to, and a budget limits the retries of all requests together. An attempt that
+//! never reached an endpoint counts towards neither.
 
 use http::StatusCode;
 
 use crate::dialect::ResponseFields;
 use crate::refusal::Reason;
 
-/// Attempts that may fail to reach an endpoint before the request is given up.
-/// Each costs a connection time-out where a machine is dark; three in a row
-/// mean that something else is wrong.
-const MAX_UNREACHED: u32 = 4;
+/// The maximum number of attempts that fail to reach an endpoint before the request is
+/// given up. Each costs a connect timeout if the machine is down; three in a row mean
+/// that something else is wrong.
+const MAX_UNREACHED_ATTEMPTS: u32 = 4;
 
-/// How an attempt ended without an answer for the caller.
+/// How an attempt ended without a response for the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// No byte of it reached the endpoint.
+    /// No byte of the request reached the endpoint.
     NotSent,
-    /// The endpoint says that it has not run it, and never will.
+    /// The endpoint states that it has not run the request and never will.
     Refused,
-    /// The endpoint ran it and failed.
+    /// The endpoint ran the request and failed.
     Failed,
-    /// Its fate is unknown.
+    /// It is unknown whether the request ran.
     Lost,
 }
 
-/// What an answer is to the request that waits for one.
+/// How a response to an attempt is to be handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The caller's.
+    /// Relay it to the caller.
     Relay,
-    /// A failure that may be tried elsewhere, or relayed if it can't be.
+    /// The endpoint failed; retry elsewhere, or relay it if that isn't possible.
     Fallback,
-    /// None that the caller may see; the attempt ended like this.
+    /// Don't relay it; the attempt failed this way.
     Failed(Failure),
 }
 
-/// Judges the head of an answer to the attempt `id`.
+/// Classifies the head of a response to the attempt `id`.
 ///
-/// - An answer may come late, in the place of the next one on its connection;
-///   the id it echoes gives it away.
-/// - A status that promises that nothing has run is passed on for a request
-///   that runs once at most only with the endpoint's word on it. Some endpoints
-///   say 503 after they ran a request.
-/// - A success without the endpoint's signature, or with a coded body, is not
-///   what the endpoint made.
+/// - A late response may arrive in place of the next one on its connection. It is
+///   recognized by the attempt id that it echoes.
+/// - For a request that must not run twice, a status which promises that the request has
+///   not run is relayed only if the endpoint confirms it. Some endpoints respond 503
+///   after they ran a request.
+/// - A success without the endpoint's signature, or with an encoded body, doesn't come
+///   from the endpoint unchanged.
 #[must_use]
 pub fn classify_response(
     status: StatusCode,
@@ -61,27 +61,27 @@
     if fields.not_run || status == StatusCode::MISDIRECTED_REQUEST {
         return Verdict::Failed(Failure::Refused);
     }
-    let promises = matches!(status.as_u16(), 408 | 429 | 503);
+    let claims_not_run = matches!(status.as_u16(), 408 | 429 | 503);
     match (fields.signed, idempotent) {
         (false, _) if status.is_success() || status.is_server_error() => {
             Verdict::Failed(Failure::Lost)
         }
-        (_, false) if promises => Verdict::Failed(Failure::Failed),
-        (_, true) if promises || status.is_server_error() => Verdict::Fallback,
+        (_, false) if claims_not_run => Verdict::Failed(Failure::Failed),
+        (_, true) if claims_not_run || status.is_server_error() => Verdict::Fallback,
         _ => Verdict::Relay,
     }
 }
 
-/// What to do next.
+/// What to do after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Send it to another endpoint; `repeat` says whether that is to be paid
-    /// from the budget.
+    /// Send the request to another endpoint.
     Retry {
-        /// Whether an endpoint has received the request before.
+        /// Whether the retry is charged to the budget, which is the case if an endpoint
+        /// has received the request before.
         uses_budget: bool,
     },
-    /// Answer the caller.
+    /// Refuse the request with this reason.
     GiveUp(Reason),
 }
 
@@ -92,12 +92,12 @@
     max_sends: u32,
     sent: u32,
     unreached: u32,
-    // Whether an attempt ended that may have run it.
+    // Whether an attempt failed that may have run the request.
     may_have_run: bool,
 }
 
 impl Attempts {
-    /// Returns the attempts of a request that may be sent to `most` endpoints.
+    /// Returns the state of a request that may be sent to `max_sends` endpoints.
     #[must_use]
     pub const fn new(idempotent: bool, max_sends: u32) -> Self {
         Self {
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Returns to how many endpoints it was sent.
+    /// Returns the number of endpoints that the request was sent to.
     #[must_use]
     pub const fn sent(&self) -> u32 {
         self.sent
@@ -121,8 +121,8 @@
         self.may_have_run
     }
 
-    /// Returns the reason to give when no attempt can follow for `reason`,
-    /// which by itself would say that nothing has run.
+    /// Returns the reason to give when no further attempt is possible for `reason`. Where
+    /// the request may have run, this replaces a reason that promises it has not.
     #[must_use]
     pub const fn final_reason(&self, reason: Reason) -> Reason {
         if self.may_have_run {
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Returns the reason to give when the time allowed is over.
+    /// Returns the reason to give when the deadline has passed.
     #[must_use]
     pub const fn deadline_reason(&self) -> Reason {
         if self.may_have_run {
@@ -142,12 +142,12 @@
         }
     }
 
-    /// Takes in how an attempt ended and returns what follows.
+    /// Records a failed attempt and returns what to do next.
     pub const fn record_failure(&mut self, failure: Failure) -> Next {
         let reason = match failure {
             Failure::NotSent => {
                 self.unreached += 1;
-                if self.unreached < MAX_UNREACHED {
+                if self.unreached < MAX_UNREACHED_ATTEMPTS {
                     return Next::Retry {
                         uses_budget: self.sent > 0,
                     };
@@ -165,7 +165,7 @@
             }
         };
         let safe = self.idempotent || !self.may_have_run;
-        if safe && self.sent < self.max_sends && self.unreached < MAX_UNREACHED {
+        if safe && self.sent < self.max_sends && self.unreached < MAX_UNREACHED_ATTEMPTS {
             return Next::Retry { uses_budget: true };
         }
         Next::GiveUp(self.final_reason(reason))
--- a/crates/direct/src/attempt/tests.rs
+++ b/crates/direct/src/attempt/tests.rs
@@ -18,10 +18,10 @@
     classify_response(status, fields, "a1", idempotent)
 }
 
-/// An endpoint answered one request twice. The second answer arrived where the
-/// next caller's was due, who got a stranger's chat.
+/// Guards against relaying another request's response. An endpoint responded to one
+/// request twice, and the second response arrived in place of the next caller's.
 #[test]
-fn an_answer_to_another_attempt_is_nobodys() {
+fn response_to_another_attempt_is_not_relayed() {
     assert_eq!(
         verdict(200, &response_fields("a0"), true),
         Verdict::Failed(Failure::Lost)
@@ -29,10 +29,10 @@
     assert_eq!(verdict(200, &response_fields("a1"), false), Verdict::Relay);
 }
 
-/// An endpoint ran an order, then said 503 without its word that it had not
-/// run. Passed on, the caller sends the order again.
+/// Guards against relaying a 503 for a request that did run: the caller takes it as not
+/// run and sends the order again.
 #[test]
-fn a_promise_without_the_endpoints_word_is_not_passed_on() {
+fn unconfirmed_not_run_status_is_not_relayed() {
     let failed = Verdict::Failed(Failure::Failed);
     assert_eq!(verdict(503, &response_fields("a1"), false), failed);
     assert_eq!(verdict(429, &response_fields("a1"), false), failed);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_success_that_nobody_signed_is_no_answer() {
+fn unsigned_or_encoded_success_is_not_relayed() {
     let unsigned = ResponseFields {
         signed: false,
         ..response_fields("a1")
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn failures_of_the_endpoint_may_be_tried_elsewhere_if_that_does_no_harm() {
+fn server_errors_are_retried_if_idempotent() {
     assert_eq!(
         verdict(500, &response_fields("a1"), true),
         Verdict::Fallback
@@ -82,10 +82,10 @@
     ]
 }
 
-/// A booking's connection broke after it was sent. Sent to another endpoint,
-/// it puts two artists at one christening.
+/// Guards against running a request twice. The connection broke after the request was
+/// sent, and a booking sent to another endpoint is made twice.
 #[test]
-fn an_unrepeatable_request_of_unknown_fate_is_never_sent_again() {
+fn non_idempotent_request_of_unknown_outcome_is_not_retried() {
     let mut attempts = Attempts::new(false, 3);
     assert_eq!(
         attempts.record_failure(Failure::Lost),
@@ -94,12 +94,12 @@
 }
 
 #[test]
-fn what_reached_nobody_is_free_and_goes_on() {
+fn unreached_attempts_are_retried_without_budget() {
     let mut attempts = Attempts::new(false, 1);
-    let again = Next::Retry { uses_budget: false };
-    assert_eq!(attempts.record_failure(Failure::NotSent), again);
-    assert_eq!(attempts.record_failure(Failure::NotSent), again);
-    assert_eq!(attempts.record_failure(Failure::NotSent), again);
+    let free_retry = Next::Retry { uses_budget: false };
+    assert_eq!(attempts.record_failure(Failure::NotSent), free_retry);
+    assert_eq!(attempts.record_failure(Failure::NotSent), free_retry);
+    assert_eq!(attempts.record_failure(Failure::NotSent), free_retry);
     assert_eq!(
         attempts.record_failure(Failure::NotSent),
         Next::GiveUp(Reason::Unreachable)
@@ -107,10 +107,10 @@
 }
 
 proptest! {
-    // Whatever happens, a promise is true, and no more endpoints than allowed
-    // get the request.
+    // Checks for any order of failures that a reported outcome is true, and that no more
+    // endpoints than allowed receive the request.
     #[test]
-    fn promises_hold_in_any_order_of_endings(
+    fn outcome_is_true_for_any_order_of_failures(
         idempotent: bool,
         max_sends in 1_u32..4,
         endings in prop::collection::vec(failure(), 1..12),
--- a/crates/direct/src/place.rs
+++ b/crates/direct/src/place.rs
@@ -1,18 +1,18 @@
-//! Which endpoint a request is sent to.
+//! Chooses the endpoint that a request is sent to.
 //!
-//! Two kinds of work are placed differently:
+//! Two kinds of requests are placed differently:
 //!
-//! - A request whose prompt shares parts with others does best where those
-//!   were read before. Endpoints are ranked by rendezvous hashing on the last
-//!   shared part, so all instances agree without a word, and the first whose
-//!   load is within a bound of the mean takes it. A part in sudden demand thus
-//!   spills to the second of its ranking, which then holds it too, and so on.
-//! - Any other request goes to the endpoint that looks the least loaded, with each
-//!   load drawn from what it may be and a slight preference for the own
+//! - A request whose prompt shares parts with others runs fastest where those parts were
+//!   read before. Endpoints are ranked by rendezvous hashing on the last shared part, so
+//!   all instances agree without communicating, and the first endpoint whose load is
+//!   within a bound of the mean takes the request. A part in sudden demand thus spills to
+//!   the second endpoint of its ranking, which then holds it too, and so on.
+//! - Any other request goes to the endpoint with the least load, where each load is drawn
+//!   from its estimated distribution, with a slight preference for the instance's own
 //!   availability zone.
 //!
-//! Loads are what this instance knows: its own requests exactly, those of
-//! others from the endpoint's last answer.
+//! Loads are this instance's estimates: its own requests are exact, those of other
+//! instances come from the endpoint's last report.
 
 use godwitpost_decide::health::Access;
 use godwitpost_types::hash;
@@ -20,170 +20,169 @@
 
 use crate::dialect::Part;
 
-/// The part of the way from the mean to the greatest load allowed that a
-/// request may fill for its prompt's sake, with all loads known: for prompts
-/// that cost nothing to read elsewhere, and for those that cost the most.
+/// The fraction of the way from the mean load to the allowed maximum up to which prompts
+/// stay at their home, if all loads are known: for prompts that cost nothing to read
+/// elsewhere, and for those that cost the most.
 ///
-/// Loads are some hundred milliseconds old, and other instances place at the
-/// same time, so what is aimed at lies below what must not be passed. Each
-/// prompt that spills is read or fetched where it goes. What that costs goes by
-/// the length of the prompt, and what it saves doesn't, so short ones go first.
-const AIMED: [f64; 2] = [0.3, 0.8];
+/// Loads are some hundred milliseconds old and other instances place requests at the same
+/// time, so the target lies below the allowed maximum. Each prompt that spills is read or
+/// fetched at its new endpoint. The cost of that grows with the length of the prompt
+/// while the benefit doesn't, so short prompts spill first.
+const TARGET_FRACTION: [f64; 2] = [0.3, 0.8];
 
-/// What is added to the bound, in requests, with all loads known: with a mean
-/// of one, a multiple alone would send every second request of a chat away
-/// from its context.
-const SLACK: f64 = 3.0;
+/// Added to the bound, in requests, if all loads are known. With a mean load of one, a
+/// multiple alone would send every second request of a chat away from its cached prompt.
+const SLACK_REQUESTS: f64 = 3.0;
 
-/// The part of both that is left with nothing known, for the same two. Where a
-/// fleet is so large that an instance rarely hears from an endpoint, most requests
-/// are placed blindly; the few that meet a known load have to make up for them.
-const BLIND: [f64; 2] = [0.3, 0.6];
+/// The fraction of both that remains if no loads are known, for the same two kinds of
+/// prompts. In a fleet so large that an instance rarely hears from an endpoint, most
+/// requests are placed without a known load, and the few that meet one have to compensate
+/// for them.
+const UNKNOWN_LOAD_FRACTION: [f64; 2] = [0.3, 0.6];
 
-/// How long a request is at an endpoint, in seconds: most streams take one to
-/// two.
-const LASTS: f64 = 1.5;
+/// How long a request stays at an endpoint, in seconds: most streams take one to two.
+const REQUEST_SECONDS: f64 = 1.5;
 
-/// What another availability zone counts, in parts of an endpoint's slots. The
-/// way there and back takes some 2 ms of a request of 15 ms.
-const FAR: f64 = 0.1;
+/// The penalty for another availability zone, as a fraction of an endpoint's slots. The
+/// round trip takes about 2 ms of a 15 ms request.
+const OTHER_ZONE_PENALTY: f64 = 0.1;
 
-/// What a way that holds answers up counts. A resend takes 200 ms, and one of
-/// thirty packets needs one: as much as waiting for a round of 15 ms requests.
-const HELD_UP: f64 = 1.0;
+/// The penalty for a path that stalls responses, as a fraction of an endpoint's slots. A
+/// resend takes 200 ms, and one in thirty packets needs one, which costs as much as
+/// waiting for a round of 15 ms requests.
+const STALLED_PATH_PENALTY: f64 = 1.0;
 
-/// The number of values that half of a draw may have.
-const HALF_SPAN: f64 = 4_294_967_296.0;
+/// The number of values of a 32-bit half of a draw.
+const HALF_DRAW_VALUES: f64 = 4_294_967_296.0;
 
-/// How much more than its slots an endpoint may hold before it is full. What
-/// is beyond the slots waits there; a plain service holds about four times its
-/// slots and refuses the rest.
-const FULL: f64 = 3.0;
+/// An endpoint is full at this multiple of its slots. Requests beyond the slots wait
+/// there; a plain service holds about four times its slots and refuses more.
+const FULL_AT_SLOTS: f64 = 3.0;
 
-/// What a request's prompt shares with others.
+/// The affinity of a request to the endpoints that hold its prompt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Affinity {
-    /// The last part of it, which stands for all.
+    /// The last shared part of the prompt, by which endpoints are ranked.
     pub part: u64,
-    /// What reading it anew elsewhere costs each request: 0 for nothing, a half
-    /// for the usual length with no other request to share it, 1 for twice that
-    /// and more.
+    /// The cost per request of reading the prompt again elsewhere: 0 for none, 0.5 for a
+    /// prompt of mean length that no other request shares, 1 for twice that length and
+    /// more.
     pub cost: f64,
-    /// Requests for the part that all instances together have at endpoints, as
-    /// guessed from this instance's own.
+    /// The estimated number of requests for the part that all instances together have at
+    /// endpoints, extrapolated from this instance's own.
     pub demand: f64,
 }
 
 impl Affinity {
-    /// Returns the prefix that ends with a part, where `usual` tokens are usual,
-    /// `lately` requests for it came here within the last second or so, and the
-    /// fleet is `others` times as busy as this instance.
+    /// Returns the affinity of a prompt whose last shared part is `part`. The mean length
+    /// is `mean_tokens`, this instance got `recent_requests` for the part within the last
+    /// second or so, and the fleet is `fleet_factor` times as busy as this instance.
     ///
-    /// An endpoint to which a part in demand spills reads it once for all that
-    /// follow, so each of them bears a share of that.
+    /// An endpoint to which a part in demand spills reads it once for all requests that
+    /// follow, so each of them bears only a share of the cost.
     #[must_use]
-    pub fn new(part: Part, usual: f64, lately: f64, others: f64) -> Self {
-        let length = f64::from(part.tokens) / (2.0 * usual.max(1.0));
+    pub fn new(part: Part, mean_tokens: f64, recent_requests: f64, fleet_factor: f64) -> Self {
+        let length = f64::from(part.tokens) / (2.0 * mean_tokens.max(1.0));
         Self {
             part: part.id,
-            cost: length.min(1.0) / (1.0 + lately),
-            demand: lately * others * LASTS,
+            cost: length.min(1.0) / (1.0 + recent_requests),
+            demand: recent_requests * fleet_factor * REQUEST_SECONDS,
         }
     }
 
-    // How many endpoints the part is spread over.
+    // Returns the number of endpoints that the part is spread over.
     //
-    // When all callers are suddenly about one thing, its home fills up within a
-    // second, and what an instance last heard of it is as old. All instances then
-    // leave it for the next in the ranking, which fills up in turn, unless it is
-    // spread at once.
-    fn spread(&self, bound: f64) -> usize {
+    // If all callers suddenly ask for the same thing, its home fills up within a second,
+    // and instances know its load only with as much delay. Without spreading, all
+    // instances then move on to the next endpoint in the ranking at once, which fills up
+    // in turn.
+    fn endpoint_count(&self, bound: f64) -> usize {
         let endpoints = (self.demand / bound.max(1.0)).ceil();
-        // A thousand is more than any service has that a part is spread over.
+        // No service has more than a thousand endpoints to spread a part over.
         (1..1_000_u16)
             .find(|count| f64::from(*count) >= endpoints)
             .map_or(1_000, usize::from)
     }
 }
 
-/// An endpoint that could take a request.
+/// An endpoint that a request may be sent to.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// Its id.
+    /// The endpoint's id.
     pub endpoint: EndpointId,
-    /// Requests that it runs or holds, as believed.
+    /// The estimated number of requests that it runs or queues.
     pub load: f64,
-    /// How far that may be off, as a standard deviation.
+    /// The standard deviation of the estimated load.
     pub load_stddev: f64,
-    /// This instance's own requests there.
+    /// This instance's own requests at the endpoint.
     pub own_requests: u32,
-    /// The part of the load that was seen there.
+    /// The part of the load that was observed at the endpoint.
     pub observed_load: f64,
-    /// How much of the load is known, 0 to 1.
+    /// The fraction of the load that is known, 0 to 1.
     pub known_fraction: f64,
-    /// Requests that it runs at once.
+    /// The number of requests that it runs at once.
     pub slots: u32,
     /// Whether it is in this instance's availability zone.
     pub same_zone: bool,
-    /// Whether nothing is held up on the way to it.
+    /// Whether the network path to it is free of stalls.
     pub path_clear: bool,
-    /// What it may get by what was seen of it.
+    /// What it may be sent according to its observed health.
     pub access: Access,
-    /// Why this request can't go there, if it can't.
+    /// Why this request can't be sent to it, if so.
     pub exclusion: Option<Exclusion>,
 }
 
-/// Why a request can't go to an endpoint.
+/// Why a request can't be sent to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exclusion {
-    /// It has been sent there already.
+    /// The request has been sent to it already.
     Tried,
-    /// The endpoint is warming up, and this instance has no share of it left.
+    /// The endpoint is warming up, and this instance's share of it is used up.
     NoShare,
 }
 
-/// A service's endpoints to which a request can't go at all. They take part in the
-/// mean: what no endpoint may pass is a multiple of that of all of them.
+/// The endpoints of a service that a request can't be sent to. They count towards the
+/// mean: the allowed load is a multiple of the mean over all endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Unavailable {
-    /// How many there are.
+    /// The number of these endpoints.
     pub count: u32,
-    /// Requests that they run or hold together.
+    /// The number of requests that they run or queue together.
     pub load: f64,
 }
 
-/// Where a request goes.
+/// The result of placing a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pick {
-    /// To this endpoint.
+    /// Send it to this endpoint.
     Send {
-        /// Its id.
+        /// The endpoint's id.
         endpoint: EndpointId,
-        /// Why it.
+        /// Why this endpoint was chosen.
         choice: Choice,
     },
-    /// Nowhere: all that could take it are full.
+    /// All usable endpoints are full.
     Full,
-    /// Nowhere yet: all that could take it are warming up, with no share left.
+    /// All usable endpoints are warming up with no share left; try again shortly.
     Wait,
-    /// Nowhere: there is no endpoint left that could take it.
+    /// There is no usable endpoint.
     None,
 }
 
-/// Why an endpoint was picked.
+/// Why an endpoint was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Choice {
     /// It is the first of the prompt's ranking.
     Home,
-    /// It follows in the prompt's ranking; those before it are above the bound
-    /// or can't be used.
+    /// It follows in the prompt's ranking; those before it are above the bound or can't
+    /// be used.
     Spill,
-    /// It is the least loaded.
+    /// It has the least load.
     Lightest,
 }
 
 impl Choice {
-    /// Returns its name in logs.
+    /// Returns the choice's name in logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -195,20 +194,19 @@
 }
 
 impl Candidate {
-    // Only what was seen makes an endpoint full. An instance that has just
-    // started in a fleet of hundreds first hears of the endpoint that is in
-    // greatest demand; with all others taken to be like it, it refused every
-    // request while most were idle.
-    fn full(&self) -> bool {
-        self.observed_load >= f64::from(self.slots) * FULL
+    // Only observed load makes an endpoint full. An instance that had just started in a
+    // fleet of hundreds first heard of the endpoint in greatest demand. It assumed the
+    // same load of all others and refused every request while most of them were idle.
+    fn is_full(&self) -> bool {
+        self.observed_load >= f64::from(self.slots) * FULL_AT_SLOTS
     }
 
-    // An endpoint on trial gets one request of each instance at a time. What others
-    // have there says nothing against it: they may never have held it to be down.
-    // Counted all the same, it was never tried again on a busy fleet: after some
-    // seconds of lost packets instances went without some of their engines for
-    // good, and their prompts were read again elsewhere.
-    fn open(&self) -> bool {
+    // An endpoint on trial gets one request of each instance at a time. Other instances'
+    // requests there don't count: they may never have marked it as down. When they
+    // counted, an endpoint was never tried again on a busy fleet: after some seconds of
+    // packet loss, instances stopped using some of their engines for good, and their
+    // prompts were read again elsewhere.
+    fn accepts_requests(&self) -> bool {
         match self.access {
             Access::Full => true,
             Access::Trial => self.own_requests == 0,
@@ -216,33 +214,45 @@
         }
     }
 
-    // The load that it may have, by a draw; the one that is most likely without.
-    fn likely(&self, draw: Option<u64>) -> f64 {
-        let off = draw.map_or(0.0, |draw| deviate(hash::score(draw, self.endpoint)));
-        self.load + self.load_stddev * off
+    // Returns a load drawn from the estimated distribution, or the most likely load
+    // without a draw.
+    fn draw_load(&self, draw: Option<u64>) -> f64 {
+        let deviation = draw.map_or(0.0, |draw| {
+            standard_deviate(hash::score(draw, self.endpoint))
+        });
+        self.load + self.load_stddev * deviation
     }
 
-    // What it counts beside others, for a request with this draw.
+    // Returns the load by which endpoints are compared, for a request with this draw.
     //
-    // Hundreds of instances are told the same loads, a second old. If all sent to the
-    // one that was the least then, it would hold several times the mean while others
-    // idle, and orders would wait there. Each draws what the load may be instead, so
-    // that they send to an endpoint as often as it may be the least loaded.
-    fn relative(&self, draw: u64) -> f64 {
-        let far = if self.same_zone { 0.0 } else { FAR };
-        let held_up = if self.path_clear { 0.0 } else { HELD_UP };
-        self.likely(Some(draw)) / f64::from(self.slots.max(1)) + far + held_up
+    // Hundreds of instances get the same load reports, a second old. If all sent their
+    // requests to the endpoint that was least loaded then, it would hold several times
+    // the mean while others idle, and requests would queue there. Drawing each load from
+    // its distribution sends requests to an endpoint as often as it may be the least
+    // loaded.
+    fn relative_load(&self, draw: u64) -> f64 {
+        let zone_penalty = if self.same_zone {
+            0.0
+        } else {
+            OTHER_ZONE_PENALTY
+        };
+        let path_penalty = if self.path_clear {
+            0.0
+        } else {
+            STALLED_PATH_PENALTY
+        };
+        self.draw_load(Some(draw)) / f64::from(self.slots.max(1)) + zone_penalty + path_penalty
     }
 }
 
-/// Picks an endpoint among `candidates` for a prompt with this shared prefix, or
-/// for a request without one. No endpoint may have more than `allowed` times
-/// the mean load of the candidates and the `rest`; `draw` decides between equals.
+/// Chooses an endpoint among `candidates` for a request, by its affinity if it has one.
+/// No endpoint may have more than `allowed` times the mean load of the candidates and the
+/// `unavailable` endpoints; `draw` breaks ties.
 #[must_use]
 pub fn pick(
     candidates: &[Candidate],
-    rest: Unavailable,
-    prefix: Option<Affinity>,
+    unavailable: Unavailable,
+    affinity: Option<Affinity>,
     allowed: f64,
     draw: u64,
 ) -> Pick {
@@ -253,9 +263,13 @@
     if untried.is_empty() {
         return Pick::None;
     }
-    let open: Vec<&Candidate> = untried.iter().copied().filter(|one| one.open()).collect();
-    // With every endpoint held to be down, that belief is more likely wrong
-    // than a try is harmful.
+    let open: Vec<&Candidate> = untried
+        .iter()
+        .copied()
+        .filter(|one| one.accepts_requests())
+        .collect();
+    // If every endpoint is marked as down, that is more likely a mistake than an attempt
+    // is harmful.
     let open = if open.is_empty() { untried } else { open };
     let open: Vec<&Candidate> = open
         .into_iter()
@@ -264,24 +278,25 @@
     if open.is_empty() {
         return Pick::Wait;
     }
-    let room: Vec<&Candidate> = open.into_iter().filter(|one| !one.full()).collect();
-    let within = prefix.and_then(|prefix| {
-        let bound = load_bound(candidates, rest, allowed, prefix.cost);
-        // Where a part of the service takes nothing, the others are about as loaded as the
-        // bound allows, and all instances would leave one of them for the next together
-        // when they hear, a second late, that it has passed the bound.
-        let drawn = (rest.count > 0).then_some(draw);
-        let within = |one: &&Candidate| one.likely(drawn) + 1.0 <= bound;
-        let within: Vec<&Candidate> = room.iter().copied().filter(within).collect();
+    let with_room: Vec<&Candidate> = open.into_iter().filter(|one| !one.is_full()).collect();
+    let within = affinity.and_then(|affinity| {
+        let bound = load_bound(candidates, unavailable, allowed, affinity.cost);
+        // If some endpoints are unavailable, the others are about as loaded as the bound
+        // allows. Without drawing the load, all instances would move from one endpoint to
+        // the next at the same time, when they learn a second late that it has passed the
+        // bound.
+        let load_draw = (unavailable.count > 0).then_some(draw);
+        let within = |one: &&Candidate| one.draw_load(load_draw) + 1.0 <= bound;
+        let within: Vec<&Candidate> = with_room.iter().copied().filter(within).collect();
         let clear: Vec<&Candidate> = within
             .iter()
             .copied()
             .filter(|one| one.path_clear)
             .collect();
-        ranked(clear, prefix, bound, draw).or_else(|| ranked(within, prefix, bound, draw))
+        ranked(clear, affinity, bound, draw).or_else(|| ranked(within, affinity, bound, draw))
     });
-    if let (Some(one), Some(prefix)) = (within, prefix) {
-        let home = highest(candidates.iter(), prefix.part).map(|home| home.endpoint);
+    if let (Some(one), Some(affinity)) = (within, affinity) {
+        let home = first_ranked(candidates.iter(), affinity.part).map(|home| home.endpoint);
         let choice = if home == Some(one.endpoint) {
             Choice::Home
         } else {
@@ -289,7 +304,7 @@
         };
         return send(one, choice);
     }
-    lightest(&room, draw).map_or(Pick::Full, |one| send(one, Choice::Lightest))
+    least_loaded(&with_room, draw).map_or(Pick::Full, |one| send(one, Choice::Lightest))
 }
 
 const fn send(one: &Candidate, choice: Choice) -> Pick {
@@ -299,64 +314,72 @@
     }
 }
 
-/// Returns the load up to which a prompt stays at its first endpoints, if its
-/// prefix costs this to read elsewhere.
+/// Returns the load up to which a prompt stays at the first endpoints of its ranking, if
+/// reading it elsewhere costs `cost`.
 #[must_use]
-pub fn load_bound(candidates: &[Candidate], rest: Unavailable, allowed: f64, cost: f64) -> f64 {
-    let between = |[short, long]: [f64; 2]| short + (long - short) * cost;
-    let (aimed, blind) = (between(AIMED), between(BLIND));
+pub fn load_bound(
+    candidates: &[Candidate],
+    unavailable: Unavailable,
+    allowed: f64,
+    cost: f64,
+) -> f64 {
+    let interpolate = |[short, long]: [f64; 2]| short + (long - short) * cost;
+    let (target, unknown) = (
+        interpolate(TARGET_FRACTION),
+        interpolate(UNKNOWN_LOAD_FRACTION),
+    );
     let count = u32::try_from(candidates.len()).unwrap_or(u32::MAX);
     let count = f64::from(count.max(1));
     let known: f64 = candidates.iter().map(|one| one.known_fraction).sum();
-    let sight = blind + (1.0 - blind) * known / count;
-    let most = 1.0 + (allowed - 1.0).max(0.0) * aimed * sight;
+    let confidence = unknown + (1.0 - unknown) * known / count;
+    let factor = 1.0 + (allowed - 1.0).max(0.0) * target * confidence;
     let sum: f64 = candidates.iter().map(|one| one.load).sum();
-    let mean = (sum + rest.load) / (count + f64::from(rest.count));
-    mean * most + SLACK * sight
+    let mean = (sum + unavailable.load) / (count + f64::from(unavailable.count));
+    mean * factor + SLACK_REQUESTS * confidence
 }
 
-// Picks by the prompt's ranking among endpoints that are within the bound.
+// Chooses by the prompt's ranking among endpoints within the bound.
 fn ranked(
     mut within: Vec<&Candidate>,
-    prefix: Affinity,
+    affinity: Affinity,
     bound: f64,
     draw: u64,
 ) -> Option<&Candidate> {
-    let spread = prefix.spread(bound);
-    if spread == 1 {
-        return highest(within.into_iter(), prefix.part);
+    let count = affinity.endpoint_count(bound);
+    if count == 1 {
+        return first_ranked(within.into_iter(), affinity.part);
     }
-    let score = |one: &&Candidate| hash::score(prefix.part, one.endpoint);
+    let score = |one: &&Candidate| hash::score(affinity.part, one.endpoint);
     within.sort_by_key(|one| std::cmp::Reverse(score(one)));
-    within.truncate(spread);
-    // Any of them; each instance and each request draws anew.
+    within.truncate(count);
+    // Each request of each instance draws one of them anew.
     let one = draw.checked_rem(within.len() as u64)?;
     within.get(usize::try_from(one).unwrap_or(0)).copied()
 }
 
-fn highest<'a>(
+fn first_ranked<'a>(
     candidates: impl Iterator<Item = &'a Candidate>,
     part: u64,
 ) -> Option<&'a Candidate> {
     candidates.max_by_key(|one| (hash::score(part, one.endpoint), one.endpoint))
 }
 
-// A random number of mean 0 and standard deviation 1: the sum of two that are
-// uniform, in place of a normal one.
-fn deviate(bits: u64) -> f64 {
+// Returns a random number of mean 0 and standard deviation 1: the sum of two uniform
+// ones, as an approximation of a normal distribution.
+fn standard_deviate(bits: u64) -> f64 {
     const HALF: u64 = 0xffff_ffff;
-    let uniform = |bits: u64| f64::from(u32::try_from(bits & HALF).unwrap_or(0)) / HALF_SPAN;
+    let uniform = |bits: u64| f64::from(u32::try_from(bits & HALF).unwrap_or(0)) / HALF_DRAW_VALUES;
     (uniform(bits) + uniform(bits >> 32) - 1.0) * 6.0_f64.sqrt()
 }
 
-fn lightest<'a>(room: &[&'a Candidate], draw: u64) -> Option<&'a Candidate> {
+fn least_loaded<'a>(with_room: &[&'a Candidate], draw: u64) -> Option<&'a Candidate> {
     let lighter = |a: &&&Candidate, b: &&&Candidate| {
         let key = |one: &Candidate| hash::score(draw, one.endpoint);
-        a.relative(draw)
-            .total_cmp(&b.relative(draw))
+        a.relative_load(draw)
+            .total_cmp(&b.relative_load(draw))
             .then_with(|| key(a).cmp(&key(b)))
     };
-    room.iter().min_by(lighter).copied()
+    with_room.iter().min_by(lighter).copied()
 }
 
 #[cfg(test)]
--- a/crates/direct/src/place/tests.rs
+++ b/crates/direct/src/place/tests.rs
@@ -3,13 +3,13 @@
 use super::{Affinity, Candidate, Choice, Exclusion, Pick, Unavailable};
 use crate::dialect::Part;
 
-/// The greatest load as a multiple of the mean.
+/// The maximum load as a multiple of the mean.
 const ALLOWED: f64 = 2.0;
 
 fn pick(candidates: &[Candidate], part: Option<u64>, draw: u64) -> Pick {
     let part = part.map(|id| Part { id, tokens: 2_000 });
-    let prefix = part.map(|part| Affinity::new(part, 2_000.0, 0.0, 1.0));
-    super::pick(candidates, Unavailable::default(), prefix, ALLOWED, draw)
+    let affinity = part.map(|part| Affinity::new(part, 2_000.0, 0.0, 1.0));
+    super::pick(candidates, Unavailable::default(), affinity, ALLOWED, draw)
 }
 
 fn load_bound(candidates: &[Candidate], cost: f64) -> f64 {
@@ -46,7 +46,7 @@
     }
 }
 
-fn lightest(endpoint: u64) -> Pick {
+fn sent_to_least_loaded(endpoint: u64) -> Pick {
     Pick::Send {
         endpoint,
         choice: Choice::Lightest,
@@ -54,17 +54,17 @@
 }
 
 #[test]
-fn a_part_has_one_home_whatever_the_order_of_the_list() {
+fn home_does_not_depend_on_the_order_of_candidates() {
     let mut candidates = loads(&[1.0, 2.0, 0.0, 1.0]);
     let first = home(&candidates, 77);
     candidates.reverse();
     assert_eq!(home(&candidates, 77), first);
 }
 
-/// One prompt is suddenly asked for by a fifth of all callers. Its home must
-/// not take them all while the other engines idle.
+/// Guards against one endpoint taking all requests for a prompt that a fifth of all
+/// callers suddenly ask for, while the other engines idle.
 #[test]
-fn a_hot_part_spills_within_the_bound() {
+fn part_in_demand_spills_within_the_bound() {
     let mut candidates = loads(&[0.0; 9]);
     for _ in 0..90 {
         let endpoint = home(&candidates, 5);
@@ -77,23 +77,27 @@
 }
 
 #[test]
-fn a_request_without_parts_goes_to_the_lightest() {
-    assert_eq!(pick(&loads(&[3.0, 1.0, 2.0]), None, 9), lightest(2));
+fn request_without_parts_goes_to_the_least_loaded() {
+    assert_eq!(
+        pick(&loads(&[3.0, 1.0, 2.0]), None, 9),
+        sent_to_least_loaded(2)
+    );
 }
 
 #[test]
-fn the_own_zone_is_preferred_until_it_is_busier() {
+fn own_zone_is_preferred_until_it_is_busier() {
     let mut candidates = loads(&[0.0, 1.0]);
     candidates[0].same_zone = false;
-    assert_eq!(pick(&candidates, None, 1), lightest(2));
+    assert_eq!(pick(&candidates, None, 1), sent_to_least_loaded(2));
     candidates[1].load = 3.0;
-    assert_eq!(pick(&candidates, None, 1), lightest(1));
+    assert_eq!(pick(&candidates, None, 1), sent_to_least_loaded(1));
 }
 
-/// Hundreds of instances were told that the first endpoint has one request less than
-/// the others, a second ago. All sent theirs there, and it held four times the mean.
+/// Guards against herding. Hundreds of instances learned, a second late, that the first
+/// endpoint had one request less than the others. All sent their requests there, and it
+/// held four times the mean.
 #[test]
-fn the_one_that_looks_lightest_does_not_get_all() {
+fn uncertain_loads_spread_requests() {
     let mut candidates = loads(&[2.0, 2.5, 3.0, 3.0]);
     for one in &mut candidates {
         one.load_stddev = 1.6;
@@ -106,58 +110,58 @@
     }
     assert!(taken[0] > taken[1] && taken[1] > taken[2], "{taken:?}");
     assert!(taken[0] < 500 && taken[3] > 100, "{taken:?}");
-    // Where it is known for sure, it gets them.
+    // With an exact load, it gets all requests.
     for one in &mut candidates {
         one.load_stddev = 0.0;
     }
-    assert!((0..100).all(|draw| pick(&candidates, None, draw) == lightest(1)));
+    assert!((0..100).all(|draw| pick(&candidates, None, draw) == sent_to_least_loaded(1)));
 }
 
 #[test]
-fn an_endpoint_that_has_failed_the_request_is_not_tried_again() {
+fn tried_endpoint_is_not_tried_again() {
     let mut candidates = loads(&[0.0, 5.0]);
     candidates[0].exclusion = Some(Exclusion::Tried);
-    assert_eq!(pick(&candidates, None, 1), lightest(2));
+    assert_eq!(pick(&candidates, None, 1), sent_to_least_loaded(2));
     candidates[1].exclusion = Some(Exclusion::Tried);
     assert_eq!(pick(&candidates, None, 1), Pick::None);
 }
 
 #[test]
-fn full_endpoints_are_said_to_be_full() {
+fn all_endpoints_full_is_reported() {
     assert_eq!(pick(&loads(&[48.0, 50.0]), None, 1), Pick::Full);
     assert_eq!(pick(&loads(&[48.0, 50.0]), Some(3), 1), Pick::Full);
 }
 
-/// A broken switch made every endpoint look down for a second. An instance
-/// that then refuses all would stay out after the switch is well.
+/// Guards against an instance that stays unusable after a network fault made every
+/// endpoint look down for a second.
 #[test]
-fn with_all_endpoints_held_down_one_is_tried_all_the_same() {
+fn one_endpoint_is_tried_if_all_are_marked_down() {
     let mut candidates = loads(&[0.0, 0.0]);
     candidates[0].access = Access::None;
-    assert_eq!(pick(&candidates, None, 1), lightest(2));
+    assert_eq!(pick(&candidates, None, 1), sent_to_least_loaded(2));
     candidates[1].access = Access::None;
     assert!(matches!(pick(&candidates, None, 1), Pick::Send { .. }));
 }
 
-/// In a fleet of eighty an instance knows the load of few engines. With the
-/// bound of a small fleet, a thirtieth of all requests met an engine above
-/// twice the mean.
+/// Guards against overload by unknown loads. In a fleet of eighty, an instance knows the
+/// load of few engines; with the bound of a small fleet, a thirtieth of all requests met
+/// an engine above twice the mean.
 #[test]
-fn the_less_is_known_the_sooner_a_part_spills() {
+fn bound_is_lower_with_unknown_loads() {
     let mut candidates = loads(&[4.0; 4]);
-    let sighted = load_bound(&candidates, 0.5);
+    let known = load_bound(&candidates, 0.5);
     for one in &mut candidates {
         one.known_fraction = 0.0;
     }
-    let blind = load_bound(&candidates, 0.5);
-    assert!(blind < sighted && blind > 4.0 + 1.0, "{blind} {sighted}");
+    let unknown = load_bound(&candidates, 0.5);
+    assert!(unknown < known && unknown > 4.0 + 1.0, "{unknown} {known}");
 }
 
-/// An instance has just started and heard of one endpoint, which the whole fleet
-/// overwhelms with a prompt in sudden demand. It knows nothing of the others,
-/// takes them to be alike, and must not refuse everything for it.
+/// Guards against refusing everything after a start. The instance knows only one
+/// endpoint's load, which a prompt in sudden demand has overloaded, and assumes the same
+/// of the others.
 #[test]
-fn endpoints_that_nothing_is_known_of_are_not_full() {
+fn endpoints_of_unknown_load_are_not_full() {
     let mut candidates = loads(&[500.0; 9]);
     for one in &mut candidates[1..] {
         one.observed_load = 0.0;
@@ -169,42 +173,43 @@
     assert!(matches!(pick(&candidates, None, 7), Pick::Send { .. }));
 }
 
-/// The longest prompts are suddenly about one thing. Their home fills up between
-/// two reports of its load, though each caller's prompt is worth staying for.
-/// What is read once more elsewhere serves all that follow, so they spill as
-/// early as short ones.
+/// Guards against overload when the longest prompts are suddenly about one thing. Their
+/// home fills up between two load reports, though each prompt by itself is worth keeping
+/// there. One more read elsewhere serves all that follow, so they spill as early as short
+/// ones.
 #[test]
-fn a_part_in_demand_spills_sooner() {
+fn part_in_demand_spills_sooner() {
     let candidates = loads(&[9.0; 10]);
     let part = Part {
         id: 7,
         tokens: 10_000,
     };
     let limit = |demand: f64| {
-        let prefix = Affinity::new(part, 4_000.0, demand, 1.0);
-        load_bound(&candidates, prefix.cost)
+        let affinity = Affinity::new(part, 4_000.0, demand, 1.0);
+        load_bound(&candidates, affinity.cost)
     };
     let shortest = load_bound(&candidates, 0.0);
     assert!(limit(0.0) > limit(1.0) && limit(1.0) > limit(4.0));
     assert!(limit(9.0) < shortest + 1.0, "{} {shortest}", limit(9.0));
 }
 
-/// Eighty instances each see the second request for a part within half a second.
-/// Each by itself would go to the part's home, or all to the next one.
+/// Guards against eighty instances that all send a part in demand to its home, or all to
+/// the next endpoint. Each sees only its second request for the part within half a
+/// second.
 #[test]
-fn a_part_in_great_demand_is_spread_over_several() {
+fn part_in_great_demand_is_spread() {
     let candidates = loads(&[9.0; 40]);
     let part = Part {
         id: 7,
         tokens: 10_000,
     };
-    let taken = |lately: f64, others: f64| {
-        let prefix = Affinity::new(part, 4_000.0, lately, others);
+    let taken = |recent_requests: f64, fleet_factor: f64| {
+        let affinity = Affinity::new(part, 4_000.0, recent_requests, fleet_factor);
         let picks = (0..200).map(|draw| {
             super::pick(
                 &candidates,
                 Unavailable::default(),
-                Some(prefix),
+                Some(affinity),
                 ALLOWED,
                 draw,
             )
@@ -220,16 +225,17 @@
         taken.len()
     };
     assert_eq!(taken(0.0, 80.0), 1);
-    // Alone or among few, what is seen is what there is.
+    // Alone or in a small fleet, the observed demand is all there is.
     assert_eq!(taken(2.0, 1.0), 1);
     assert!((4..20).contains(&taken(0.6, 80.0)), "{}", taken(0.6, 80.0));
 }
 
-/// One instance lost packets on its way to an engine and held it to be down. All
-/// others went on using it, so it was never free of requests, and the instance
-/// never tried it again: half a minute later it still sent its prompts elsewhere.
+/// Guards against an endpoint that is never tried again. One instance lost packets on its
+/// path to an engine and marked it as down. All others kept using it, so it was never
+/// free of requests, and half a minute later the instance still sent its prompts
+/// elsewhere.
 #[test]
-fn an_endpoint_that_others_use_is_tried_again() {
+fn endpoint_in_use_by_others_is_tried_again() {
     let mut candidates = loads(&[8.0, 8.0, 8.0]);
     let part = 77;
     let home = home(&candidates, part);
@@ -243,16 +249,16 @@
         choice,
     };
     assert_eq!(pick(&candidates, Some(part), 0), sent(Choice::Home));
-    // One at a time: a second one waits for how the first comes out.
+    // One at a time: a second request waits for the result of the first.
     let at_home = candidates.iter_mut().find(|one| one.endpoint == home);
     at_home.expect("the home").own_requests = 1;
     assert_ne!(pick(&candidates, Some(part), 0), sent(Choice::Home));
 }
 
-/// The link to another availability zone loses packets, and every second stream
-/// over it is late. Prompts go to endpoints over other ways, each still to one.
+/// Guards against late streams over a link to another availability zone that loses
+/// packets. Prompts go to endpoints over other paths, each still to one endpoint.
 #[test]
-fn prompts_keep_off_a_way_that_holds_answers_up() {
+fn prompts_avoid_a_stalled_path() {
     let mut candidates = loads(&[4.0; 6]);
     for one in &mut candidates[..3] {
         one.path_clear = false;
@@ -262,7 +268,7 @@
         assert!(first > 3, "part {part} went to {first}");
         assert_eq!(home(&candidates, part), first);
     }
-    // With no way clear all are as good as before.
+    // With no path clear, all endpoints are used as before.
     for one in &mut candidates {
         one.path_clear = false;
     }
@@ -270,10 +276,10 @@
     assert!(homes.min() < Some(4));
 }
 
-/// Only one engine is over a way that is clear, and a third of all requests come
-/// from here. What it can't take within the bound goes over the other ways.
+/// Guards against overload of the only engine with a clear path, when a third of all
+/// requests come from this zone. What exceeds its bound goes over the other paths.
 #[test]
-fn endpoints_over_clear_ways_are_not_overloaded() {
+fn endpoints_over_clear_paths_are_not_overloaded() {
     let mut candidates = loads(&[4.0, 4.0, 4.0, 16.0]);
     for one in &mut candidates[..3] {
         one.path_clear = false;
@@ -283,47 +289,47 @@
     }
 }
 
-/// A look-up has the choice between an idle endpoint over a way that loses
-/// packets, at 200 ms for each resend, and a busy one over another.
+/// A short request has the choice between an idle endpoint over a path that loses
+/// packets, at 200 ms for each resend, and a busy one over another path.
 #[test]
-fn plain_requests_keep_off_it_too_while_that_is_shorter() {
+fn plain_requests_avoid_a_stalled_path_while_that_is_faster() {
     let mut candidates = loads(&[0.0, 8.0]);
     candidates[0].path_clear = false;
-    assert_eq!(pick(&candidates, None, 0), lightest(2));
+    assert_eq!(pick(&candidates, None, 0), sent_to_least_loaded(2));
     candidates[1].load = 40.0;
     candidates[1].observed_load = 40.0;
-    assert_eq!(pick(&candidates, None, 0), lightest(1));
+    assert_eq!(pick(&candidates, None, 0), sent_to_least_loaded(1));
 }
 
-/// Guards against a request that is sent to an endpoint which can't bear it while
-/// others are idle, or is refused there.
+/// Guards against a request that is sent to a warming endpoint which can't take it, or
+/// refused there, while others are idle.
 #[test]
-fn an_endpoint_whose_share_is_spent_is_passed_over() {
+fn endpoint_without_a_share_left_is_skipped() {
     let mut candidates = loads(&[1.0, 1.0, 1.0]);
     let own = home(&candidates, 77);
     let index = usize::try_from(own - 1).expect("a small id");
     candidates[index].exclusion = Some(Exclusion::NoShare);
     assert_ne!(home(&candidates, 77), own);
     candidates[index].load = 0.0;
-    assert_ne!(pick(&candidates, None, 3), lightest(own));
+    assert_ne!(pick(&candidates, None, 3), sent_to_least_loaded(own));
     for one in &mut candidates {
         one.exclusion = Some(Exclusion::NoShare);
     }
     assert_eq!(pick(&candidates, Some(77), 0), Pick::Wait);
 }
 
-/// Guards against a try of what is down for want of patience with what warms up.
+/// Guards against sending to an endpoint that is down because others are only warming up.
 #[test]
-fn an_endpoint_that_is_down_is_no_better_than_one_that_warms_up() {
+fn endpoint_that_is_down_is_not_preferred_to_a_warming_one() {
     let mut candidates = loads(&[1.0, 1.0]);
     candidates[0].exclusion = Some(Exclusion::NoShare);
     candidates[1].access = Access::None;
     assert_eq!(pick(&candidates, None, 0), Pick::Wait);
 }
 
-/// Guards against endpoints above the bound while a part of the service takes nothing.
+/// Guards against endpoints above the bound while a part of the service is unavailable.
 #[test]
-fn endpoints_that_nothing_may_go_to_count_for_the_mean() {
+fn unavailable_endpoints_count_towards_the_mean() {
     let candidates = loads(&[12.0; 45]);
     let idle = Unavailable {
         count: 15,
@@ -341,9 +347,9 @@
     assert!((even - alone).abs() < 1e-9, "{even} {alone}");
 }
 
-/// Guards against all instances leaving an endpoint for the next one at the same time.
+/// Guards against all instances moving from one endpoint to the next at the same time.
 #[test]
-fn endpoints_about_the_bound_are_left_by_and_by_where_others_take_nothing() {
+fn endpoints_near_the_bound_are_left_gradually_with_unavailable_ones() {
     let idle = Unavailable {
         count: 3,
         load: 0.0,
@@ -352,19 +358,19 @@
         id: 5,
         tokens: 2_000,
     };
-    let prefix = Affinity::new(part, 2_000.0, 0.0, 1.0);
+    let affinity = Affinity::new(part, 2_000.0, 0.0, 1.0);
     let mut candidates = loads(&[8.0; 9]);
     let first = home(&candidates, part.id);
     let of_first = candidates.iter().position(|one| one.endpoint == first);
     let of_first = of_first.expect("a candidate");
     candidates[of_first].load_stddev = 3.0;
-    // Its load counts for the mean, and so for the bound.
+    // Its load counts towards the mean, and so towards the bound.
     for _ in 0..50 {
-        let bound = super::load_bound(&candidates, idle, ALLOWED, prefix.cost);
+        let bound = super::load_bound(&candidates, idle, ALLOWED, affinity.cost);
         candidates[of_first].load = bound - 1.5;
     }
-    let staying = |rest: Unavailable| {
-        let pick = |draw| super::pick(&candidates, rest, Some(prefix), ALLOWED, draw);
+    let staying = |unavailable: Unavailable| {
+        let pick = |draw| super::pick(&candidates, unavailable, Some(affinity), ALLOWED, draw);
         let stays = |pick| matches!(pick, Pick::Send { endpoint, .. } if endpoint == first);
         (0..200).filter(|draw| stays(pick(*draw))).count()
     };
