--- a/crates/direct/src/board/tests.rs
+++ b/crates/direct/src/board/tests.rs
@@ -195,18 +195,18 @@
 #[test]
 fn holders_are_sent_once_and_cause_no_early_answer() {
     let mut replica = Replica::new(7);
-    let holder = |span| PrefixHolder {
-        span,
+    let holder = |prefix| PrefixHolder {
+        prefix,
         endpoint: 1,
         age: at(5),
     };
-    for span in 0..2 * MAX_HOLDERS as u64 {
-        replica.add_holder(holder(span), at(span));
+    for prefix in 0..2 * MAX_HOLDERS as u64 {
+        replica.add_holder(holder(prefix), at(prefix));
     }
     let now = at(2 * MAX_HOLDERS as u64);
     let update = replica.build_update(&FIRST_REQUEST, at(0), now);
     assert_eq!(update.holders.len(), MAX_HOLDERS_PER_MESSAGE);
-    assert_eq!(update.holders[0].span, 2 * MAX_HOLDERS as u64 - 1);
+    assert_eq!(update.holders[0].prefix, 2 * MAX_HOLDERS as u64 - 1);
     assert_eq!(update.holders[0].age, at(6));
     replica.add_holder(holder(1), now);
     let update = replica.build_update(&next_request(&update), at(0), now);
@@ -334,9 +334,9 @@
 fn holders_of_all_moved_prompts_are_sent() {
     let mut replica = Replica::new(7);
     let request = next_request(&replica.build_update(&FIRST_REQUEST, Duration::ZERO, at(0)));
-    for span in 0..500 {
+    for prefix in 0..500 {
         let holder = PrefixHolder {
-            span,
+            prefix,
             endpoint: 3,
             age: Duration::ZERO,
         };
--- a/crates/direct/src/budget.rs
+++ b/crates/direct/src/budget.rs
@@ -1,10 +1,10 @@
-//! How many repeats this instance may send to a service.
+//! Limits the retries that this instance may send to a service.
 //!
-//! All instances share one budget for each service: a part of its requests,
-//! and a fixed number beside, in any window. Instances don't tell each other
-//! what they spend. Each takes the part of its own requests, which adds up to
-//! the part of all, and a small allowance, of which a fleet of the size named
-//! in the settings has no more than the fixed number together.
+//! All instances share one budget for each service: a ratio of its requests plus a fixed
+//! number, in any window. Instances don't tell each other what they use. Each takes the
+//! ratio of its own requests, which adds up to the ratio of all, plus a small allowance;
+//! the allowances of a fleet of the configured size add up to no more than the fixed
+//! number.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -12,25 +12,25 @@
 use godwitpost_types::clock::{Moment, since};
 use godwitpost_types::id::ServiceId;
 
-/// Parts of a window in which requests are counted together.
-const PARTS: u32 = 10;
+/// The number of buckets per window in which requests are counted.
+const BUCKETS_PER_WINDOW: u32 = 10;
 
-/// The part of the budget that is spent: callers' requests and repeats of the
-/// same moment are counted in different windows by whoever checks.
-const SPENT: f64 = 0.8;
+/// The fraction of the ratio that is used. Whoever checks the budget may count a caller's
+/// request and a retry of the same moment in different windows.
+const USED_RATIO_FRACTION: f64 = 0.8;
 
-/// How much may be repeated.
+/// The limit of retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rate {
-    /// Repeats for each request of the window.
+    /// Retries per request within the window.
     pub ratio: f64,
-    /// Repeats of this instance in any window, whatever the requests.
+    /// Retries of this instance in any window, regardless of its requests.
     pub allowance: f64,
-    /// The window.
+    /// The length of the window.
     pub window: Duration,
 }
 
-/// The budgets of all services.
+/// The retry budgets of all services.
 #[derive(Debug)]
 pub struct Budget {
     rate: Rate,
@@ -39,44 +39,44 @@
 
 #[derive(Debug, Default)]
 struct Window {
-    parts: VecDeque<Part>,
+    buckets: VecDeque<Bucket>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Part {
-    begin: Moment,
+struct Bucket {
+    start: Moment,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
 impl Window {
-    fn part(&mut self, now: Moment, window: Duration) -> &mut Part {
+    fn bucket(&mut self, now: Moment, window: Duration) -> &mut Bucket {
         while self
-            .parts
+            .buckets
             .front()
-            .is_some_and(|part| since(now, part.begin) >= window)
+            .is_some_and(|bucket| since(now, bucket.start) >= window)
         {
-            self.parts.pop_front();
+            self.buckets.pop_front();
         }
         let current = self
-            .parts
+            .buckets
             .back()
-            .is_some_and(|part| since(now, part.begin) < window / PARTS);
+            .is_some_and(|bucket| since(now, bucket.start) < window / BUCKETS_PER_WINDOW);
         if !current {
-            self.parts.push_back(Part {
-                begin: now,
+            self.buckets.push_back(Bucket {
+                start: now,
                 requests: 0,
-                repeats: 0,
+                retries: 0,
             });
         }
-        self.parts
+        self.buckets
             .back_mut()
-            .expect("a part was pushed if there was none")
+            .expect("a bucket was pushed if there was none")
     }
 }
 
 impl Budget {
-    /// Returns budgets of which nothing is spent.
+    /// Returns unused budgets.
     #[must_use]
     pub const fn new(rate: Rate) -> Self {
         Self {
@@ -87,35 +87,37 @@
 
     /// Counts a caller's request for a service.
     pub fn record_request(&mut self, service: ServiceId, now: Moment) {
-        self.part(service, now).requests += 1;
+        self.bucket(service, now).requests += 1;
     }
 
-    /// Takes one repeat out of the service's budget; returns whether there
-    /// was one.
+    /// Takes one retry from the service's budget; returns false if none is left.
     pub fn try_take(&mut self, service: ServiceId, now: Moment) -> bool {
         let granted = self.remaining(service, now) >= 1.0;
         if granted {
-            self.part(service, now).repeats += 1;
+            self.bucket(service, now).retries += 1;
         }
         granted
     }
 
-    /// Returns how many repeats are left of the service's budget.
+    /// Returns the number of retries left in the service's budget.
     pub fn remaining(&mut self, service: ServiceId, now: Moment) -> f64 {
-        self.part(service, now);
+        self.bucket(service, now);
         let Rate {
             ratio, allowance, ..
         } = self.rate;
         let window = self.services.entry(service).or_default();
-        let requests: u32 = window.parts.iter().map(|part| part.requests).sum();
-        let repeats: u32 = window.parts.iter().map(|part| part.repeats).sum();
-        let most = f64::from(requests) * ratio * SPENT + allowance;
-        most - f64::from(repeats)
+        let requests: u32 = window.buckets.iter().map(|bucket| bucket.requests).sum();
+        let retries: u32 = window.buckets.iter().map(|bucket| bucket.retries).sum();
+        let max_retries = f64::from(requests) * ratio * USED_RATIO_FRACTION + allowance;
+        max_retries - f64::from(retries)
     }
 
-    fn part(&mut self, service: ServiceId, now: Moment) -> &mut Part {
+    fn bucket(&mut self, service: ServiceId, now: Moment) -> &mut Bucket {
         let window = self.rate.window;
-        self.services.entry(service).or_default().part(now, window)
+        self.services
+            .entry(service)
+            .or_default()
+            .bucket(now, window)
     }
 }
 
--- a/crates/direct/src/budget/tests.rs
+++ b/crates/direct/src/budget/tests.rs
@@ -12,10 +12,10 @@
     Duration::from_millis(millis)
 }
 
-/// All endpoints of a service fail at once, and each request asks for a
-/// second try. Unbounded, the fleet doubles the load of an outage.
+/// Guards against retries that double the load when all endpoints of a service fail at
+/// once.
 #[test]
-fn repeats_stay_a_part_of_the_requests() {
+fn retries_are_limited_to_a_ratio_of_requests() {
     let mut budget = Budget::new(RATE);
     let mut granted = 0;
     for n in 0..1_000 {
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_quiet_service_has_its_allowance_and_gets_it_back() {
+fn idle_service_regains_its_allowance() {
     let mut budget = Budget::new(RATE);
     let taken = (0..5).filter(|_| budget.try_take(1, at(0))).count();
     assert_eq!(taken, 3);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn services_have_budgets_of_their_own() {
+fn services_have_separate_budgets() {
     let mut budget = Budget::new(RATE);
     while budget.try_take(1, at(0)) {}
     assert!(budget.try_take(2, at(0)));
--- a/crates/direct/src/dialect.rs
+++ b/crates/direct/src/dialect.rs
@@ -1,7 +1,8 @@
-//! How requests and answers are spelled, as functions to be filled in.
+//! The header format of requests and responses, as functions that the user of this crate
+//! provides.
 //!
-//! The instance decides by what these say, and never looks at a header that
-//! belongs to the users' protocol itself.
+//! The instance decides by the fields that these functions read, and never reads a header
+//! of the users' protocol itself.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,41 +17,42 @@
 /// A part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Part {
-    /// Its id; the same for all requests that share it.
+    /// The part's id; the same for all requests that share it.
     pub id: u64,
-    /// Its length.
+    /// The part's length.
     pub tokens: u32,
 }
 
 /// The beginning of a prompt, up to the end of one of its parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Prefix {
-    /// Its id; the same for all prompts for one model that begin so.
+    /// The prefix's id; the same for all prompts of one model that start with it.
     pub id: SpanId,
-    /// Its length.
+    /// The prefix's length.
     pub tokens: u32,
 }
 
-/// What a request's head says.
+/// The fields of a caller's request head.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestFields {
     /// The id that the caller gave this attempt. Endpoints echo it.
     pub attempt_id: String,
-    /// How long the caller waits.
+    /// How long the caller waits for the response.
     pub timeout: Option<Duration>,
-    /// The key of its workspace.
+    /// The API key of the caller's workspace.
     pub key: Option<String>,
-    /// The model it asks for.
+    /// The requested model.
     pub model: Option<String>,
-    /// The parts of its prompt in order. The last is its own or its session's.
+    /// The parts of the prompt in order. The last one belongs to this request or session
+    /// only.
     pub prompt: Vec<Part>,
-    /// The last event that the caller has, if it asks for a stream's rest.
+    /// The last event that the caller received, if it resumes a stream.
     pub last_event_id: Option<u64>,
 }
 
 impl RequestFields {
-    /// Returns what its placement goes by: the last part that it shares with
-    /// others, with the length of all up to its end.
+    /// Returns the part that decides the placement: the id of the last part shared with
+    /// other requests, with the length of the prompt up to its end.
     #[must_use]
     pub fn affinity_part(&self) -> Option<Part> {
         let shared = self.shared_parts();
@@ -62,74 +64,74 @@
         })
     }
 
-    /// Returns the beginnings of its prompt that it shares with others, the
-    /// shortest first. An engine has use for a part only with all before it.
+    /// Returns the prefixes of the prompt that other requests share, the shortest first.
+    /// An engine can use a part only with all parts before it.
     #[must_use]
     pub fn prefixes(&self) -> Vec<Prefix> {
         let model = self.model.as_deref().map_or(id::NO_MODEL, id::of);
-        let mut last = Prefix {
+        let mut prefix = Prefix {
             id: model,
             tokens: 0,
         };
         let parts = self.shared_parts().iter();
         parts
             .map(|part| {
-                last = Prefix {
-                    id: hash::score(last.id, part.id),
-                    tokens: last.tokens.saturating_add(part.tokens),
+                prefix = Prefix {
+                    id: hash::score(prefix.id, part.id),
+                    tokens: prefix.tokens.saturating_add(part.tokens),
                 };
-                last
+                prefix
             })
             .collect()
     }
 
-    // All parts but its own, unless that is all there is.
+    // Returns all parts but the last one, unless that is the only one.
     fn shared_parts(&self) -> &[Part] {
-        let own = self.prompt.len().saturating_sub(1);
-        self.prompt.get(..own.max(1)).unwrap_or_default()
+        let shared = self.prompt.len().saturating_sub(1);
+        self.prompt.get(..shared.max(1)).unwrap_or_default()
     }
 }
 
-/// What is said to an endpoint beside the caller's own headers.
+/// The fields that are added to a request to an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct OutgoingFields<'a> {
     /// How long the caller still waits.
     pub remaining: Duration,
-    /// The name of the endpoint; another one at its address must not run it.
+    /// The name of the endpoint; another one at its address must not run the request.
     pub endpoint: &'a str,
-    /// The workspace, if one is known.
+    /// The workspace, if it is known.
     pub workspace: Option<&'a str>,
-    /// The urgency; 0 goes first.
+    /// The priority; 0 goes first.
     pub rank: u8,
-    /// The event to go on after, if a broken stream is asked for again.
+    /// The event after which to resume, if a broken stream is requested again.
     pub last_event_id: Option<u64>,
-    /// Where the endpoint may fetch what it doesn't hold of the prompt.
+    /// The endpoint that the missing parts of the prompt can be fetched from.
     pub source: Option<SocketAddr>,
 }
 
-/// What an endpoint's head says.
+/// The fields of an endpoint's response head.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResponseFields {
-    /// The id of the attempt that it answers.
+    /// The id of the attempt that it responds to.
     pub attempt_id: Option<String>,
-    /// Whether it bears the endpoint's signature, without which it is not the
-    /// endpoint's own.
+    /// Whether it bears the endpoint's signature. Without one, it doesn't come from the
+    /// endpoint.
     pub signed: bool,
-    /// Whether it says that the request has not run and never will.
+    /// Whether it states that the request has not run and never will.
     pub not_run: bool,
-    /// Whether its body is coded, which no endpoint does.
+    /// Whether its body has a content encoding, which no endpoint uses.
     pub content_encoded: bool,
-    /// What it says of the endpoint's load.
+    /// The endpoint's load.
     pub report: Option<Report>,
-    /// Whether the endpoint may get new work, if the answer says so.
+    /// Whether the endpoint accepts new work, if the response says so.
     pub standing: Option<Standing>,
-    /// For how long it asks this instance to send the endpoint nothing more.
+    /// How long this instance should send nothing to the endpoint.
     pub retry_after: Option<Duration>,
 }
 
 impl ResponseFields {
-    /// Returns whether it is another attempt's than `id`, as a late one is in the place
-    /// of the next one on its connection.
+    /// Returns whether it responds to another attempt than `id`. A late response arrives
+    /// in place of the next one on its connection.
     #[must_use]
     pub fn is_for_other_attempt(&self, id: &str) -> bool {
         self.attempt_id
@@ -137,9 +139,9 @@
             .is_some_and(|echoed| echoed != id)
     }
 
-    /// Returns whether the endpoint that the attempt `id` was sent to wrote it: it echoes
-    /// the attempt, nothing on the way has coded its body, and the status doesn't say
-    /// that somebody else has the address.
+    /// Returns whether it was written by the endpoint that the attempt `id` was sent to:
+    /// it echoes the attempt id, no intermediary has encoded its body, and the status
+    /// doesn't say that another server has the address.
     #[must_use]
     pub fn is_from_endpoint(&self, status: StatusCode, id: &str) -> bool {
         let echoes = self.attempt_id.as_deref() == Some(id);
@@ -147,16 +149,16 @@
     }
 }
 
-/// The functions.
+/// The functions that read and write headers.
 #[derive(Clone, Copy, Debug)]
 pub struct Dialect {
-    /// Reads a request's head; `None` if something that must be there isn't.
+    /// Reads a request's head; `None` if a required field is missing.
     pub read_request: fn(&HeaderMap) -> Option<RequestFields>,
     /// Rewrites a caller's headers into those for an endpoint.
     pub write_request: fn(&mut HeaderMap, &OutgoingFields<'_>),
-    /// Reads an answer's head.
+    /// Reads a response's head.
     pub read_response: fn(StatusCode, &HeaderMap) -> ResponseFields,
-    /// Spells when to send a refused request again.
+    /// Formats the `Retry-After` value of a refusal.
     pub format_retry_after: fn(Duration) -> String,
 }
 
--- a/crates/direct/src/dialect/tests.rs
+++ b/crates/direct/src/dialect/tests.rs
@@ -10,10 +10,11 @@
     }
 }
 
-/// Guards against words that are held against an endpoint which didn't say them: late ones
-/// of another attempt, and those of whoever has its address or rewrites answers on the way.
+/// Guards against blaming an endpoint for a response that isn't its own: a late one of
+/// another attempt, or one of a server that took over its address or rewrites responses
+/// on the way.
 #[test]
-fn an_answer_is_the_endpoints_own_only_if_it_is_this_attempts() {
+fn response_is_the_endpoints_own_only_for_this_attempt() {
     let is_from_endpoint = |answer: &ResponseFields, status| answer.is_from_endpoint(status, "a1");
     let own = echoing(Some("a1"));
     assert!(is_from_endpoint(&own, StatusCode::OK));
@@ -29,7 +30,7 @@
 }
 
 #[test]
-fn a_refusal_needs_no_signature_to_be_the_endpoints_own() {
+fn unsigned_refusal_is_the_endpoints_own() {
     let unsigned = ResponseFields {
         signed: false,
         not_run: true,
--- a/crates/direct/src/fetch.rs
+++ b/crates/direct/src/fetch.rs
@@ -1,13 +1,13 @@
-//! Where an endpoint fetches what it lacks of a request's prompt.
+//! Selects the endpoint from which another one fetches missing parts of a prompt.
 //!
-//! Shared prompts are read again wherever a request goes for the first time:
-//! when its home is above the load bound, when endpoints join, leave or crash,
-//! and when a part in demand is spread. Reading takes an engine some 16 ms for
-//! 1,000 tokens, in which all its other streams wait; fetching the same from an
-//! endpoint that holds them takes a tenth of that.
+//! Shared prompts are read again wherever a request goes for the first time: when its
+//! home is above the load bound, when endpoints join, leave or crash, and when a part in
+//! demand is spread. Reading 1,000 tokens takes an engine about 16 ms, in which all its
+//! other streams wait; fetching them from an endpoint that holds them takes a tenth of
+//! that.
 //!
-//! A source is a hint. If it holds nothing, is dark or gone, the endpoint reads
-//! the prompt as without one.
+//! A source is a hint. If it is down or no longer holds the prompt, the endpoint reads
+//! the prompt as without a source.
 
 use godwitpost_types::clock::Moment;
 use godwitpost_types::hash;
@@ -16,68 +16,67 @@
 use crate::dialect::Prefix;
 use crate::holders::Directory;
 
-/// What a prompt shares with others.
+/// The shared part of a request's prompt.
 #[derive(Clone, Copy, Debug)]
 pub struct Prompt<'a> {
     /// The part by which endpoints are ranked for it.
     pub part: u64,
-    /// Its beginnings, the shortest first.
+    /// Its prefixes, the shortest first.
     pub prefixes: &'a [Prefix],
 }
 
-/// Endpoints that may be asked.
+/// Endpoints that may be a source.
 #[derive(Clone, Copy, Debug)]
 pub struct SourceCandidates<'a> {
     /// All of them.
     pub all: &'a [EndpointId],
-    /// Those that have been there for a while. Nobody else can hold what it wasn't
-    /// seen to hold: an endpoint that is warming up is the first of many prompts'
-    /// ranking and gets few of them.
+    /// Those that have finished warming up. Only these can hold a prompt without being
+    /// known to: an endpoint that is warming up ranks first for many prompts but gets few
+    /// of them.
     pub warm: &'a [EndpointId],
 }
 
-/// Where an endpoint fetches from.
+/// The selected source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Selection {
-    /// From nowhere: it is believed to hold the whole, and a source that is named all
-    /// the same delays the first event.
+    /// No source: the endpoint is believed to hold the whole prompt, and naming a source
+    /// anyway delays the first event.
     AlreadyHeld,
-    /// From this endpoint.
+    /// Fetch from this endpoint.
     From {
-        /// Its id.
+        /// The endpoint's id.
         endpoint: EndpointId,
-        /// Why it.
+        /// Why this endpoint was selected.
         basis: Basis,
     },
-    /// From nowhere: nobody else can be asked.
+    /// No source: there is no other endpoint.
     Nobody,
 }
 
-/// Why an endpoint is believed to hold what another one lacks.
+/// Why an endpoint is believed to hold the missing parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Basis {
-    /// It was seen to use this much of the prompt.
+    /// It is known to have used this much of the prompt.
     Known {
-        /// The tokens.
+        /// The length in tokens.
         tokens: u32,
     },
-    /// It is the first of the prompt's ranking beside the one that fetches.
+    /// It ranks first for the prompt among the other endpoints.
     Ranked,
 }
 
-/// Picks where `target` fetches a prompt from, among `others`. `draw` decides between
-/// equals.
+/// Selects the source from which `target` fetches a prompt. `draw` breaks ties.
 ///
-/// The ranking tells more than it seems to: whatever spilled comes from the
-/// first of it, and what a new endpoint is home to now had the second as its
-/// home until then. Where it can't help is a prompt that nobody has read yet:
-/// that goes to its home, and of its beginning a holder may be known.
+/// The ranking is a good predictor: a request that spilled comes from the first endpoint
+/// of the ranking, and the previous home of a prompt whose home is new ranks second. It
+/// doesn't help with a prompt that nobody has read yet. Such a prompt goes to its home,
+/// and a holder of its shorter prefix may be known.
 #[must_use]
 pub fn select_source(
     directory: &Directory,
     prompt: Prompt<'_>,
     target: EndpointId,
-    others: SourceCandidates<'_>,
+    candidates: SourceCandidates<'_>,
     draw: u64,
     now: Moment,
 ) -> Selection {
@@ -88,12 +87,16 @@
         return Selection::AlreadyHeld;
     }
     let rank = |endpoint: EndpointId| (hash::score(prompt.part, endpoint), endpoint);
-    let first = others.warm.iter().copied().max_by_key(|other| rank(*other));
-    let home = first.is_none_or(|first| rank(target) > rank(first));
-    let usable = |endpoint| others.all.contains(&endpoint);
+    let first_ranked = candidates
+        .warm
+        .iter()
+        .copied()
+        .max_by_key(|other| rank(*other));
+    let target_is_home = first_ranked.is_none_or(|first_ranked| rank(target) > rank(first_ranked));
+    let usable = |endpoint| candidates.all.contains(&endpoint);
     let known = directory
         .source(prompt.prefixes, usable, draw, now)
-        .filter(|source| home || source.tokens >= whole.tokens);
+        .filter(|source| target_is_home || source.tokens >= whole.tokens);
     if let Some(source) = known {
         let basis = Basis::Known {
             tokens: source.tokens,
@@ -103,14 +106,14 @@
             basis,
         };
     }
-    first.map_or(Selection::Nobody, |endpoint| Selection::From {
+    first_ranked.map_or(Selection::Nobody, |endpoint| Selection::From {
         endpoint,
         basis: Basis::Ranked,
     })
 }
 
 impl Selection {
-    /// Returns its name in logs and metrics.
+    /// Returns the selection's name in logs and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
--- a/crates/direct/src/fetch/tests.rs
+++ b/crates/direct/src/fetch/tests.rs
@@ -8,7 +8,7 @@
 
 const PART: u64 = 77;
 
-const SPANS: [Prefix; 2] = [
+const PREFIXES: [Prefix; 2] = [
     Prefix { id: 1, tokens: 500 },
     Prefix {
         id: 2,
@@ -18,14 +18,14 @@
 
 const PROMPT: Prompt<'static> = Prompt {
     part: PART,
-    prefixes: &SPANS,
+    prefixes: &PREFIXES,
 };
 
 const fn at(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-// Picks among endpoints that have all been there for a while.
+// Selects a source among endpoints that have all finished warming up.
 fn pick(
     directory: &Directory,
     prompt: Prompt<'_>,
@@ -41,7 +41,7 @@
     super::select_source(directory, prompt, target, others, draw, now)
 }
 
-// Endpoints in the prompt's ranking, the home first.
+// Returns the endpoints in the prompt's ranking, the home first.
 fn ranked() -> Vec<u64> {
     let mut ids: Vec<u64> = (1..=5).collect();
     ids.sort_by_key(|id| std::cmp::Reverse((hash::score(PART, *id), *id)));
@@ -56,10 +56,10 @@
     Selection::From { endpoint, basis }
 }
 
-/// An endpoint joins and is the home of a prompt from then on. Its callers would
-/// wait until 10,000 tokens are read, which the home until then holds.
+/// Guards against reading 10,000 tokens again when an endpoint joins and becomes the home
+/// of a prompt that the previous home holds.
 #[test]
-fn a_new_home_fetches_from_the_one_before() {
+fn new_home_fetches_from_the_previous_home() {
     let ranked = ranked();
     let picked = pick(
         &Directory::default(),
@@ -72,51 +72,51 @@
     assert_eq!(picked, from(ranked[1], Basis::Ranked));
 }
 
-/// A home is above the load bound, and its prompt goes to the next endpoint.
-/// Another instance's holder of the first part alone must not stand in for it.
+/// Guards against a source that holds only the first part, when a prompt spills because
+/// its home is above the load bound. Its home holds all of it.
 #[test]
-fn what_spills_fetches_from_its_home() {
+fn spilled_prompt_is_fetched_from_its_home() {
     let ranked = ranked();
     let mut directory = Directory::default();
-    directory.record_read(ranked[4], &SPANS[..1], at(0));
+    directory.record_read(ranked[4], &PREFIXES[..1], at(0));
     let others = without(ranked[2]);
     let picked = pick(&directory, PROMPT, ranked[2], &others, 9, at(10));
     assert_eq!(picked, from(ranked[0], Basis::Ranked));
 }
 
-/// A prompt is new to everybody, but it begins like many others. Its home reads
-/// the rest only.
+/// Guards against reading the first part of a new prompt again, where another endpoint
+/// holds it.
 #[test]
-fn a_new_prompt_fetches_its_first_part() {
+fn first_part_of_a_new_prompt_is_fetched() {
     let ranked = ranked();
     let mut directory = Directory::default();
-    directory.record_read(ranked[4], &SPANS[..1], at(0));
+    directory.record_read(ranked[4], &PREFIXES[..1], at(0));
     let others = without(ranked[0]);
     let picked = pick(&directory, PROMPT, ranked[0], &others, 9, at(10));
     assert_eq!(picked, from(ranked[4], Basis::Known { tokens: 500 }));
 }
 
-/// Each source that was named cost the first event 0.8 ms, also where nothing
-/// was lacking.
+/// Guards against naming a source where nothing is missing: each source delayed the first
+/// event by 0.8 ms.
 #[test]
-fn what_is_held_is_not_fetched() {
+fn held_prompt_is_not_fetched() {
     let ranked = ranked();
     let mut directory = Directory::default();
-    directory.record_read(ranked[0], &SPANS, at(0));
+    directory.record_read(ranked[0], &PREFIXES, at(0));
     let others = without(ranked[0]);
     let picked = |now| pick(&directory, PROMPT, ranked[0], &others, 9, now);
     assert_eq!(picked(at(10)), Selection::AlreadyHeld);
-    // An engine under load has filled its memory anew by then.
+    // An engine under load has replaced its memory by then.
     assert_eq!(picked(at(70_000)), from(ranked[1], Basis::Ranked));
 }
 
-/// The holder went dark, left, or has its address served by another. It is not
-/// among those that may be asked, whatever is remembered of it.
+/// Guards against naming a known holder that is down, has left, or whose address another
+/// endpoint has now.
 #[test]
-fn nobody_is_named_that_may_not_be_asked() {
+fn unusable_holder_is_not_selected() {
     let ranked = ranked();
     let mut directory = Directory::default();
-    directory.record_read(ranked[3], &SPANS, at(0));
+    directory.record_read(ranked[3], &PREFIXES, at(0));
     let others = [ranked[1], ranked[2]];
     let picked = pick(&directory, PROMPT, ranked[0], &others, 9, at(10));
     assert_eq!(picked, from(ranked[1], Basis::Ranked));
@@ -124,14 +124,14 @@
     assert_eq!(alone, Selection::Nobody);
 }
 
-/// Two instances each hold the other's endpoint to be the source. Whoever has
-/// the whole is not sent to fetch it, so no memory goes to and fro.
+/// Guards against two holders that fetch the same prompt from each other, because two
+/// instances each take the other's endpoint for the source.
 #[test]
-fn two_holders_do_not_fetch_from_each_other() {
+fn holders_do_not_fetch_from_each_other() {
     let ranked = ranked();
     let mut directory = Directory::default();
-    directory.record_read(ranked[0], &SPANS, at(0));
-    directory.record_read(ranked[1], &SPANS, at(0));
+    directory.record_read(ranked[0], &PREFIXES, at(0));
+    directory.record_read(ranked[1], &PREFIXES, at(0));
     for target in [ranked[0], ranked[1]] {
         let picked = pick(&directory, PROMPT, target, &without(target), 9, at(10));
         assert_eq!(picked, Selection::AlreadyHeld);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_prompt_without_parts_has_no_source() {
+fn prompt_without_parts_has_no_source() {
     let prompt = Prompt {
         part: PART,
         prefixes: &[],
@@ -148,10 +148,10 @@
     assert_eq!(picked, Selection::Nobody);
 }
 
-/// Guards against prompts that are read anew since an endpoint which has just started
-/// is asked for them: it is the first of their ranking and was sent few of them.
+/// Guards against prompts that are read again because an endpoint that has just started
+/// is named as the source. It ranks first, but was sent few of them.
 #[test]
-fn an_endpoint_that_warms_up_is_asked_for_what_it_was_seen_to_hold() {
+fn warming_endpoint_is_a_source_only_for_known_prefixes() {
     let ranked = ranked();
     let mut directory = Directory::default();
     let others = without(ranked[2]);
@@ -168,7 +168,7 @@
         super::select_source(directory, PROMPT, ranked[2], others, 9, at(10))
     };
     assert_eq!(picked(&directory), from(ranked[1], Basis::Ranked));
-    directory.record_read(ranked[0], &SPANS, at(0));
+    directory.record_read(ranked[0], &PREFIXES, at(0));
     assert_eq!(
         picked(&directory),
         from(ranked[0], Basis::Known { tokens: 10_500 })
--- a/crates/direct/src/holders.rs
+++ b/crates/direct/src/holders.rs
@@ -1,16 +1,15 @@
-//! Which endpoints hold the beginnings of prompts in their memory.
+//! Tracks which endpoints hold prompt prefixes in memory.
 //!
-//! An engine that has to read a shared beginning anew is busy with it for as
-//! long as with a hundred tokens of answers, although another one holds it; it
-//! can fetch it from that one in a tenth of the time. So each request names an
-//! endpoint that is believed to hold most of its beginning.
+//! Reading a shared prefix again keeps an engine as busy as a hundred tokens of output;
+//! fetching it from another engine takes a tenth of that time. So each request names an
+//! endpoint that is believed to hold most of its prefix.
 //!
-//! What is known comes from own requests that were answered, and from what
-//! other instances tell of theirs. It is a hint only: an endpoint may have
-//! dropped the beginning since, and then it is read as if nobody held it.
+//! Holders are learned from this instance's own requests and from other instances. They
+//! are hints only: an endpoint may have dropped a prefix since, and then it is read as if
+//! there were no holder.
 //!
-//! State is bounded: a few holders of each beginning suffice as sources, so no
-//! more are kept or told, and of the beginnings those asked for lately.
+//! State is bounded: a few holders of a prefix suffice as sources, so only those are
+//! retained and sent to others, and only recently used prefixes are retained.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -22,42 +21,43 @@
 
 use crate::dialect::Prefix;
 
-/// Holders that are kept of a beginning. One would do; the others are there
-/// when it leaves, and share the fetches of a beginning in sudden demand.
+/// The maximum number of holders retained for a prefix. One would do; the others replace
+/// it when it leaves, and share the fetches of a prefix in sudden demand.
 const MAX_HOLDERS_PER_PREFIX: usize = 4;
 
-/// Beginnings that are kept, about 250 bytes each. An instance of the largest
-/// fleet takes some fifty prompts a second, so these are those of minutes.
+/// The maximum number of prefixes retained, at about 250 bytes each. An instance of the
+/// largest fleet gets some fifty prompts a second, so this covers minutes.
 const MAX_PREFIXES: usize = 20_000;
 
-/// For how long an endpoint counts as a holder without having been seen to use
-/// the beginning again. Reading at full speed, an engine fills its memory anew
-/// within ten seconds; under an ordinary load it takes minutes.
+/// How long an endpoint counts as a holder after it last used the prefix. Reading at full
+/// speed, an engine replaces its memory within ten seconds; under an ordinary load that
+/// takes minutes.
 const HOLDER_LIFETIME: Duration = Duration::from_mins(1);
 
-/// How long after it was told a holder is told again, if it still is one.
+/// The minimum time before the same holder is sent to other instances again.
 const RESEND_INTERVAL: Duration = Duration::from_secs(20);
 
-/// Holdings that are told at once, about 20 bytes each.
+/// The maximum number of holders in one message, at about 20 bytes each.
 pub const MAX_HOLDERS_PER_MESSAGE: usize = 512;
 
-/// Holdings that wait to be told. Over that the oldest are left out: those who
-/// ask rank endpoints and find most holders by that.
+/// The maximum number of holders waiting to be sent. Beyond it the oldest are dropped:
+/// the receivers rank endpoints and find most holders by that.
 const MAX_UNSENT: usize = 2_048;
 
-/// An endpoint that holds a beginning, as one instance tells another.
+/// An endpoint that holds a prefix, as instances send it to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrefixHolder {
-    /// The beginning.
-    pub span: SpanId,
+    /// The prefix.
+    #[serde(rename = "span")]
+    pub prefix: SpanId,
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// How long ago it was last seen to use it.
+    /// The time since the endpoint was last seen to use the prefix.
     pub age: Duration,
 }
 
 impl PrefixHolder {
-    /// Returns what it is when so much time has passed.
+    /// Returns the holder as it is after `time` has passed.
     #[must_use]
     pub fn aged(self, time: Duration) -> Self {
         Self {
@@ -67,92 +67,92 @@
     }
 }
 
-/// Where a beginning can be fetched from.
+/// An endpoint that a prefix can be fetched from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Source {
-    /// The endpoint.
+    /// The endpoint's id.
     pub endpoint: EndpointId,
-    /// The tokens that it is believed to hold.
+    /// The length of the prefix that it is believed to hold.
     pub tokens: u32,
 }
 
-/// What is known of holders.
+/// The known holders of prefixes.
 #[derive(Debug, Default)]
 pub struct Directory {
-    spans: BTreeMap<SpanId, Vec<Holder>>,
-    // What is new here and not passed on yet.
+    prefixes: BTreeMap<SpanId, Vec<HolderEntry>>,
+    // Holders that have not been sent to other instances yet.
     unsent: Vec<(SpanId, EndpointId, Moment)>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Holder {
+struct HolderEntry {
     endpoint: EndpointId,
     used: Moment,
-    told: Moment,
+    sent_at: Moment,
 }
 
 impl Directory {
-    /// Takes in that an endpoint began to answer a request with these
-    /// beginnings, so that it holds them.
-    pub fn record_read(&mut self, endpoint: EndpointId, spans: &[Prefix], now: Moment) {
-        for span in spans {
-            if self.note(span.id, endpoint, now) {
-                self.tell(span.id, endpoint, now);
+    /// Records that an endpoint started to respond to a request with these prefixes and
+    /// therefore holds them.
+    pub fn record_read(&mut self, endpoint: EndpointId, prefixes: &[Prefix], now: Moment) {
+        for prefix in prefixes {
+            if self.record_holder(prefix.id, endpoint, now) {
+                self.queue_unsent(prefix.id, endpoint, now);
             }
         }
     }
 
-    /// Takes in what another instance told at `then`; returns whether it is
-    /// worth being passed on.
-    pub fn apply_remote(&mut self, holding: &PrefixHolder, then: Moment) -> bool {
-        let used = since(then, holding.age);
-        self.note(holding.span, holding.endpoint, used)
+    /// Applies a holder that another instance sent at `sent_at`; returns whether it
+    /// should be forwarded.
+    pub fn apply_remote(&mut self, holder: &PrefixHolder, sent_at: Moment) -> bool {
+        let used = since(sent_at, holder.age);
+        self.record_holder(holder.prefix, holder.endpoint, used)
     }
 
-    /// Takes in what another instance told, to be passed on with what is new
-    /// here.
-    pub fn apply_and_forward(&mut self, holding: &PrefixHolder, then: Moment) {
-        if self.apply_remote(holding, then) {
-            self.tell(holding.span, holding.endpoint, since(then, holding.age));
+    /// Applies a holder from another instance and queues it to be sent with the local
+    /// ones.
+    pub fn apply_and_forward(&mut self, holder: &PrefixHolder, sent_at: Moment) {
+        if self.apply_remote(holder, sent_at) {
+            self.queue_unsent(holder.prefix, holder.endpoint, since(sent_at, holder.age));
         }
     }
 
-    /// Returns what is new since this was last asked, a message's worth of it.
+    /// Returns the holders to send next, at most one message's worth.
     pub fn take_unsent(&mut self, now: Moment) -> Vec<PrefixHolder> {
         let count = self.unsent.len().min(MAX_HOLDERS_PER_MESSAGE);
         self.unsent
             .drain(..count)
-            .map(|(span, endpoint, used)| PrefixHolder {
-                span,
+            .map(|(prefix, endpoint, used)| PrefixHolder {
+                prefix,
                 endpoint,
                 age: since(now, used),
             })
             .collect()
     }
 
-    /// Returns whether an endpoint is believed to hold a beginning.
+    /// Returns whether an endpoint is believed to hold a prefix.
     #[must_use]
-    pub fn holds(&self, span: SpanId, endpoint: EndpointId, now: Moment) -> bool {
-        let holders = self.spans.get(&span).map_or(&[][..], Vec::as_slice);
+    pub fn holds(&self, prefix: SpanId, endpoint: EndpointId, now: Moment) -> bool {
+        let holders = self.prefixes.get(&prefix).map_or(&[][..], Vec::as_slice);
         holders
             .iter()
             .any(|one| one.endpoint == endpoint && since(now, one.used) < HOLDER_LIFETIME)
     }
 
-    /// Returns where to fetch the longest of these beginnings from, the
-    /// shortest of which comes first. `usable` says whether an endpoint may be
-    /// asked; `draw` decides among several.
+    /// Returns the source of the longest of these prefixes that has one; they are ordered
+    /// from the shortest. `usable` says whether an endpoint may be a source; `draw`
+    /// selects one of several.
     #[must_use]
     pub fn source(
         &self,
-        spans: &[Prefix],
+        prefixes: &[Prefix],
         usable: impl Fn(EndpointId) -> bool,
         draw: u64,
         now: Moment,
     ) -> Option<Source> {
-        spans.iter().rev().find_map(|span| {
-            self.spans
-                .get(&span.id)?
+        prefixes.iter().rev().find_map(|prefix| {
+            self.prefixes
+                .get(&prefix.id)?
                 .iter()
                 .filter(|holder| {
                     since(now, holder.used) < HOLDER_LIFETIME && usable(holder.endpoint)
@@ -160,73 +160,73 @@
                 .max_by_key(|holder| hash::score(draw, holder.endpoint))
                 .map(|holder| Source {
                     endpoint: holder.endpoint,
-                    tokens: span.tokens,
+                    tokens: prefix.tokens,
                 })
         })
     }
 
-    /// Returns how many beginnings have a known holder.
+    /// Returns the number of prefixes with a known holder.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.spans.len()
+        self.prefixes.len()
     }
 
     /// Returns whether no holder is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.spans.is_empty()
+        self.prefixes.is_empty()
     }
 
-    // Notes a holder; returns whether others are to be told of it.
-    fn note(&mut self, span: SpanId, endpoint: EndpointId, used: Moment) -> bool {
-        if !self.spans.contains_key(&span) {
-            self.shed();
+    // Records a holder; returns whether it should be sent to other instances.
+    fn record_holder(&mut self, prefix: SpanId, endpoint: EndpointId, used: Moment) -> bool {
+        if !self.prefixes.contains_key(&prefix) {
+            self.evict();
         }
-        let holders = self.spans.entry(span).or_default();
+        let holders = self.prefixes.entry(prefix).or_default();
         if let Some(holder) = holders.iter_mut().find(|one| one.endpoint == endpoint) {
             holder.used = holder.used.max(used);
-            let due = since(used, holder.told) >= RESEND_INTERVAL;
-            if due {
-                holder.told = used;
+            let resend = since(used, holder.sent_at) >= RESEND_INTERVAL;
+            if resend {
+                holder.sent_at = used;
             }
-            return due;
+            return resend;
         }
-        let holder = Holder {
+        let holder = HolderEntry {
             endpoint,
             used,
-            told: used,
+            sent_at: used,
         };
         if holders.len() < MAX_HOLDERS_PER_PREFIX {
             holders.push(holder);
             return true;
         }
-        // One that is gone, or has dropped it, is not used any more.
+        // A holder that has left or dropped the prefix is no longer used.
         let oldest = holders.iter_mut().min_by_key(|one| one.used);
-        let idle = oldest.filter(|one| since(used, one.used) >= RESEND_INTERVAL);
-        idle.is_some_and(|idle| {
-            *idle = holder;
+        let unused = oldest.filter(|one| since(used, one.used) >= RESEND_INTERVAL);
+        unused.is_some_and(|unused| {
+            *unused = holder;
             true
         })
     }
 
-    fn tell(&mut self, span: SpanId, endpoint: EndpointId, used: Moment) {
+    fn queue_unsent(&mut self, prefix: SpanId, endpoint: EndpointId, used: Moment) {
         if self.unsent.len() >= MAX_UNSENT {
             self.unsent.drain(..MAX_HOLDERS_PER_MESSAGE);
         }
-        self.unsent.push((span, endpoint, used));
+        self.unsent.push((prefix, endpoint, used));
     }
 
-    // Over its capacity the half goes that was not asked for longest. That
-    // takes time in proportion to its size, but only once in as many notes.
-    fn shed(&mut self) {
-        if self.spans.len() < MAX_PREFIXES {
+    // Over capacity, drops the half of the prefixes that was least recently used. This
+    // takes time proportional to the size, but happens only once in as many insertions.
+    fn evict(&mut self) {
+        if self.prefixes.len() < MAX_PREFIXES {
             return;
         }
-        let used = |holders: &Vec<Holder>| holders.iter().map(|one| one.used).max();
-        let mut times: Vec<Option<Moment>> = self.spans.values().map(used).collect();
-        let (_, middle, _) = times.select_nth_unstable(MAX_PREFIXES / 2);
-        let middle = *middle;
-        self.spans.retain(|_, holders| used(holders) > middle);
+        let used = |holders: &Vec<HolderEntry>| holders.iter().map(|one| one.used).max();
+        let mut last_used: Vec<Option<Moment>> = self.prefixes.values().map(used).collect();
+        let (_, median, _) = last_used.select_nth_unstable(MAX_PREFIXES / 2);
+        let median = *median;
+        self.prefixes.retain(|_, holders| used(holders) > median);
     }
 }
 
--- a/crates/direct/src/notices.rs
+++ b/crates/direct/src/notices.rs
@@ -1,14 +1,16 @@
-//! What endpoints say of themselves in their answers to this instance.
+//! Tracks what endpoints state about themselves in their responses to this instance.
 //!
-//! That is known at once, and also while the log is away, in which an endpoint can't
-//! write. Who is leaving doesn't come back in the same life, whatever the log still
-//! lists; what is heard here goes on to the roster, which remembers it for longer.
+//! These notices take effect at once, and also while the log is unavailable, when an
+//! endpoint can't write to it. An endpoint that announced that it is leaving doesn't
+//! return in the same incarnation, whatever the log still lists. The notice is passed on
+//! to the roster, which remembers it for longer.
 //!
-//! An endpoint that turns a request away may say for how long it wants none. It says so
-//! to this instance, and other instances are not told: that it has had enough of one is
-//! no word on the others. Afterwards it gets one request at a time until it has answered
-//! one, since all that waited would come back at once. One that names no time is left for
-//! a short one, which grows while it turns everything away.
+//! An endpoint that refuses a request may name a pause for which it wants no requests. It
+//! is not forwarded to other instances: an endpoint that is overloaded by one instance
+//! may accept requests of others. After the pause the endpoint gets one request at a time
+//! until it has responded to one, since all waiting requests would return at once. An
+//! endpoint that names no time is paused briefly, and for longer while it refuses
+//! everything.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,95 +20,97 @@
 
 use crate::roster::EndpointIncarnation;
 
-/// How long an endpoint counts as leaving here; the roster has taken it in by then.
-const KEPT: Duration = Duration::from_mins(1);
+/// How long an endpoint counts as leaving here; the roster has applied it by then.
+const NOTICE_LIFETIME: Duration = Duration::from_mins(1);
 
-/// The longest pause that is kept to. Whoever asks for more is asked again then, by one
-/// request.
-const LONGEST: Duration = Duration::from_mins(10);
+/// The maximum pause. An endpoint that asks for more gets a single request after that
+/// time.
+const MAX_PAUSE: Duration = Duration::from_mins(10);
 
-/// The pause after a refusal that names no time. Each further one without an answer in
+/// The pause after a refusal that names no time. Each further one without a response in
 /// between doubles it.
-const UNNAMED: Duration = Duration::from_millis(50);
+const MIN_DEFAULT_PAUSE: Duration = Duration::from_millis(50);
 
-/// How often it doubles, to less than two seconds.
-const DOUBLINGS: u32 = 5;
+/// The maximum number of doublings, up to a pause below two seconds.
+const MAX_PAUSE_DOUBLINGS: u32 = 5;
 
-/// What an endpoint may get by its own word.
+/// What an endpoint may be sent according to its own notices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Notice {
-    /// Nothing: it is leaving.
+    /// Nothing, because it is leaving.
     Leaving,
-    /// Nothing before this moment.
+    /// Nothing before the pause is over.
     Paused {
-        /// When its pause is over.
+        /// When the pause is over.
         until: Moment,
     },
-    /// One request at a time: its pause is over, and it has not answered since.
+    /// One request at a time: its pause is over, and it has not responded since.
     Resuming,
 }
 
-/// What endpoints said of themselves lately.
+/// The recent notices of endpoints.
 #[derive(Debug, Default)]
 pub struct Notices {
-    // When they last said that they are leaving.
+    // When they last announced that they are leaving.
     leaving: BTreeMap<EndpointId, Moment>,
-    // Until when they want no requests, or wanted none.
+    // When their pause ends or ended.
     pauses: BTreeMap<EndpointId, Moment>,
-    // Refusals in a row that named no time.
+    // The number of consecutive refusals that named no time.
     refusals: BTreeMap<EndpointId, u32>,
-    // Lives that the roster has not been told of.
-    untold: Vec<EndpointIncarnation>,
+    // Leaving incarnations that have not been passed on to the roster.
+    unpublished: Vec<EndpointIncarnation>,
 }
 
 impl Notices {
-    /// Takes in that an endpoint says that it is leaving; returns whether that is news.
+    /// Records that an endpoint announced that it is leaving; returns whether that is
+    /// new.
     pub fn record_leaving(
         &mut self,
         endpoint: EndpointId,
-        life: &EndpointIncarnation,
+        incarnation: &EndpointIncarnation,
         now: Moment,
     ) -> bool {
-        let news = self.leaving.insert(endpoint, now).is_none();
-        if news {
-            self.untold.push(life.clone());
+        let is_new = self.leaving.insert(endpoint, now).is_none();
+        if is_new {
+            self.unpublished.push(incarnation.clone());
         }
-        news
+        is_new
     }
 
-    /// Takes in that an endpoint wants no requests for a while. A shorter pause that it
-    /// asks for later doesn't end a longer one.
+    /// Records that an endpoint asked for a pause. A later request for a shorter one
+    /// doesn't end a longer one.
     pub fn record_pause(&mut self, endpoint: EndpointId, pause: Duration, now: Moment) {
-        let until = now + pause.min(LONGEST);
-        let known = self.pauses.entry(endpoint).or_default();
-        *known = until.max(*known);
+        let until = now + pause.min(MAX_PAUSE);
+        let current = self.pauses.entry(endpoint).or_default();
+        *current = until.max(*current);
     }
 
-    /// Takes in that an endpoint turned a request away and named no time; returns for how
-    /// long it gets nothing by that.
+    /// Records that an endpoint refused a request without naming a time; returns the
+    /// resulting pause.
     ///
-    /// One that turns everything away at once would look the emptier the more it was sent.
+    /// An endpoint that refuses everything at once would look emptier the more requests
+    /// it was sent.
     pub fn record_refusal(&mut self, endpoint: EndpointId, now: Moment) -> Duration {
         let refusals = self.refusals.entry(endpoint).or_default();
-        let pause = UNNAMED * 2_u32.pow(*refusals);
-        *refusals = (*refusals + 1).min(DOUBLINGS);
+        let pause = MIN_DEFAULT_PAUSE * 2_u32.pow(*refusals);
+        *refusals = (*refusals + 1).min(MAX_PAUSE_DOUBLINGS);
         self.record_pause(endpoint, pause, now);
         pause
     }
 
-    /// Takes in that an endpoint answered a request; returns whether it is used again by
-    /// that. What it was sent before its pause says nothing of it.
+    /// Records that an endpoint responded to a request; returns whether this resumes its
+    /// use. A response to a request that was sent before the pause doesn't end it.
     pub fn record_response(&mut self, endpoint: EndpointId, now: Moment) -> bool {
         self.refusals.remove(&endpoint);
-        let over = self.get(endpoint, now) == Some(Notice::Resuming);
-        if over {
+        let resumed = self.get(endpoint, now) == Some(Notice::Resuming);
+        if resumed {
             self.pauses.remove(&endpoint);
         }
-        over
+        resumed
     }
 
-    /// Returns what an endpoint may get by its own word, if that is not what it may get
-    /// anyway.
+    /// Returns what an endpoint may be sent according to its notices, or `None` if they
+    /// don't restrict it.
     #[must_use]
     pub fn get(&self, endpoint: EndpointId, now: Moment) -> Option<Notice> {
         if self.leaving.contains_key(&endpoint) {
@@ -120,21 +124,23 @@
         })
     }
 
-    /// Returns how many endpoints want no requests.
+    /// Returns the number of paused endpoints.
     #[must_use]
     pub fn paused_count(&self, now: Moment) -> usize {
         self.pauses.values().filter(|until| now < **until).count()
     }
 
-    /// Returns the lives that are leaving and that this was not yet asked for, and
-    /// forgets what was heard long ago.
+    /// Returns the leaving incarnations that were not returned before, and drops old
+    /// notices.
     pub fn take_leaving(&mut self, now: Moment) -> Vec<EndpointIncarnation> {
-        self.leaving.retain(|_, at| since(now, *at) < KEPT);
-        self.pauses.retain(|_, until| since(now, *until) < KEPT);
+        self.leaving
+            .retain(|_, at| since(now, *at) < NOTICE_LIFETIME);
+        self.pauses
+            .retain(|_, until| since(now, *until) < NOTICE_LIFETIME);
         let pauses = &self.pauses;
         self.refusals
             .retain(|endpoint, _| pauses.contains_key(endpoint));
-        std::mem::take(&mut self.untold)
+        std::mem::take(&mut self.unpublished)
     }
 }
 
--- a/crates/direct/src/notices/tests.rs
+++ b/crates/direct/src/notices/tests.rs
@@ -1,13 +1,13 @@
 use std::time::Duration;
 
-use super::{DOUBLINGS, LONGEST, Notice, Notices};
+use super::{MAX_PAUSE, MAX_PAUSE_DOUBLINGS, Notice, Notices};
 use crate::roster::EndpointIncarnation;
 
 const fn at(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
 }
 
-fn life() -> EndpointIncarnation {
+fn incarnation() -> EndpointIncarnation {
     EndpointIncarnation {
         name: "e1".to_owned(),
         incarnation: 7,
@@ -15,22 +15,22 @@
 }
 
 #[test]
-fn leaving_is_handed_on_once_and_holds() {
+fn leaving_is_passed_on_once_and_retained() {
     let mut notices = Notices::default();
     assert_eq!(notices.get(1, at(0)), None);
-    assert!(notices.record_leaving(1, &life(), at(1)));
-    assert!(!notices.record_leaving(1, &life(), at(2)));
-    assert_eq!(notices.take_leaving(at(2)), [life()]);
+    assert!(notices.record_leaving(1, &incarnation(), at(1)));
+    assert!(!notices.record_leaving(1, &incarnation(), at(2)));
+    assert_eq!(notices.take_leaving(at(2)), [incarnation()]);
     assert!(notices.take_leaving(at(3)).is_empty());
     assert_eq!(notices.get(1, at(3)), Some(Notice::Leaving));
     assert_eq!(notices.get(2, at(3)), None);
 }
 
 #[test]
-fn what_was_heard_long_ago_is_forgotten() {
+fn old_notices_are_dropped() {
     let mut notices = Notices::default();
-    notices.record_leaving(1, &life(), at(1));
-    notices.record_leaving(2, &life(), at(40));
+    notices.record_leaving(1, &incarnation(), at(1));
+    notices.record_leaving(2, &incarnation(), at(40));
     drop(notices.take_leaving(at(70)));
     assert_eq!(notices.get(1, at(70)), None);
     assert_eq!(notices.get(2, at(70)), Some(Notice::Leaving));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_pause_ends_with_the_first_answer_after_it() {
+fn pause_ends_with_the_first_response_after_it() {
     let mut notices = Notices::default();
     notices.record_pause(1, at(3), at(10));
     assert_eq!(notices.get(1, at(12)), Some(paused(13)));
@@ -51,19 +51,19 @@
     assert!(!notices.record_response(1, at(15)));
 }
 
-/// Guards against a pause that ends early by the answer to a request which was under way
-/// when it began.
+/// Guards against a pause that is ended early by the response to a request that was
+/// already in flight when the pause began.
 #[test]
-fn an_answer_within_a_pause_does_not_end_it() {
+fn response_within_a_pause_does_not_end_it() {
     let mut notices = Notices::default();
     notices.record_pause(1, at(3), at(10));
     assert!(!notices.record_response(1, at(11)));
     assert_eq!(notices.get(1, at(12)), Some(paused(13)));
 }
 
-/// Guards against a pause that a second refusal cuts short.
+/// Guards against a pause that a second refusal shortens.
 #[test]
-fn of_two_pauses_the_later_end_counts() {
+fn later_end_of_two_pauses_applies() {
     let mut notices = Notices::default();
     notices.record_pause(1, at(10), at(0));
     notices.record_pause(1, at(1), at(2));
@@ -73,23 +73,23 @@
 }
 
 #[test]
-fn who_refuses_again_after_a_pause_is_paused_again() {
+fn refusal_after_a_pause_starts_another() {
     let mut notices = Notices::default();
     notices.record_pause(1, at(3), at(10));
     notices.record_pause(1, at(3), at(14));
     assert_eq!(notices.get(1, at(16)), Some(paused(17)));
 }
 
-/// Guards against an endpoint that is left out for ever by one absurd figure.
+/// Guards against an endpoint that is never used again because of one absurd value.
 #[test]
-fn no_pause_is_longer_than_the_longest() {
+fn pause_is_limited() {
     let mut notices = Notices::default();
     notices.record_pause(1, Duration::MAX, at(1));
-    assert_eq!(notices.get(1, at(1) + LONGEST), Some(Notice::Resuming));
+    assert_eq!(notices.get(1, at(1) + MAX_PAUSE), Some(Notice::Resuming));
 }
 
 #[test]
-fn pauses_of_endpoints_that_get_nothing_any_more_are_forgotten() {
+fn old_pauses_are_dropped() {
     let mut notices = Notices::default();
     notices.record_pause(1, at(3), at(10));
     assert_eq!(notices.paused_count(at(12)), 1);
@@ -101,10 +101,10 @@
 }
 
 #[test]
-fn refusals_without_a_time_pause_for_longer_each_time() {
+fn repeated_refusals_without_a_time_lengthen_the_pause() {
     let mut notices = Notices::default();
     let mut last = Duration::ZERO;
-    for _ in 0..=DOUBLINGS {
+    for _ in 0..=MAX_PAUSE_DOUBLINGS {
         let pause = notices.record_refusal(1, at(10));
         assert!(pause > last);
         last = pause;
@@ -113,9 +113,9 @@
     assert!(last < at(2), "{last:?}");
 }
 
-/// Guards against an endpoint that is full now and then and is left for ever longer.
+/// Guards against ever longer pauses of an endpoint that is full now and then.
 #[test]
-fn an_answer_between_refusals_begins_anew() {
+fn response_between_refusals_resets_the_pause() {
     let mut notices = Notices::default();
     let first = notices.record_refusal(1, at(10));
     assert!(notices.record_refusal(1, at(11)) > first);
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_refusal_without_a_time_does_not_shorten_a_pause() {
+fn refusal_without_a_time_does_not_shorten_a_pause() {
     let mut notices = Notices::default();
     notices.record_pause(1, at(3), at(10));
     notices.record_refusal(1, at(11));
--- a/crates/direct/src/paths.rs
+++ b/crates/direct/src/paths.rs
@@ -1,13 +1,13 @@
-//! Which ways to other availability zones hold up what is sent over them.
+//! Detects network paths to other availability zones that stall responses.
 //!
-//! Links that lose packets show in streams: an event whose packet was lost comes
-//! with the next resend, 200 ms late, and all those behind it at the same moment.
-//! An engine that pauses goes on one event at a time. So a pause with a burst at
-//! its end is the way's, and of a way with several of them within a second the
-//! next streams are better kept off, if endpoints over other ways have room.
+//! Packet loss shows in streams: an event whose packet was lost arrives with the next
+//! resend, 200 ms late, and all events behind it at the same moment. An engine that
+//! pauses continues one event at a time. So a pause followed by a burst is caused by the
+//! path, and a path that stalls is better avoided for a while, if endpoints over other
+//! paths have room.
 //!
-//! Nothing is known of a way that isn't used. It is tried again after a while,
-//! and left for twice as long each time that it proves no better.
+//! Nothing is known about a path that isn't used. It is tried again after a while, and
+//! avoided for twice as long each time that it proves no better.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,17 +15,16 @@
 use godwitpost_types::clock::{Moment, since};
 use godwitpost_types::id::ZoneId;
 
-/// How long a way is left at first, and at the longest. One answer that was held
-/// up is enough: a sound link loses so few packets that a way is left for nothing
-/// once in minutes, while of a link that loses three in a hundred every second
-/// stream is late.
-const LEFT: Duration = Duration::from_secs(4);
-const LONGEST: Duration = Duration::from_secs(16);
+/// How long a path is avoided at first, and at most. One stalled response is enough: a
+/// healthy link loses so few packets that a path is avoided without need once in minutes,
+/// while on a link that loses three packets in a hundred every second stream is late.
+const MIN_AVOIDANCE: Duration = Duration::from_secs(4);
+const MAX_AVOIDANCE: Duration = Duration::from_secs(16);
 
-/// The time after which a way that held nothing up counts as any other.
-const FORGIVEN: Duration = Duration::from_secs(10);
+/// How long a path has to go without a stall for its next one to count as the first.
+const STALL_MEMORY: Duration = Duration::from_secs(10);
 
-/// What is known of the ways from this instance.
+/// The network paths from this instance, by zone.
 #[derive(Debug, Default)]
 pub struct Paths {
     paths: BTreeMap<ZoneId, Path>,
@@ -33,63 +32,66 @@
 
 #[derive(Debug, Default)]
 struct Path {
-    // Until when it is left, and for how long that was.
-    until: Moment,
-    time: Duration,
+    // When the path is used again, and for how long it was avoided.
+    avoided_until: Moment,
+    avoided_for: Duration,
 }
 
 impl Paths {
-    /// Takes in that an answer from an endpoint in `zone` was held up on its way;
-    /// returns whether the way is left from now on.
+    /// Records that a response from an endpoint in `zone` was stalled on its path;
+    /// returns whether the path is avoided from now on.
     pub fn record_stall(&mut self, zone: ZoneId, now: Moment) -> bool {
         let path = self.paths.entry(zone).or_default();
-        if now < path.until {
+        if now < path.avoided_until {
             return false;
         }
-        let again = path.time > Duration::ZERO && since(now, path.until) < FORGIVEN;
-        path.time = if again {
-            (path.time * 2).min(LONGEST)
+        let again =
+            path.avoided_for > Duration::ZERO && since(now, path.avoided_until) < STALL_MEMORY;
+        path.avoided_for = if again {
+            (path.avoided_for * 2).min(MAX_AVOIDANCE)
         } else {
-            LEFT
+            MIN_AVOIDANCE
         };
-        path.until = now + path.time;
+        path.avoided_until = now + path.avoided_for;
         true
     }
 
-    /// Returns whether the way to endpoints in `zone` is clear.
+    /// Returns whether the path to endpoints in `zone` is not avoided.
     #[must_use]
     pub fn is_clear(&self, zone: ZoneId, now: Moment) -> bool {
-        self.paths.get(&zone).is_none_or(|path| now >= path.until)
+        self.paths
+            .get(&zone)
+            .is_none_or(|path| now >= path.avoided_until)
     }
 }
 
-/// Finds out from when a stream's events come whether they were held up.
+/// Detects from the arrival times of a stream's events that they were stalled.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StallDetector {
-    // Events since the last pause, if they came at once.
+    // The number of events since the last pause, if they arrived in a burst.
     burst: u32,
 }
 
-/// The shortest pause that a resend makes: it comes 200 ms after the packet that
-/// was lost, which followed the last event at once.
-const PAUSE: Duration = Duration::from_millis(150);
+/// The minimum pause caused by a resend: it arrives 200 ms after the lost packet, which
+/// followed the previous event immediately.
+const MIN_STALL_PAUSE: Duration = Duration::from_millis(150);
 
-/// Events that come at once when a way is through again, and how soon after each
-/// other. An engine makes one every 10 to 30 ms.
-const BURST: u32 = 3;
-const AT_ONCE: Duration = Duration::from_millis(4);
+/// The number of events in the burst after a stall, and the maximum interval between
+/// them. An engine produces one event every 10 to 30 ms.
+const STALL_BURST_EVENTS: u32 = 3;
+const MAX_BURST_INTERVAL: Duration = Duration::from_millis(4);
 
 impl StallDetector {
-    /// Takes in an event that came so long after the one before; returns whether
-    /// it shows that they were held up.
-    pub fn observe_event(&mut self, after: Duration) -> bool {
+    /// Records an event that arrived `interval` after the previous one; returns whether
+    /// it shows that events were stalled.
+    pub fn observe_event(&mut self, interval: Duration) -> bool {
         self.burst = match self.burst {
-            _ if after >= PAUSE => 1,
+            _ if interval >= MIN_STALL_PAUSE => 1,
             0 => 0,
-            _ if after > AT_ONCE => 0,
+            _ if interval > MAX_BURST_INTERVAL => 0,
             burst => burst + 1,
         };
-        self.burst == BURST
+        self.burst == STALL_BURST_EVENTS
     }
 }
 
--- a/crates/direct/src/ramp/tests.rs
+++ b/crates/direct/src/ramp/tests.rs
@@ -12,15 +12,15 @@
     spacing: Duration::from_micros(62_500),
 };
 
-/// What the users allow within any second: 16 x 1.5 + 5.
+/// The maximum that the users allow within any second: 16 x 1.5 + 5.
 const ALLOWED: usize = 29;
 
-/// Requests a second at an endpoint that everybody wants.
+/// Requests a second to an endpoint in demand.
 const DEMAND: u32 = 200;
 
-// Sends whatever the shares allow to one endpoint that everybody wants for ten
-// seconds; returns the most that it got within any one.
-fn most(seed: u64, instances: u32, counted: Option<u32>) -> usize {
+// Sends what the shares allow to one endpoint in demand for ten seconds; returns the
+// maximum that it got within any second.
+fn max_per_second(seed: u64, instances: u32, counted: Option<u32>) -> usize {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let endpoint = rng.random();
     let mut shares: Vec<Shares> = (0..instances).map(|_| Shares::new(rng.random())).collect();
@@ -39,50 +39,49 @@
     sent.iter().map(within).max().unwrap_or(0)
 }
 
-/// Guards against an endpoint that ends as often as it starts, since everybody
-/// sends what was asked of it while it was away.
+/// Guards against an endpoint that crashes each time it starts, because all instances
+/// send the requests that piled up while it was down.
 #[test]
-fn an_endpoint_in_demand_gets_no_more_than_it_bears() {
+fn endpoint_in_demand_is_not_overloaded() {
     for instances in [1, 3, 9, 82, 300] {
         for seed in 0..2_000 {
-            let most = most(seed, instances, Some(instances));
-            assert!(most <= ALLOWED, "{most} of {instances}, seed {seed}");
+            let max = max_per_second(seed, instances, Some(instances));
+            assert!(max <= ALLOWED, "{max} of {instances}, seed {seed}");
         }
     }
 }
 
-/// Shows that the schedule breaks without shares, and with a count that is wrong by
-/// much.
+/// Shows that the limit is exceeded without shares, and with a count that is far too low.
 #[test]
-fn without_a_count_the_schedule_is_broken() {
-    assert!(most(1, 300, Some(1)) > ALLOWED);
-    assert!((0..200).any(|seed| most(seed, 82, Some(20)) > ALLOWED));
+fn limit_is_exceeded_with_a_wrong_count() {
+    assert!(max_per_second(1, 300, Some(1)) > ALLOWED);
+    assert!((0..200).any(|seed| max_per_second(seed, 82, Some(20)) > ALLOWED));
 }
 
 /// Guards against endpoints that get nothing while they are warming up.
 #[test]
-fn an_endpoint_in_demand_gets_a_part_of_what_it_bears() {
+fn endpoint_in_demand_gets_part_of_the_limit() {
     for instances in [1, 9, 82, 300] {
         let sent: usize = (0..50)
-            .map(|seed| most(seed, instances, Some(instances)))
+            .map(|seed| max_per_second(seed, instances, Some(instances)))
             .sum();
         assert!(sent / 50 >= 6, "{} of {instances}", sent / 50);
     }
 }
 
-/// Guards against a burst after all instances started at once, when nobody has
-/// counted them yet.
+/// Guards against a burst after all instances started at once, before any of them has
+/// counted the others.
 #[test]
-fn an_uncounted_fleet_is_taken_to_be_large() {
+fn uncounted_fleet_is_assumed_to_be_large() {
     for seed in 0..200 {
-        assert!(most(seed, 300, None) <= ALLOWED, "seed {seed}");
+        assert!(max_per_second(seed, 300, None) <= ALLOWED, "seed {seed}");
     }
 }
 
-/// Guards against too large shares for as long as a seed that has just started
-/// has heard of few.
+/// Guards against shares that are too large while a seed that has just started knows few
+/// instances.
 #[test]
-fn fewer_instances_are_believed_late() {
+fn lower_count_is_applied_late() {
     let at = Duration::from_secs;
     let mut count = InstanceCount::default();
     assert_eq!(count.get(at(5)), None);
--- a/crates/direct/src/refusal.rs
+++ b/crates/direct/src/refusal.rs
@@ -1,8 +1,8 @@
-//! Answers of the instance's own, in place of an endpoint's.
+//! Refusals: responses of the instance itself in place of an endpoint's.
 //!
-//! The status says what the caller may rely on: 408, 421, 429 and 503 promise
-//! that the request has not run and never will, so they are used for nothing
-//! else. 502 and 504 promise nothing.
+//! The status says what the caller may rely on: 408, 421, 429 and 503 promise that the
+//! request has not run and never will, so they are used for nothing else. 502 and 504
+//! promise nothing.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use godwitpost_types::outcome::Outcome;
 use http::StatusCode;
 
-/// Why a request gets no answer of an endpoint.
+/// Why a request gets no response of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum Reason {
     /// the request's head is not well-formed; send it as the protocol says
@@ -53,41 +53,39 @@
     Broken,
     /// all endpoints that may run the request want none for now; send it again later
     Paused {
-        /// How long that lasts, or what the caller can spare of its time.
+        /// The remaining pause, limited by the time that the caller has left.
         left: Duration,
     },
     /// endpoints ended each time that they ran this request; send it later
     Held {
-        /// How long it is held back.
+        /// How long the request is still held back.
         left: Duration,
     },
 }
 
-/// The wait before a request that no endpoint took is sent again. Another
-/// instance may know better at once; half of the jitter spreads the return.
+/// The retry delay of a request that no endpoint accepted. Another instance may be able
+/// to route it already; half of the jitter spreads the retries.
 ///
-/// It is also that of an instance that has just started or lost touch with its
-/// configuration: such a one is informed soon after it listens, and callers of an
-/// order have no time to spare.
-const SOON: Duration = Duration::from_millis(150);
+/// It also applies at an instance that has just started or lost its configuration: it is
+/// informed soon after it listens, and callers of an order have no time to spare.
+const SHORT_RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// What a wait is multiplied by, drawn anew for each caller: those that were
-/// refused together must not come back together.
-const JITTER: Range<f64> = 0.7..1.3;
+/// The random factor of the delay, drawn for each caller, so that callers refused
+/// together don't retry together.
+const RETRY_JITTER: Range<f64> = 0.7..1.3;
 
-/// Likewise where it is known until when sending it again is in vain.
-const NOT_BEFORE: Range<f64> = 1.0..1.3;
+/// The factor where it is known that a retry before the delay has passed is in vain.
+const RETRY_JITTER_NOT_EARLIER: Range<f64> = 1.0..1.3;
 
-/// The wait that is asked of callers while endpoints are full: a plain request
-/// takes 15 ms, so a queue of a few times the slots is gone by then.
-const LATER: Duration = Duration::from_millis(400);
+/// The retry delay while endpoints are full: a plain request takes 15 ms, so a queue of a
+/// few times the slots is empty by then.
+const FULL_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// The wait that is asked of callers while no zone may be used, which lasts for
-/// seconds or hours.
-const AWAY: Duration = Duration::from_secs(1);
+/// The retry delay while no zone may be used, which lasts for seconds or hours.
+const NO_ZONE_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 impl Reason {
-    /// Returns the status of the answer.
+    /// Returns the status of the response.
     #[must_use]
     pub const fn status(self) -> StatusCode {
         match self {
@@ -115,7 +113,7 @@
         }
     }
 
-    /// Returns what the caller may conclude.
+    /// Returns what the caller may conclude about the request.
     #[must_use]
     pub const fn outcome(self) -> Outcome {
         match self {
@@ -124,7 +122,7 @@
         }
     }
 
-    /// Returns when sending again may help, before jitter.
+    /// Returns the retry delay before jitter, if a retry may help.
     #[must_use]
     pub fn retry_after(self) -> Option<Duration> {
         match self {
@@ -132,25 +130,25 @@
             | Self::Unconfirmed
             | Self::NoEndpoint
             | Self::Unreachable
-            | Self::Expired => Some(SOON),
-            Self::Full | Self::Refused | Self::Overloaded | Self::Warming => Some(LATER),
-            Self::Evacuated | Self::NoHome => Some(AWAY),
+            | Self::Expired => Some(SHORT_RETRY_DELAY),
+            Self::Full | Self::Refused | Self::Overloaded | Self::Warming => Some(FULL_RETRY_DELAY),
+            Self::Evacuated | Self::NoHome => Some(NO_ZONE_RETRY_DELAY),
             Self::Held { left } => Some(left),
-            Self::Paused { left } => Some(left.max(SOON)),
+            Self::Paused { left } => Some(left.max(SHORT_RETRY_DELAY)),
             _ => None,
         }
     }
 
-    /// Returns what the wait is multiplied by, drawn anew for each caller.
+    /// Returns the range of the delay's random factor, drawn for each caller.
     #[must_use]
     pub const fn jitter(self) -> Range<f64> {
         match self {
-            Self::Held { .. } | Self::Paused { .. } => NOT_BEFORE,
-            _ => JITTER,
+            Self::Held { .. } | Self::Paused { .. } => RETRY_JITTER_NOT_EARLIER,
+            _ => RETRY_JITTER,
         }
     }
 
-    /// Returns its name in logs and metrics.
+    /// Returns the reason's name in logs and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
--- a/crates/direct/src/refusal/tests.rs
+++ b/crates/direct/src/refusal/tests.rs
@@ -29,35 +29,39 @@
     },
 ];
 
-/// A caller sends an order again after 503 because it promises that nothing
-/// ran. Said of an order whose fate is unknown, it would bill twice.
+/// Guards against a status that promises that nothing ran for a request of unknown
+/// outcome: the caller retries an order after 503, which would bill it twice.
 #[test]
-fn a_promise_is_made_only_of_what_has_not_run() {
+fn not_run_statuses_have_the_not_run_outcome() {
     for reason in ALL {
-        let promises = matches!(reason.status().as_u16(), 408 | 421 | 429 | 503);
-        assert!(!promises || reason.outcome() == Outcome::NotRun, "{reason}");
+        let claims_not_run = matches!(reason.status().as_u16(), 408 | 421 | 429 | 503);
+        assert!(
+            !claims_not_run || reason.outcome() == Outcome::NotRun,
+            "{reason}"
+        );
     }
 }
 
 #[test]
-fn whoever_may_come_back_is_told_when() {
+fn every_503_has_a_retry_delay() {
     for reason in ALL {
-        let comes_back = reason.status().as_u16() == 503;
-        assert_eq!(comes_back, reason.retry_after().is_some(), "{reason}");
+        let may_retry = reason.status().as_u16() == 503;
+        assert_eq!(may_retry, reason.retry_after().is_some(), "{reason}");
     }
 }
 
-/// All instances lost power and are back after a second. An order that met one
-/// of them before it had its configuration was to wait for 0.9 s, and 600 ms are
-/// all that its caller has: it came back with a third of that left, or never.
+/// Guards against delays that are too long for orders, whose callers wait 600 ms. After a
+/// power loss of all instances, a delay of 0.9 s at an instance without configuration
+/// left an order a third of that time, or none.
 #[test]
-fn orders_come_back_to_an_instance_that_starts_within_their_time() {
-    let patience = Duration::from_millis(600);
+fn retry_delay_of_a_starting_instance_fits_an_order() {
+    let order_timeout = Duration::from_millis(600);
     for reason in [Reason::Starting, Reason::Unconfirmed] {
-        let wait = reason.retry_after().expect("a time to come back");
-        let longest = wait.mul_f64(super::JITTER.end);
-        assert!(longest <= patience / 3, "{reason}: {longest:?}");
-        // Informed within 30 ms of its start, it must not be asked in vain.
-        assert!(wait.mul_f64(super::JITTER.start) >= Duration::from_millis(100));
+        let wait = reason.retry_after().expect("a retry delay");
+        let longest = wait.mul_f64(super::RETRY_JITTER.end);
+        assert!(longest <= order_timeout / 3, "{reason}: {longest:?}");
+        // An instance is informed within 30 ms of its start, so an earlier retry would be
+        // in vain.
+        assert!(wait.mul_f64(super::RETRY_JITTER.start) >= Duration::from_millis(100));
     }
 }
