--- a/crates/state/src/order.rs
+++ b/crates/state/src/order.rs
@@ -1,11 +1,11 @@
-//! Orders that bring endpoints to the state that the bundle wants.
+//! Orders that bring endpoints to the state that the bundle requires.
 //!
-//! [`Planner`] compares the models, replicas and weights of the bundle with
-//! the endpoints' own reports and returns the next orders. It runs for one
-//! pool at the holder of the pool's lease only, and remembers little: whatever
-//! is lost is seen again in the reports. An order declares a wanted state, so
-//! that an endpoint that ignores fencing numbers and obeyed a stale one is
-//! brought back by the next report.
+//! [`Planner`] compares the models, replicas and weights of the bundle with the
+//! endpoints' reports and returns the next orders. It plans for one pool, only at
+//! the holder of the pool's lease. It keeps little state, because the reports
+//! show the effect of orders that were lost. An order declares the desired
+//! state. If an endpoint ignores fencing numbers and executes a stale order, its
+//! next report leads to a corrective order.
 
 mod planner;
 
--- a/crates/state/src/order/planner.rs
+++ b/crates/state/src/order/planner.rs
@@ -1,4 +1,4 @@
-//! Plans the orders of one pool.
+//! Plans the orders for the endpoints of one pool.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,30 +9,32 @@
 use godwitpost_types::id::{EndpointId, Incarnation, ModelId, Offset, ServiceId};
 use godwitpost_types::policy::{Model, Policy};
 
-/// How long an order counts as under way before it is given again.
+/// How long an order counts as in flight before it may be sent again.
 ///
-/// A runner pulls weights for a minute or two at a store that limits rates.
+/// An endpoint needs a minute or two to fetch weights from a store that limits
+/// rates.
 pub const ORDER_TIMEOUT: Duration = Duration::from_mins(5);
 
 /// How long a new holder waits before its first order.
 ///
-/// An endpoint that ignores fencing numbers obeys whoever spoke last. A
-/// predecessor's last order left within its lease's margin, and this covers
-/// its way and the lag of the reports that show it.
+/// An endpoint that ignores fencing numbers executes whichever order arrives
+/// last. The former holder sent its last order before its lease expired. The
+/// delay covers the transit of that order and the lag of the reports that show
+/// its effect.
 pub const FIRST_ORDER_DELAY: Duration = Duration::from_secs(10);
 
-/// What an endpoint reports, as the planner sees it.
+/// An endpoint's state as last reported, the planner's input.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
     /// The endpoint.
     pub id: EndpointId,
-    /// Its life; orders under way end with it.
+    /// The endpoint's incarnation; orders in flight are dropped when it changes.
     pub incarnation: Incarnation,
-    /// Whether it may get work at all.
+    /// Whether the endpoint may get requests.
     pub standing: Standing,
-    /// When it took the report.
+    /// When the endpoint made the report.
     pub reported_at: Moment,
-    /// The models it has loaded, with the version of their weights.
+    /// The loaded models, with the version of their weights.
     pub loaded: BTreeMap<ModelId, String>,
 }
 
@@ -41,30 +43,30 @@
 pub struct Order {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// The lease's fencing number.
+    /// The fencing number of the pool's lease.
     pub fence: Offset,
-    /// What it is to do.
+    /// What the endpoint is to do.
     pub action: Action,
 }
 
-/// What an order asks of an endpoint.
+/// The action that an order requires.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// To load a model, in place of other weights of it.
+    /// Load a model, replacing any other weights of it.
     Load {
         /// The model.
         model: ModelId,
         /// The version of its weights.
         weights: String,
     },
-    /// To free what a model takes.
+    /// Unload a model and free its memory.
     Unload {
         /// The model.
         model: ModelId,
     },
 }
 
-/// A model whose wanted state can't be reached.
+/// Why the desired state of a model cannot be reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum Blocked {
     /// too few endpoints are live for the replicas of model {0}; add endpoints or lower its replicas
@@ -73,22 +75,22 @@
     SoleEndpoint(ModelId),
 }
 
-/// Limits of a pool's orders.
+/// Limits on the load orders of a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Loads of the pool that may be under way at once; a holder's share of
-    /// what the weight store serves.
+    /// The maximum number of loads in flight; the pool's share of the weight
+    /// store's capacity.
     pub max_concurrent_loads: usize,
-    /// The least time between two load orders of the pool.
+    /// The minimum time between two load orders of the pool.
     pub min_load_interval: Duration,
 }
 
-/// What to do now.
+/// The result of planning.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Plan {
-    /// Orders to send, each only while the lease allows it.
+    /// Orders to send, each only if the lease is still valid at that time.
     pub orders: Vec<Order>,
-    /// What can't be reached as things are.
+    /// Models whose desired state cannot be reached at present.
     pub blocked: Vec<Blocked>,
 }
 
@@ -98,14 +100,14 @@
     service: ServiceId,
     limits: Limits,
     fence: Offset,
-    under_way: BTreeMap<EndpointId, UnderWay>,
-    load_at: Moment,
+    in_flight: BTreeMap<EndpointId, InFlightOrder>,
+    next_load_at: Moment,
 }
 
 #[derive(Clone, Debug)]
-struct UnderWay {
+struct InFlightOrder {
     incarnation: Incarnation,
-    since: Moment,
+    issued_at: Moment,
     action: Action,
 }
 
@@ -117,8 +119,8 @@
             service,
             limits,
             fence: 0,
-            under_way: BTreeMap::new(),
-            load_at: Moment::ZERO,
+            in_flight: BTreeMap::new(),
+            next_load_at: Moment::ZERO,
         }
     }
 
@@ -133,13 +135,13 @@
     ) -> Plan {
         if fence != self.fence {
             self.fence = fence;
-            self.under_way.clear();
+            self.in_flight.clear();
         }
         let mut plan = Plan::default();
         if since(now, held_since) < FIRST_ORDER_DELAY {
             return plan;
         }
-        self.settle(now, views);
+        self.drop_finished(now, views);
         for (&id, model) in &policy.models {
             if model.service == self.service {
                 self.plan_model(now, id, model, views, &mut plan);
@@ -149,20 +151,21 @@
         plan
     }
 
-    /// Forgets the order under way at an endpoint, because it was not taken.
+    /// Drops the order in flight to an endpoint, because it was not accepted.
     pub fn forget(&mut self, endpoint: EndpointId) {
-        self.under_way.remove(&endpoint);
+        self.in_flight.remove(&endpoint);
     }
 
-    // Forgets orders that are done, lost with their endpoint, or overdue.
-    fn settle(&mut self, now: Moment, views: &[View]) {
-        self.under_way.retain(|id, under_way| {
+    // Drops orders in flight that are done, timed out, or lost because their
+    // endpoint restarted or is gone.
+    fn drop_finished(&mut self, now: Moment, views: &[View]) {
+        self.in_flight.retain(|id, order| {
             let Some(view) = views.iter().find(|view| view.id == *id) else {
                 return false;
             };
-            view.incarnation == under_way.incarnation
-                && since(now, under_way.since) < ORDER_TIMEOUT
-                && !done(&under_way.action, view)
+            view.incarnation == order.incarnation
+                && since(now, order.issued_at) < ORDER_TIMEOUT
+                && !is_done(&order.action, view)
         });
     }
 
@@ -174,35 +177,36 @@
         views: &[View],
         plan: &mut Plan,
     ) {
-        let wanted = homes(id, model, views);
-        if wanted.len() < model.replicas as usize {
+        let desired = target_endpoints(id, model, views);
+        if desired.len() < model.replicas as usize {
             plan.blocked.push(Blocked::TooFewEndpoints(id));
         }
-        let missing: Vec<&View> = wanted
+        let missing: Vec<&View> = desired
             .into_iter()
             .filter(|view| view.loaded.get(&id) != Some(&model.weights))
-            .filter(|view| !self.under_way.contains_key(&view.id))
+            .filter(|view| !self.in_flight.contains_key(&view.id))
             .collect();
-        // Endpoints without the model first: they add capacity, while one
-        // that has other weights of it stops serving as it loads.
+        // Endpoints without the model go first, because they add capacity. An
+        // endpoint with other weights of the model does not serve it while
+        // loading.
         let (stale, fresh): (Vec<&View>, Vec<&View>) = missing
             .into_iter()
             .partition(|view| view.loaded.contains_key(&id));
         for view in fresh {
-            self.load(now, id, model, view, plan);
+            self.issue_load(now, id, model, view, plan);
         }
         for view in stale {
-            if self.serving(id, views) > least_serving(model) {
-                self.load(now, id, model, view, plan);
-            } else if !self.loading(id) {
-                self.load_spare(now, id, model, views, plan);
+            if self.serving_count(id, views) > min_serving(model) {
+                self.issue_load(now, id, model, view, plan);
+            } else if !self.is_loading(id) {
+                self.issue_spare_load(now, id, model, views, plan);
             }
         }
     }
 
-    // Loads a model beside the endpoint that alone serves it; that one is
-    // freed once the other serves.
-    fn load_spare(
+    // Loads a model on one more endpoint when too few serve it for a reload. An
+    // endpoint with the old weights is replaced once the additional one serves.
+    fn issue_spare_load(
         &mut self,
         now: Moment,
         id: ModelId,
@@ -213,61 +217,79 @@
         let spare = views
             .iter()
             .filter(|view| usable(view) && !view.loaded.contains_key(&id))
-            .filter(|view| !self.under_way.contains_key(&view.id))
+            .filter(|view| !self.in_flight.contains_key(&view.id))
             .max_by_key(|view| hash::score(id, view.id));
         match spare {
-            Some(view) => self.load(now, id, model, view, plan),
+            Some(view) => self.issue_load(now, id, model, view, plan),
             None => plan.blocked.push(Blocked::SoleEndpoint(id)),
         }
     }
 
-    fn load(&mut self, now: Moment, id: ModelId, model: &Model, view: &View, plan: &mut Plan) {
-        let loads = self.under_way.values().filter(|u| u.loads()).count();
-        if loads >= self.limits.max_concurrent_loads || now < self.load_at {
+    fn issue_load(
+        &mut self,
+        now: Moment,
+        id: ModelId,
+        model: &Model,
+        view: &View,
+        plan: &mut Plan,
+    ) {
+        let loads = self
+            .in_flight
+            .values()
+            .filter(|order| order.is_load())
+            .count();
+        if loads >= self.limits.max_concurrent_loads || now < self.next_load_at {
             return;
         }
-        self.load_at = now + self.limits.min_load_interval;
+        self.next_load_at = now + self.limits.min_load_interval;
         let action = Action::Load {
             model: id,
             weights: model.weights.clone(),
         };
-        self.give(now, view, action, plan);
+        self.issue(now, view, action, plan);
     }
 
-    // Frees models that the bundle no longer wants at an endpoint, once enough
-    // others serve them.
+    // Unloads models that the bundle no longer requires on an endpoint, once
+    // enough other endpoints serve them.
     fn plan_unloads(&mut self, now: Moment, policy: &Policy, views: &[View], plan: &mut Plan) {
-        // Once for each model: for each endpoint it would be a sort of all
-        // endpoints for every one of them.
-        let homes: BTreeMap<ModelId, BTreeSet<EndpointId>> = policy
+        // Computed once per model, since each computation sorts all endpoints.
+        let targets: BTreeMap<ModelId, BTreeSet<EndpointId>> = policy
             .models
             .iter()
-            .map(|(&id, model)| (id, homes(id, model, views).iter().map(|v| v.id).collect()))
+            .map(|(&id, model)| {
+                (
+                    id,
+                    target_endpoints(id, model, views)
+                        .iter()
+                        .map(|v| v.id)
+                        .collect(),
+                )
+            })
             .collect();
         for view in views.iter().filter(|view| usable(view)) {
-            if self.under_way.contains_key(&view.id) {
+            if self.in_flight.contains_key(&view.id) {
                 continue;
             }
             let surplus = view.loaded.keys().copied().find(|id| {
                 let Some(model) = policy.models.get(id) else {
                     return true;
                 };
-                !homes[id].contains(&view.id)
-                    && self.serving_wanted(*id, model, views) >= model.replicas as usize
+                !targets[id].contains(&view.id)
+                    && self.serving_desired_count(*id, model, views) >= model.replicas as usize
             });
             if let Some(model) = surplus {
-                self.give(now, view, Action::Unload { model }, plan);
+                self.issue(now, view, Action::Unload { model }, plan);
             }
         }
     }
 
-    fn give(&mut self, now: Moment, view: &View, action: Action, plan: &mut Plan) {
-        let under_way = UnderWay {
+    fn issue(&mut self, now: Moment, view: &View, action: Action, plan: &mut Plan) {
+        let order = InFlightOrder {
             incarnation: view.incarnation,
-            since: now,
+            issued_at: now,
             action: action.clone(),
         };
-        self.under_way.insert(view.id, under_way);
+        self.in_flight.insert(view.id, order);
         plan.orders.push(Order {
             endpoint: view.id,
             fence: self.fence,
@@ -275,31 +297,32 @@
         });
     }
 
-    // Endpoints that serve the model, whichever weights, and keep serving it.
-    fn serving(&self, id: ModelId, views: &[View]) -> usize {
+    // Counts the endpoints that serve the model with any weights and have no
+    // order in flight.
+    fn serving_count(&self, id: ModelId, views: &[View]) -> usize {
         views
             .iter()
             .filter(|view| usable(view) && view.loaded.contains_key(&id))
-            .filter(|view| !self.under_way.contains_key(&view.id))
+            .filter(|view| !self.in_flight.contains_key(&view.id))
             .count()
     }
 
-    fn loading(&self, id: ModelId) -> bool {
-        let mut under_way = self.under_way.values();
-        under_way.any(|u| matches!(&u.action, Action::Load { model, .. } if *model == id))
+    fn is_loading(&self, id: ModelId) -> bool {
+        let mut orders = self.in_flight.values();
+        orders.any(|order| matches!(&order.action, Action::Load { model, .. } if *model == id))
     }
 
-    fn serving_wanted(&self, id: ModelId, model: &Model, views: &[View]) -> usize {
+    fn serving_desired_count(&self, id: ModelId, model: &Model, views: &[View]) -> usize {
         views
             .iter()
             .filter(|view| usable(view) && view.loaded.get(&id) == Some(&model.weights))
-            .filter(|view| !self.under_way.contains_key(&view.id))
+            .filter(|view| !self.in_flight.contains_key(&view.id))
             .count()
     }
 }
 
-impl UnderWay {
-    const fn loads(&self) -> bool {
+impl InFlightOrder {
+    const fn is_load(&self) -> bool {
         matches!(self.action, Action::Load { .. })
     }
 }
@@ -308,17 +331,18 @@
     view.standing == Standing::Live
 }
 
-fn done(action: &Action, view: &View) -> bool {
+fn is_done(action: &Action, view: &View) -> bool {
     match action {
         Action::Load { model, weights } => view.loaded.get(model) == Some(weights),
         Action::Unload { model } => !view.loaded.contains_key(model),
     }
 }
 
-// Endpoints that should have a model: its rendezvous winners, so that a change
-// of one endpoint moves one replica. Those that have it go first, the wanted
-// weights before others: a replica isn't moved only because an endpoint joined.
-fn homes<'a>(id: ModelId, model: &Model, views: &'a [View]) -> Vec<&'a View> {
+// Returns the endpoints that should have a model. They are chosen by rendezvous
+// hashing, so that a change of one endpoint moves one replica. Endpoints that
+// have the model come first, those with the desired weights before others, so
+// that no replica is moved only because an endpoint joined.
+fn target_endpoints<'a>(id: ModelId, model: &Model, views: &'a [View]) -> Vec<&'a View> {
     let mut ranked: Vec<&View> = views.iter().filter(|view| usable(view)).collect();
     ranked.sort_by_key(|view| {
         let loaded = view.loaded.get(&id);
@@ -329,9 +353,9 @@
     ranked
 }
 
-// Endpoints that must go on serving while others load new weights: three in
-// four, and always one.
-fn least_serving(model: &Model) -> usize {
+// Returns how many endpoints must keep serving while others load new weights:
+// three in four, and at least one.
+fn min_serving(model: &Model) -> usize {
     let replicas = model.replicas as usize;
     (replicas - replicas.div_ceil(4)).max(1)
 }
--- a/crates/state/src/order/planner/tests.rs
+++ b/crates/state/src/order/planner/tests.rs
@@ -1,4 +1,4 @@
-//! Orders bring endpoints to the wanted state and leave no model unserved.
+//! Orders bring endpoints to the desired state and leave no model unserved.
 
 use proptest::prelude::*;
 
@@ -6,7 +6,7 @@
 
 const SERVICE: ServiceId = 1;
 const MODEL: ModelId = 10;
-const HELD: Moment = Duration::from_secs(1000);
+const HELD_SINCE: Moment = Duration::from_secs(1000);
 
 const fn at(seconds: u64) -> Moment {
     Duration::from_secs(1000 + seconds)
@@ -38,7 +38,7 @@
             id,
             incarnation: 1,
             standing: Standing::Live,
-            reported_at: HELD,
+            reported_at: HELD_SINCE,
             loaded: (!weights.is_empty())
                 .then(|| (MODEL, (*weights).to_owned()))
                 .into_iter()
@@ -51,94 +51,102 @@
     Planner::new(SERVICE, LIMITS)
 }
 
-/// A runner obeys the predecessor's last order after the successor's first
-/// one: it ignores fencing numbers and takes whoever speaks last.
+/// An endpoint that ignores fencing numbers must not receive the former holder's
+/// last order after the new holder's first one.
 #[test]
-fn a_new_holder_waits_before_it_speaks() {
+fn new_holder_waits_before_its_first_order() {
     let mut planner = planner();
     let policy = policy("7", 1);
     let views = views(&[""]);
-    let plan = planner.plan(at(9), 3, HELD, &policy, &views);
+    let plan = planner.plan(at(9), 3, HELD_SINCE, &policy, &views);
     assert_eq!(plan.orders, []);
-    let plan = planner.plan(at(10), 3, HELD, &policy, &views);
+    let plan = planner.plan(at(10), 3, HELD_SINCE, &policy, &views);
     assert_eq!(plan.orders.len(), 1);
     assert_eq!(plan.orders[0].fence, 3);
 }
 
-/// The weight store refuses the whole fleet: a new version was ordered on
-/// every runner at once.
+/// The weight store refuses requests if all endpoints are ordered to load a new
+/// version at once.
 #[test]
-fn loads_keep_their_rate_and_their_number() {
+fn loads_respect_the_interval_and_the_maximum() {
     let mut planner = planner();
     let policy = policy("8", 8);
     let views = views(&["7"; 8]);
     let mut orders = Vec::new();
     for second in 10..40 {
-        let plan = planner.plan(at(second), 3, HELD, &policy, &views);
+        let plan = planner.plan(at(second), 3, HELD_SINCE, &policy, &views);
         orders.extend(plan.orders.into_iter().map(|_| second));
     }
     assert_eq!(orders, [10, 15]);
 }
 
-/// Drafts stop while the last runner with a model loads its new weights.
+/// A model must not become unserved because the last endpoint that has it loads
+/// new weights.
 #[test]
-fn a_model_with_one_endpoint_is_blocked_and_said_so() {
+fn model_with_one_endpoint_is_reported_as_blocked() {
     let mut planner = planner();
-    let plan = planner.plan(at(10), 3, HELD, &policy("8", 1), &views(&["7"]));
+    let plan = planner.plan(at(10), 3, HELD_SINCE, &policy("8", 1), &views(&["7"]));
     assert_eq!(plan.orders, []);
     assert_eq!(plan.blocked, [Blocked::SoleEndpoint(MODEL)]);
 }
 
-/// A runner that ignores fencing numbers went back to old weights on a stale
-/// order. Its report shows it, and it is told again.
+/// An endpoint that ignores fencing numbers returns to old weights on a stale
+/// order. Its report shows that and leads to a new order.
 #[test]
-fn a_report_of_the_wrong_state_brings_a_new_order() {
+fn report_of_the_wrong_state_leads_to_a_new_order() {
     let mut planner = planner();
     let policy = policy("8", 2);
-    let plan = planner.plan(at(10), 3, HELD, &policy, &views(&["8", "8"]));
+    let plan = planner.plan(at(10), 3, HELD_SINCE, &policy, &views(&["8", "8"]));
     assert_eq!(plan.orders, []);
-    let plan = planner.plan(at(20), 3, HELD, &policy, &views(&["8", "7"]));
+    let plan = planner.plan(at(20), 3, HELD_SINCE, &policy, &views(&["8", "7"]));
     let endpoints: Vec<EndpointId> = plan.orders.iter().map(|o| o.endpoint).collect();
     assert_eq!(endpoints, [2]);
 }
 
-/// A restarted runner stays empty: its order was lost with its former life.
+/// A restarted endpoint must get its order again, as the former incarnation's
+/// order was lost.
 #[test]
-fn a_restart_ends_what_was_under_way() {
+fn restart_drops_the_order_in_flight() {
     let mut planner = planner();
     let policy = policy("8", 1);
     let mut views = views(&[""]);
-    planner.plan(at(10), 3, HELD, &policy, &views);
-    assert_eq!(planner.plan(at(20), 3, HELD, &policy, &views).orders, []);
+    planner.plan(at(10), 3, HELD_SINCE, &policy, &views);
+    assert_eq!(
+        planner.plan(at(20), 3, HELD_SINCE, &policy, &views).orders,
+        []
+    );
     views[0].incarnation = 2;
     assert_eq!(
-        planner.plan(at(30), 3, HELD, &policy, &views).orders.len(),
+        planner
+            .plan(at(30), 3, HELD_SINCE, &policy, &views)
+            .orders
+            .len(),
         1
     );
 }
 
-/// An endpoint as it obeys: it serves nothing of a model while it loads.
+/// An endpoint that does not serve a model while it loads it.
 #[derive(Clone, Debug)]
 struct Engine {
     loading: Option<(u64, String)>,
 }
 
 proptest! {
-    // Each case plays 25 minutes second by second.
+    // Each case simulates 25 minutes in steps of one second.
     #![proptest_config(ProptestConfig::with_cases(64))]
 
     #[test]
-    fn a_roll_ends_as_wanted_and_never_leaves_the_model_unserved(
+    fn rollout_reaches_the_desired_state_and_never_leaves_the_model_unserved(
         engines in 2..8_usize,
         replicas in 1..8_u32,
         load_seconds in 1..60_u64,
         report_lag in 0..5_u64,
     ) {
         let replicas = replicas.min(u32::try_from(engines).expect("small"));
-        let have: Vec<&str> = (0..engines)
+        let loaded: Vec<&str> = (0..engines)
             .map(|n| if n < replicas as usize { "7" } else { "" })
             .collect();
-        let mut views = views(&have);
+        let mut views = views(&loaded);
         let mut reports = views.clone();
         let mut fleet = vec![Engine { loading: None }; engines];
         let mut planner = planner();
@@ -155,7 +163,7 @@
             if second % (report_lag + 1) == 0 {
                 reports.clone_from(&views);
             }
-            let plan = planner.plan(at(second), 3, HELD, &policy, &reports);
+            let plan = planner.plan(at(second), 3, HELD_SINCE, &policy, &reports);
             for order in plan.orders {
                 let index = usize::try_from(order.endpoint - 1).expect("small");
                 match order.action {
