--- a/crates/state/src/claim/batch.rs
+++ b/crates/state/src/claim/batch.rs
@@ -98,17 +98,17 @@
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Item, A::Error> {
-        let kind: u8 = next_element(&mut seq)?;
+        let kind: u8 = read_element(&mut seq)?;
         let id = Id {
-            holder: next_element(&mut seq)?,
-            incarnation: next_element(&mut seq)?,
-            sequence: next_element(&mut seq)?,
+            holder: read_element(&mut seq)?,
+            incarnation: read_element(&mut seq)?,
+            sequence: read_element(&mut seq)?,
         };
-        let Bytes(key) = next_element(&mut seq)?;
+        let Bytes(key) = read_element(&mut seq)?;
         match kind {
             CLAIM_KIND => {
-                let Bytes(body) = next_element(&mut seq)?;
-                let issued = Duration::from_millis(next_element(&mut seq)?);
+                let Bytes(body) = read_element(&mut seq)?;
+                let issued = Duration::from_millis(read_element(&mut seq)?);
                 Ok(Item::Claim(Record {
                     id,
                     key,
@@ -117,8 +117,8 @@
                 }))
             }
             OUTCOME_KIND => {
-                let Bytes([]) = next_element(&mut seq)?;
-                let outcome = decode_outcome(next_element(&mut seq)?)?;
+                let Bytes([]) = read_element(&mut seq)?;
+                let outcome = decode_outcome(read_element(&mut seq)?)?;
                 Ok(Item::Outcome { key, id, outcome })
             }
             _ => Err(de::Error::custom("unknown kind of item")),
@@ -126,7 +126,7 @@
     }
 }
 
-fn next_element<'de, A: SeqAccess<'de>, T: Deserialize<'de>>(seq: &mut A) -> Result<T, A::Error> {
+fn read_element<'de, A: SeqAccess<'de>, T: Deserialize<'de>>(seq: &mut A) -> Result<T, A::Error> {
     seq.next_element()?
         .ok_or_else(|| de::Error::custom("an item has too few elements"))
 }
--- a/crates/state/src/claim/batch/tests.rs
+++ b/crates/state/src/claim/batch/tests.rs
@@ -8,7 +8,7 @@
     let id = (any::<u64>(), any::<u64>(), any::<u64>());
     let digests = (any::<[u8; 16]>(), any::<[u8; 16]>());
     (id, digests, any::<u32>(), 0..4_u8).prop_map(
-        |((holder, incarnation, sequence), digests, n, kind)| {
+        |((holder, incarnation, sequence), key_and_body, n, kind)| {
             let id = Id {
                 holder,
                 incarnation,
@@ -21,14 +21,14 @@
                 _ => {
                     return Item::Claim(Record {
                         id,
-                        key: digests.0,
-                        body: digests.1,
+                        key: key_and_body.0,
+                        body: key_and_body.1,
                         issued: Duration::from_millis(u64::from(n)),
                     });
                 }
             };
             Item::Outcome {
-                key: digests.0,
+                key: key_and_body.0,
                 id,
                 outcome,
             }
--- a/crates/state/src/claim/batcher.rs
+++ b/crates/state/src/claim/batcher.rs
@@ -164,7 +164,7 @@
         }
         if self.behind && !self.read_in_flight && now >= self.next_read_at {
             self.read_in_flight = true;
-            return self.read(now);
+            return self.next_read(now);
         }
         if now >= self.next_append_at
             && let Some(append) = self.take_batch(now)
@@ -248,7 +248,7 @@
         }
     }
 
-    fn read(&mut self, now: Moment) -> Next {
+    fn next_read(&mut self, now: Moment) -> Next {
         if !self.window_found {
             // Twice the skew: keys may be ahead of the log's clock, and the log's
             // clock may be behind by as much.
