--- a/crates/bench/src/state/fleet.rs
+++ b/crates/bench/src/state/fleet.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use godwitpost_state::gossip::{Budget, Demand, Message, Pump};
-use godwitpost_state::membership::endpoints::{Change, Endpoints, Leaving};
+use godwitpost_state::membership::endpoints::{Change, Endpoints, LeavingNotice};
 use godwitpost_state::membership::{Roster, State};
 use godwitpost_types::clock::Moment;
 use godwitpost_types::endpoint::{Endpoint, Standing};
@@ -159,11 +159,11 @@
 
     /// Lets one instance see that [`ENDPOINT`] leaves.
     pub fn see_leaving(&mut self, n: usize) {
-        let leaving = Leaving {
+        let leaving = LeavingNotice {
             id: ENDPOINT,
             incarnation: 1,
         };
-        self.nodes[n].endpoints.sign(leaving);
+        self.nodes[n].endpoints.apply_notice(leaving);
         self.after_news(n);
     }
 
@@ -286,7 +286,7 @@
             Event::List(n) => self.list(n),
             Event::Request(from, to, bytes) => self.request(from, to, &bytes),
             Event::Answer(from, to, bytes) => self.answer(from, to, &bytes),
-            Event::Refused(n) => self.nodes[n].pump.failed(),
+            Event::Refused(n) => self.nodes[n].pump.settle_failed(),
             Event::Timeout(n, peer) => self.timeout(n, peer),
             Event::Fetched(n, version) => self.adopt(n, version),
         }
@@ -294,7 +294,7 @@
 
     fn tick(&mut self, n: usize) {
         self.after_news(n);
-        let next = self.nodes[n].pump.next();
+        let next = self.nodes[n].pump.next_exchange();
         self.at(next.max(self.now + NEAR), Event::Tick(n));
     }
 
@@ -303,10 +303,10 @@
         let now = self.now;
         let node = &mut self.nodes[n];
         let changes = node.roster.tick(now);
-        node.pump.rumours(&changes);
+        node.pump.queue_member_updates(&changes);
         for change in node.endpoints.tick(now) {
             if let Change::Left(leaving) = change {
-                node.pump.leaving(leaving);
+                node.pump.queue_leaving(leaving);
             }
         }
         if !changes.is_empty() {
@@ -321,8 +321,8 @@
 
     fn contact(&mut self, n: usize, peer: InstanceId) {
         let node = &mut self.nodes[n];
-        let bytes = node.pump.message(peer, &node.roster, &[]).encode();
-        node.pump.sent(bytes.len());
+        let bytes = node.pump.build_message(peer, &node.roster, &[]).encode();
+        node.pump.settle_sent(bytes.len());
         let to = usize::try_from(peer - 1).expect("ids are indices here");
         if self.reach(n, to) {
             let at = self.now + self.way(n, to);
@@ -340,14 +340,14 @@
         let (roster, endpoints) = (&mut node.roster, &mut node.endpoints);
         let news = node
             .pump
-            .asked(now, bytes.len(), &message, roster, endpoints);
+            .apply_request(now, bytes.len(), &message, roster, endpoints);
         let Some(news) = news else {
             self.at(at, Event::Refused(from));
             return;
         };
-        let answer = node.pump.message(message.from.id, &node.roster, &[]);
+        let answer = node.pump.build_message(message.from.id, &node.roster, &[]);
         let answer = answer.encode();
-        node.pump.sent(answer.len());
+        node.pump.settle_sent(answer.len());
         self.at(at, Event::Answer(to, from, answer));
         self.read(to, from, news.version);
     }
@@ -358,7 +358,7 @@
         let (roster, endpoints) = (&mut node.roster, &mut node.endpoints);
         let news = node
             .pump
-            .answered(self.now, bytes.len(), &message, roster, endpoints);
+            .apply_response(self.now, bytes.len(), &message, roster, endpoints);
         self.read(to, from, news.version);
     }
 
@@ -383,8 +383,8 @@
     fn timeout(&mut self, n: usize, peer: usize) {
         let id = self.instances[peer].id;
         let node = &mut self.nodes[n];
-        node.pump.failed();
-        node.roster.unreachable(self.now, id);
+        node.pump.settle_failed();
+        node.roster.record_unreachable(self.now, id);
         self.after_news(n);
     }
 
@@ -399,8 +399,8 @@
             .map(|(_, instance)| instance.clone())
             .collect();
         let node = &mut self.nodes[n];
-        node.roster.list(now, &listed);
-        node.endpoints.list(now, &[endpoint()]);
+        node.roster.apply_list(now, &listed);
+        node.endpoints.apply_list(now, &[endpoint()]);
         if node.homes.is_empty() {
             node.homes = homes(node, self.keys);
         }
--- a/crates/capacity/src/live/control.rs
+++ b/crates/capacity/src/live/control.rs
@@ -136,11 +136,11 @@
         from: Heartbeat {
             id: id::of(name),
             incarnation: 1,
-            beat: 0,
+            sequence: 0,
             standing: Standing::Live,
         },
         version: 1,
-        rumours: Vec::new(),
+        member_updates: Vec::new(),
         leaving: Vec::new(),
         loads: Vec::new(),
         evidence: Vec::new(),
--- a/crates/capacity/src/role/member.rs
+++ b/crates/capacity/src/role/member.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use godwitpost_state::gossip::{Budget, Load, Message, PERIOD, Pump};
+use godwitpost_state::gossip::{Budget, EXCHANGE_INTERVAL, Load, Message, Pump};
 use godwitpost_state::membership::Roster;
 use godwitpost_state::membership::endpoints::Endpoints;
 use godwitpost_types::instance::Instance;
@@ -54,12 +54,12 @@
         let mut endpoints = Endpoints::new();
         let mut rng = ChaCha8Rng::seed_from_u64(1);
         let took = meter::nanoseconds(CALLS, |call| {
-            let now = PERIOD * call;
+            let now = EXCHANGE_INTERVAL * call;
             drop(roster.tick(now));
             for peer in pump.tick(now, &roster, &mut rng) {
-                let message = pump.message(peer, &roster, &loads()).encode();
+                let message = pump.build_message(peer, &roster, &loads()).encode();
                 let message = Message::decode(&message).expect("it was just encoded");
-                pump.answered(now, LARGEST, &message, &mut roster, &mut endpoints);
+                pump.apply_response(now, LARGEST, &message, &mut roster, &mut endpoints);
             }
         });
         (f64::from(instances), took)
@@ -71,7 +71,7 @@
         points: SIZES.map(point).into(),
         size: letter::INSTANCES,
         cost: Cost::Time {
-            rate: 2.0 / PERIOD.as_secs_f64(),
+            rate: 2.0 / EXCHANGE_INTERVAL.as_secs_f64(),
         },
         control: true,
     }
@@ -83,7 +83,7 @@
         let mut pump = Pump::new(Budget::new(Duration::ZERO, 6_144, HEADERS));
         let peer = fleet::instance(1).id;
         #[expect(clippy::cast_precision_loss, reason = "about a kilobyte")]
-        let bytes = pump.message(peer, &roster, &loads()).encode().len() as f64;
+        let bytes = pump.build_message(peer, &roster, &loads()).encode().len() as f64;
         (f64::from(instances), bytes)
     };
     Measure {
@@ -94,7 +94,7 @@
         size: letter::INSTANCES,
         // One exchange begun and one answered, two messages each.
         cost: Cost::Traffic {
-            rate: 4.0 / PERIOD.as_secs_f64(),
+            rate: 4.0 / EXCHANGE_INTERVAL.as_secs_f64(),
         },
         control: true,
     }
@@ -103,7 +103,7 @@
 fn roster(instances: u32) -> Roster {
     let all: Vec<Instance> = (0..instances as usize).map(fleet::instance).collect();
     let mut roster = Roster::new(all[0].clone());
-    roster.list(Duration::ZERO, &all);
+    roster.apply_list(Duration::ZERO, &all);
     roster
 }
 
--- a/crates/direct/src/running.rs
+++ b/crates/direct/src/running.rs
@@ -197,12 +197,12 @@
     /// important as before, and the platform can kill the process at any time.
     pub async fn stop(mut self) -> ShutdownResult {
         let limits = Limits {
-            lag: self.shared.settings.balancer_lag,
-            hard: self.shared.settings.grace.saturating_sub(SHUTDOWN_MARGIN),
-            second: Duration::ZERO,
+            balancer_lag: self.shared.settings.balancer_lag,
+            hard_limit: self.shared.settings.grace.saturating_sub(SHUTDOWN_MARGIN),
+            second_signal_limit: Duration::ZERO,
         };
         let mut drain = Drain::new(limits);
-        drain.signal(boot_time());
+        drain.handle_signal(boot_time());
         self.shared.start_drain();
         let stopped = self.wait_for_drain(&mut drain).await;
         self.traffic.take();
@@ -214,11 +214,11 @@
             match drain.tick(boot_time(), self.shared.in_flight()) {
                 Next::Close { .. } => {
                     self.closing.send_replace(true);
-                    drain.handed_over();
+                    drain.record_handover();
                 }
                 Next::Serve | Next::Announce { .. } | Next::Wait { .. } => {}
-                Next::Exit { cut: 0 } => return ShutdownResult::Drained,
-                Next::Exit { cut } => return ShutdownResult::TimedOut { requests: cut },
+                Next::Exit { aborted: 0 } => return ShutdownResult::Drained,
+                Next::Exit { aborted } => return ShutdownResult::TimedOut { requests: aborted },
             }
             tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
--- a/crates/router/src/control.rs
+++ b/crates/router/src/control.rs
@@ -30,7 +30,7 @@
 use godwitpost_state::claim::{Item, Verdict};
 use godwitpost_state::gossip::{Budget, Message, Pump};
 use godwitpost_state::membership::Roster;
-use godwitpost_state::membership::endpoints::{Change, Endpoints, Leaving};
+use godwitpost_state::membership::endpoints::{Change, Endpoints, LeavingNotice};
 use godwitpost_types::clock::Moment;
 use godwitpost_types::endpoint::{Endpoint, Report};
 use godwitpost_types::id::{EndpointId, InstanceId, Offset, ServiceId, Version};
@@ -93,7 +93,7 @@
     /// An engine's cache events, with their size.
     Cache(EndpointId, CachePage, usize),
     /// An endpoint's answer said that it is leaving.
-    Leaving(Leaving),
+    Leaving(LeavingNotice),
     /// A claim or fate for the local batcher.
     Claim {
         /// What to append.
@@ -231,7 +231,7 @@
                 self.ordered(service, endpoint, fence, &sent);
             }
             Event::Cache(endpoint, page, bytes) => self.cached(endpoint, &page, bytes),
-            Event::Leaving(leaving) => self.endpoints.sign(leaving),
+            Event::Leaving(leaving) => self.endpoints.apply_notice(leaving),
             Event::Claim { item, reply } => self.claim(now, item, reply),
             Event::Batch(result) => self.batched(now, result),
             Event::Leave(done) => {
@@ -264,10 +264,10 @@
     fn changes(&mut self, now: Moment) {
         let rumours = self.roster.tick(now);
         let changes = self.endpoints.tick(now);
-        self.pump.rumours(&rumours);
+        self.pump.queue_member_updates(&rumours);
         for change in &changes {
             if let Change::Left(leaving) = change {
-                self.pump.leaving(*leaving);
+                self.pump.queue_leaving(*leaving);
             }
         }
         if !rumours.is_empty() || !changes.is_empty() {
@@ -279,8 +279,8 @@
         for refused in &listing.refused {
             ::log::warn!(entry:% = refused; "an entry of the instance list can't be read");
         }
-        self.roster.list(now, &listing.instances);
-        self.endpoints.list(now, &listing.endpoints);
+        self.roster.apply_list(now, &listing.instances);
+        self.endpoints.apply_list(now, &listing.endpoints);
         self.publish();
         self.shared.set_listed();
     }
@@ -303,7 +303,7 @@
 
 /// Notes that an endpoint's answer said that it is leaving.
 pub(crate) fn leaving(shared: &Shared, endpoint: &Endpoint) {
-    let leaving = Leaving {
+    let leaving = LeavingNotice {
         id: endpoint.id,
         incarnation: endpoint.incarnation,
     };
--- a/crates/router/src/control/gossip.rs
+++ b/crates/router/src/control/gossip.rs
@@ -12,7 +12,7 @@
 use godwitpost_decide::owner::Owner;
 use godwitpost_decide::quarantine::Evidence;
 use godwitpost_decide::view::Pool;
-use godwitpost_state::gossip::{Demand, Load, Message, News};
+use godwitpost_state::gossip::{Demand, Load, Message, PeerUpdate};
 use godwitpost_types::clock::Moment;
 use godwitpost_types::id::{InstanceId, NO_MODEL};
 use godwitpost_types::instance::Instance;
@@ -46,7 +46,7 @@
     /// Sends the messages that are due.
     pub(super) fn gossip(&mut self, now: Moment) {
         for evidence in self.shared.desk.with(Owner::take_evidence) {
-            self.pump.evidence(pack::evidence(&evidence));
+            self.pump.queue_evidence(pack::evidence(&evidence));
         }
         let peers = self.pump.tick(now, &self.roster, &mut self.rng);
         for peer in peers {
@@ -70,7 +70,9 @@
     /// Takes a peer's message; returns ours unless the budget forbids.
     pub(super) fn asked(&mut self, now: Moment, message: &Message, bytes: usize) -> Option<Bytes> {
         let (roster, endpoints) = (&mut self.roster, &mut self.endpoints);
-        let news = self.pump.asked(now, bytes, message, roster, endpoints)?;
+        let news = self
+            .pump
+            .apply_request(now, bytes, message, roster, endpoints)?;
         self.learn(now, message.from.id, &news);
         let said = self.message(now, message.from.id);
         let cost = (bytes + said.len()) as u64 + 2 * super::GOSSIP_HEADERS;
@@ -86,11 +88,13 @@
         said: Option<(Message, usize)>,
     ) {
         let Some((message, bytes)) = said else {
-            self.roster.unreachable(now, peer);
+            self.roster.record_unreachable(now, peer);
             return;
         };
         let (roster, endpoints) = (&mut self.roster, &mut self.endpoints);
-        let news = self.pump.answered(now, bytes, &message, roster, endpoints);
+        let news = self
+            .pump
+            .apply_response(now, bytes, &message, roster, endpoints);
         self.learn(now, peer, &news);
     }
 
@@ -99,8 +103,8 @@
         let loads: Vec<Load> = summaries.iter().map(load).collect();
         let demands = self.demands(now);
         self.pump.set_demands(demands);
-        let bytes = self.pump.message(to, &self.roster, &loads).encode();
-        self.pump.sent(bytes.len());
+        let bytes = self.pump.build_message(to, &self.roster, &loads).encode();
+        self.pump.settle_sent(bytes.len());
         Bytes::from(bytes)
     }
 
@@ -117,7 +121,7 @@
         demands.iter().map(pack::demand).collect()
     }
 
-    fn learn(&mut self, now: Moment, peer: InstanceId, news: &News) {
+    fn learn(&mut self, now: Moment, peer: InstanceId, news: &PeerUpdate) {
         if let Some(demands) = &news.demands {
             let demands: Vec<limit::Demand> = demands.iter().map(pack::read_demand).collect();
             self.shared
--- a/crates/router/src/control/gossip/pack.rs
+++ b/crates/router/src/control/gossip/pack.rs
@@ -25,7 +25,7 @@
         Kind::Survived => SURVIVED,
     };
     let millis = u64::try_from(evidence.at.as_millis()).unwrap_or(u64::MAX);
-    let mut packed = [0; gossip::EVIDENCE];
+    let mut packed = [0; gossip::EVIDENCE_BYTES];
     packed[..DIGEST].copy_from_slice(&evidence.digest);
     let fields = [evidence.endpoint, evidence.incarnation, kind, millis];
     for (chunk, field) in packed[DIGEST..].chunks_exact_mut(8).zip(fields) {
--- a/crates/router/src/control/orders/reports.rs
+++ b/crates/router/src/control/orders/reports.rs
@@ -90,7 +90,7 @@
             return;
         };
         self.orders.reports.spend(told.bytes as u64);
-        self.endpoints.report(now, id, &told.report);
+        self.endpoints.apply_report(now, id, &told.report);
         let models = told.models.unwrap_or_default();
         self.orders.reports.take(id, told.report, models);
     }
--- a/crates/router/src/control/probe.rs
+++ b/crates/router/src/control/probe.rs
@@ -160,7 +160,7 @@
         report: &Report,
         models: Option<Vec<String>>,
     ) {
-        self.endpoints.report(now, endpoint, report);
+        self.endpoints.apply_report(now, endpoint, report);
         if let Some(models) = models {
             if self.models.take(now, endpoint, report, &models) {
                 self.publish();
--- a/crates/router/src/shutdown.rs
+++ b/crates/router/src/shutdown.rs
@@ -34,19 +34,19 @@
     hurry: watch::Receiver<bool>,
 ) -> Stopped {
     let mut drain = Drain::new(Limits {
-        lag: shared.settings.balancer_lag,
-        hard: shared.settings.drain,
+        balancer_lag: shared.settings.balancer_lag,
+        hard_limit: shared.settings.drain,
         // A second signal is an operator who can't wait.
-        second: Duration::ZERO,
+        second_signal_limit: Duration::ZERO,
     });
-    drain.signal(shared.now());
+    drain.handle_signal(shared.now());
     let mut hurried = false;
     let mut announced = false;
     let mut closed = false;
     loop {
         if *hurry.borrow() && !hurried {
             hurried = true;
-            drain.signal(shared.now());
+            drain.handle_signal(shared.now());
         }
         match drain.tick(shared.now(), shared.in_flight()) {
             Next::Announce { .. } if announced => {}
@@ -59,11 +59,11 @@
                 closed = true;
                 closing.send_replace(true);
                 handover::all(&shared).await;
-                drain.handed_over();
+                drain.record_handover();
             }
             Next::Serve | Next::Wait { .. } => {}
-            Next::Exit { cut: 0 } => return Stopped::Whole,
-            Next::Exit { cut } => return Stopped::Cut { requests: cut },
+            Next::Exit { aborted: 0 } => return Stopped::Whole,
+            Next::Exit { aborted } => return Stopped::Cut { requests: aborted },
         }
         tokio::time::sleep(TICK).await;
     }
--- a/crates/state/src/drain.rs
+++ b/crates/state/src/drain.rs
@@ -10,10 +10,10 @@
 //!   lags, so new requests still come and are served.
 //! - *closing*: listeners close, idle keep-alive connections are closed and
 //!   busy ones are told `Connection: close`; owned state is handed over.
-//! - *waiting*: streams run to their end, up to [`Limits::hard`] after the
+//! - *waiting*: streams run to their end, up to [`Limits::hard_limit`] after the
 //!   signal.
 //!
-//! A second signal shortens the wait to [`Limits::second`] from then. A third
+//! A second signal shortens the wait to [`Limits::second_signal_limit`] from then. A third
 //! changes nothing. A hard kill is not handled here: peers see it as any
 //! crash.
 
@@ -30,11 +30,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// How long the balancer may go on sending after the announcement.
-    pub lag: Duration,
+    pub balancer_lag: Duration,
     /// When the process ends at the latest, from the first signal on.
-    pub hard: Duration,
+    pub hard_limit: Duration,
     /// When it ends at the latest, from a second signal on.
-    pub second: Duration,
+    pub second_signal_limit: Duration,
 }
 
 impl Default for Limits {
@@ -42,9 +42,9 @@
     /// that last minutes.
     fn default() -> Self {
         Self {
-            lag: Duration::from_secs(5),
-            hard: Duration::from_mins(10),
-            second: Duration::from_secs(5),
+            balancer_lag: Duration::from_secs(5),
+            hard_limit: Duration::from_mins(10),
+            second_signal_limit: Duration::from_secs(5),
         }
     }
 }
@@ -61,7 +61,7 @@
     },
     /// Stop listening, close idle keep-alive connections, answer the rest with
     /// `Connection: close`, and hand owned state over; then call
-    /// [`Drain::handed_over`].
+    /// [`Drain::record_handover`].
     Close {
         /// When the process ends at the latest.
         limit: Moment,
@@ -74,7 +74,7 @@
     /// End the process.
     Exit {
         /// Requests that the limit cuts; zero unless it passed.
-        cut: usize,
+        aborted: usize,
     },
 }
 
@@ -93,18 +93,18 @@
     /// Returns a drain that serves until a signal comes.
     #[must_use]
     pub fn new(limits: Limits) -> Self {
-        let mut machine = Shutdown { limits, cut: 0 }.state_machine();
+        let mut machine = Shutdown { limits, aborted: 0 }.state_machine();
         machine.init();
         Self { machine }
     }
 
     /// Takes a termination signal: the first starts, the second hurries.
-    pub fn signal(&mut self, now: Moment) {
+    pub fn handle_signal(&mut self, now: Moment) {
         self.machine.handle(&Event::Signal { now });
     }
 
     /// Takes that owned state is handed over, or can't be.
-    pub fn handed_over(&mut self) {
+    pub fn record_handover(&mut self) {
         self.machine.handle(&Event::HandedOver);
     }
 
@@ -117,7 +117,7 @@
             Phase::Closing { limit } => Next::Close { limit },
             Phase::Waiting { limit } => Next::Wait { limit },
             Phase::Done {} => Next::Exit {
-                cut: self.machine.inner().cut,
+                aborted: self.machine.inner().aborted,
             },
         }
     }
--- a/crates/state/src/drain/machine.rs
+++ b/crates/state/src/drain/machine.rs
@@ -21,7 +21,7 @@
 pub(super) struct Shutdown {
     pub(super) limits: Limits,
     /// Requests in flight when the end came.
-    pub(super) cut: usize,
+    pub(super) aborted: usize,
 }
 
 pub(super) type Machine = StateMachine<Shutdown>;
@@ -36,8 +36,8 @@
     fn serving(&mut self, event: &Event) -> Outcome<Phase> {
         match *event {
             Event::Signal { now } => {
-                let until = now + self.limits.lag;
-                Transition(Phase::announced(until, now + self.limits.hard))
+                let until = now + self.limits.balancer_lag;
+                Transition(Phase::announced(until, now + self.limits.hard_limit))
             }
             _ => Handled,
         }
@@ -50,7 +50,7 @@
             // out the balancer's lag whatever is in flight.
             Event::Tick { now, .. } if now >= *until => Transition(Phase::closing(*limit)),
             Event::Signal { now } => {
-                let limit = self.hurried(*limit, now);
+                let limit = self.shortened_limit(*limit, now);
                 Transition(Phase::closing(limit))
             }
             _ => Handled,
@@ -62,7 +62,7 @@
         match *event {
             Event::HandedOver => Transition(Phase::waiting(*limit)),
             Event::Tick { now, in_flight } if now >= *limit => self.end(in_flight),
-            Event::Signal { now } => self.hurry(limit, now),
+            Event::Signal { now } => self.shorten_limit(limit, now),
             Event::Tick { .. } => Handled,
         }
     }
@@ -72,7 +72,7 @@
         match *event {
             Event::Tick { in_flight: 0, .. } => self.end(0),
             Event::Tick { now, in_flight } if now >= *limit => self.end(in_flight),
-            Event::Signal { now } => self.hurry(limit, now),
+            Event::Signal { now } => self.shorten_limit(limit, now),
             _ => Handled,
         }
     }
@@ -82,18 +82,18 @@
         Handled
     }
 
-    fn end(&mut self, cut: usize) -> Outcome<Phase> {
-        self.cut = cut;
+    fn end(&mut self, aborted: usize) -> Outcome<Phase> {
+        self.aborted = aborted;
         Transition(Phase::done())
     }
 
     // Each further signal only brings the limit closer.
-    fn hurry(&self, limit: &mut Moment, now: Moment) -> Outcome<Phase> {
-        *limit = self.hurried(*limit, now);
+    fn shorten_limit(&self, limit: &mut Moment, now: Moment) -> Outcome<Phase> {
+        *limit = self.shortened_limit(*limit, now);
         Handled
     }
 
-    fn hurried(&self, limit: Moment, now: Moment) -> Moment {
-        limit.min(now + self.limits.second)
+    fn shortened_limit(&self, limit: Moment, now: Moment) -> Moment {
+        limit.min(now + self.limits.second_signal_limit)
     }
 }
--- a/crates/state/src/drain/tests.rs
+++ b/crates/state/src/drain/tests.rs
@@ -5,9 +5,9 @@
 use super::*;
 
 const LIMITS: Limits = Limits {
-    lag: Duration::from_secs(5),
-    hard: Duration::from_mins(1),
-    second: Duration::from_secs(2),
+    balancer_lag: Duration::from_secs(5),
+    hard_limit: Duration::from_mins(1),
+    second_signal_limit: Duration::from_secs(2),
 };
 
 const fn at(seconds: u64) -> Moment {
@@ -21,13 +21,13 @@
 #[test]
 fn an_idle_instance_serves_while_the_balancer_lags() {
     let mut drain = Drain::new(LIMITS);
-    drain.signal(at(10));
+    drain.handle_signal(at(10));
     assert_eq!(drain.tick(at(10), 0), Next::Announce { until: at(15) });
     assert_eq!(drain.tick(at(14), 0), Next::Announce { until: at(15) });
     assert_eq!(drain.tick(at(15), 1), Next::Close { limit: at(70) });
-    drain.handed_over();
+    drain.record_handover();
     assert_eq!(drain.tick(at(16), 1), Next::Wait { limit: at(70) });
-    assert_eq!(drain.tick(at(17), 0), Next::Exit { cut: 0 });
+    assert_eq!(drain.tick(at(17), 0), Next::Exit { aborted: 0 });
 }
 
 /// An editor's streamed draft stops in mid-sentence. The operator stops the
@@ -36,13 +36,13 @@
 #[test]
 fn a_second_signal_shortens_the_wait_and_a_third_does_not_lengthen_it() {
     let mut drain = Drain::new(LIMITS);
-    drain.signal(at(10));
-    drain.signal(at(20));
+    drain.handle_signal(at(10));
+    drain.handle_signal(at(20));
     assert_eq!(drain.tick(at(20), 1), Next::Close { limit: at(22) });
-    drain.handed_over();
-    drain.signal(at(21));
+    drain.record_handover();
+    drain.handle_signal(at(21));
     assert_eq!(drain.tick(at(21), 1), Next::Wait { limit: at(22) });
-    assert_eq!(drain.tick(at(22), 1), Next::Exit { cut: 1 });
+    assert_eq!(drain.tick(at(22), 1), Next::Exit { aborted: 1 });
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -71,18 +71,18 @@
         for step in steps {
             match step {
                 Step::Signal => {
-                    drain.signal(now);
+                    drain.handle_signal(now);
                     signals.push(now);
                 }
-                Step::HandedOver => drain.handed_over(),
+                Step::HandedOver => drain.record_handover(),
                 Step::Tick(seconds, in_flight) => {
                     now += at(seconds);
-                    let hard = signals.first().map(|first| *first + LIMITS.hard);
-                    let second = signals.get(1).map(|second| *second + LIMITS.second);
-                    let limit = [hard, second].into_iter().flatten().min();
+                    let hard_limit = signals.first().map(|first| *first + LIMITS.hard_limit);
+                    let second = signals.get(1).map(|second| *second + LIMITS.second_signal_limit);
+                    let limit = [hard_limit, second].into_iter().flatten().min();
                     let next = drain.tick(now, in_flight);
-                    if let Next::Exit { cut } = next {
-                        prop_assert!(cut == 0 || limit.is_some_and(|limit| now >= limit));
+                    if let Next::Exit { aborted } = next {
+                        prop_assert!(aborted == 0 || limit.is_some_and(|limit| now >= limit));
                         return Ok(());
                     }
                     // A limit that passed while announced is seen one tick
--- a/crates/state/src/gossip.rs
+++ b/crates/state/src/gossip.rs
@@ -3,7 +3,7 @@
 //! Each period an instance sends one peer a [`Message`] and gets one back, so
 //! news travels both ways on each contact. News that can't wait, a bundle
 //! version or a leaving sign that the instance itself has just learned, goes
-//! to [`HOT_PEERS`] more peers at once. Everything is paid from a [`Budget`]
+//! to [`URGENT_FANOUT`] more peers at once. Everything is paid from a [`Budget`]
 //! in bytes with all headers counted; an empty one defers gossip. The bundle
 //! version is in every message, so it is deferred with the message and never
 //! left out of one.
@@ -15,6 +15,6 @@
 mod spread;
 
 pub use budget::{Budget, Urgency};
-pub use message::{Demand, EVIDENCE, Evidence, Load, Message};
-pub use pump::{HOT_PEERS, LARGEST, News, PERIOD, Pump};
-pub use spread::Spread;
+pub use message::{Demand, EVIDENCE_BYTES, Evidence, Load, Message};
+pub use pump::{EXCHANGE_INTERVAL, MAX_BODY_BYTES, PeerUpdate, Pump, URGENT_FANOUT};
+pub use spread::SendQueue;
--- a/crates/state/src/gossip/budget.rs
+++ b/crates/state/src/gossip/budget.rs
@@ -8,7 +8,7 @@
     /// It may wait.
     Routine,
     /// It carries a bundle version or a leaving sign that is new.
-    News,
+    Urgent,
 }
 
 /// A hard limit on control bytes: over any time `t`, at most
@@ -19,7 +19,7 @@
     burst: u64,
     headers: u64,
     level: u64,
-    filled: Moment,
+    filled_at: Moment,
     spent: u64,
     refused: u64,
 }
@@ -30,7 +30,7 @@
 
 // The part of the bucket that routine messages leave untouched: a quarter pays
 // for three pushes of news at about a kilobyte each.
-const RESERVE_PARTS: u64 = 4;
+const RESERVE_DIVISOR: u64 = 4;
 
 impl Budget {
     /// Returns a full bucket of `rate` bytes a second.
@@ -46,19 +46,19 @@
             burst,
             headers,
             level: burst,
-            filled: now,
+            filled_at: now,
             spent: 0,
             refused: 0,
         }
     }
 
     /// Takes the cost of one message with a body of `body` bytes, or refuses.
-    pub fn take(&mut self, now: Moment, body: usize, urgency: Urgency) -> bool {
-        self.fill(now);
+    pub fn try_take(&mut self, now: Moment, body: usize, urgency: Urgency) -> bool {
+        self.refill(now);
         let cost = self.cost(body);
         let reserve = match urgency {
-            Urgency::Routine => self.burst / RESERVE_PARTS,
-            Urgency::News => 0,
+            Urgency::Routine => self.burst / RESERVE_DIVISOR,
+            Urgency::Urgent => 0,
         };
         if self.level < cost + reserve {
             self.refused += 1;
@@ -71,9 +71,9 @@
 
     /// Gives back the difference after a message turned out shorter.
     pub fn refund(&mut self, taken: usize, used: usize) {
-        let back = (taken.saturating_sub(used)) as u64;
-        self.level = (self.level + back).min(self.burst);
-        self.spent = self.spent.saturating_sub(back);
+        let refunded = (taken.saturating_sub(used)) as u64;
+        self.level = (self.level + refunded).min(self.burst);
+        self.spent = self.spent.saturating_sub(refunded);
     }
 
     /// Gives back the whole cost of a message that is not sent after all.
@@ -85,7 +85,7 @@
 
     /// Returns whether the bucket is at least five eighths full.
     #[must_use]
-    pub const fn ample(&self) -> bool {
+    pub const fn has_surplus(&self) -> bool {
         self.level >= self.burst / 8 * 5
     }
 
@@ -105,8 +105,8 @@
         self.headers + body as u64
     }
 
-    fn fill(&mut self, now: Moment) {
-        let elapsed = since(now, self.filled);
+    fn refill(&mut self, now: Moment) {
+        let elapsed = since(now, self.filled_at);
         let bytes = elapsed.as_millis() * u128::from(self.rate) / 1000;
         if bytes == 0 {
             // Too short a time for a whole byte; it counts the next time.
@@ -114,7 +114,7 @@
         }
         let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
         self.level = self.level.saturating_add(bytes).min(self.burst);
-        self.filled = now;
+        self.filled_at = now;
     }
 }
 
--- a/crates/state/src/gossip/budget/tests.rs
+++ b/crates/state/src/gossip/budget/tests.rs
@@ -18,16 +18,16 @@
 fn a_full_bucket_refuses_and_routine_leaves_the_reserve() {
     let mut budget = Budget::new(at(0), RATE, HEADERS);
     let mut routine = 0;
-    while budget.take(at(0), 1000, Urgency::Routine) {
+    while budget.try_take(at(0), 1000, Urgency::Routine) {
         routine += 1;
     }
     let mut news = 0;
-    while budget.take(at(0), 1000, Urgency::News) {
+    while budget.try_take(at(0), 1000, Urgency::Urgent) {
         news += 1;
     }
     assert_eq!((routine, news), (6, 3));
     assert_eq!(budget.refused(), 2);
-    assert!(budget.take(at(300), 1000, Urgency::News));
+    assert!(budget.try_take(at(300), 1000, Urgency::Urgent));
 }
 
 proptest! {
@@ -40,8 +40,8 @@
         let mut granted: Vec<(u64, u64)> = Vec::new();
         for (step, body, news) in takes {
             now += step;
-            let urgency = if news { Urgency::News } else { Urgency::Routine };
-            if budget.take(at(now), body, urgency) {
+            let urgency = if news { Urgency::Urgent } else { Urgency::Routine };
+            if budget.try_take(at(now), body, urgency) {
                 granted.push((now, HEADERS + body as u64));
             }
         }
--- a/crates/state/src/gossip/message.rs
+++ b/crates/state/src/gossip/message.rs
@@ -12,17 +12,17 @@
 use serde::de::{self, Deserialize, Deserializer, SeqAccess, Visitor};
 use serde::ser::{Serialize, SerializeTuple, Serializer};
 
-use crate::membership::endpoints::Leaving;
-use crate::membership::{Heartbeat, Rumour, State};
+use crate::membership::endpoints::LeavingNotice;
+use crate::membership::{Heartbeat, MemberUpdate, State};
 
 /// The size of one piece of quarantine evidence in bytes.
 ///
 /// A request's digest, the endpoint with its incarnation, the instance that
 /// saw it, and the time.
-pub const EVIDENCE: usize = 48;
+pub const EVIDENCE_BYTES: usize = 48;
 
 /// Quarantine evidence; only the quarantine reads it.
-pub type Evidence = [u8; EVIDENCE];
+pub type Evidence = [u8; EVIDENCE_BYTES];
 
 /// A sender's sums over the endpoints of one pool that it is home to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -58,9 +58,9 @@
     /// The bundle version in force at the sender; 0 for none.
     pub version: Version,
     /// What is said of instances.
-    pub rumours: Vec<Rumour>,
+    pub member_updates: Vec<MemberUpdate>,
     /// Endpoints that leave.
-    pub leaving: Vec<Leaving>,
+    pub leaving: Vec<LeavingNotice>,
     /// The sender's load sums.
     pub loads: Vec<Load>,
     /// Quarantine evidence.
@@ -101,20 +101,20 @@
     }
 }
 
-const ELEMENTS: usize = 10;
+const ELEMENT_COUNT: usize = 10;
 
 impl Serialize for Message {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        let mut tuple = serializer.serialize_tuple(ELEMENTS)?;
+        let mut tuple = serializer.serialize_tuple(ELEMENT_COUNT)?;
         tuple.serialize_element(&self.from.id)?;
         tuple.serialize_element(&self.from.incarnation)?;
-        tuple.serialize_element(&self.from.beat)?;
+        tuple.serialize_element(&self.from.sequence)?;
         tuple.serialize_element(&(self.from.standing == Standing::Leaving))?;
         tuple.serialize_element(&self.version)?;
-        tuple.serialize_element(&self.rumours)?;
+        tuple.serialize_element(&self.member_updates)?;
         tuple.serialize_element(&self.leaving)?;
         tuple.serialize_element(&self.loads)?;
-        tuple.serialize_element(&Flat(&self.evidence))?;
+        tuple.serialize_element(&EvidenceBytes(&self.evidence))?;
         tuple.serialize_element(&self.demands)?;
         tuple.end()
     }
@@ -122,7 +122,7 @@
 
 impl<'de> Deserialize<'de> for Message {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_tuple(ELEMENTS, MessageVisitor)
+        deserializer.deserialize_tuple(ELEMENT_COUNT, MessageVisitor)
     }
 }
 
@@ -138,22 +138,22 @@
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Message, A::Error> {
         Ok(Message {
             from: Heartbeat {
-                id: element(&mut seq)?,
-                incarnation: element(&mut seq)?,
-                beat: element(&mut seq)?,
-                standing: standing(element(&mut seq)?),
+                id: next_element(&mut seq)?,
+                incarnation: next_element(&mut seq)?,
+                sequence: next_element(&mut seq)?,
+                standing: standing_from_flag(next_element(&mut seq)?),
             },
-            version: element(&mut seq)?,
-            rumours: element(&mut seq)?,
-            leaving: element(&mut seq)?,
-            loads: element(&mut seq)?,
-            evidence: element::<A, Pieces>(&mut seq)?.0,
-            demands: element(&mut seq)?,
+            version: next_element(&mut seq)?,
+            member_updates: next_element(&mut seq)?,
+            leaving: next_element(&mut seq)?,
+            loads: next_element(&mut seq)?,
+            evidence: next_element::<A, EvidenceList>(&mut seq)?.0,
+            demands: next_element(&mut seq)?,
         })
     }
 }
 
-const fn standing(leaving: bool) -> Standing {
+const fn standing_from_flag(leaving: bool) -> Standing {
     if leaving {
         Standing::Leaving
     } else {
@@ -161,12 +161,12 @@
     }
 }
 
-fn element<'de, A: SeqAccess<'de>, T: Deserialize<'de>>(seq: &mut A) -> Result<T, A::Error> {
+fn next_element<'de, A: SeqAccess<'de>, T: Deserialize<'de>>(seq: &mut A) -> Result<T, A::Error> {
     seq.next_element()?
         .ok_or_else(|| de::Error::custom("a message has too few elements"))
 }
 
-impl Serialize for Rumour {
+impl Serialize for MemberUpdate {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let state = match self.state {
             State::Live => 0_u8,
@@ -175,13 +175,13 @@
             State::Returning => 3,
             State::Gone => 4,
         };
-        (self.id, self.incarnation, self.beat, state).serialize(serializer)
+        (self.id, self.incarnation, self.sequence, state).serialize(serializer)
     }
 }
 
-impl<'de> Deserialize<'de> for Rumour {
+impl<'de> Deserialize<'de> for MemberUpdate {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        let (id, incarnation, beat, state) = Deserialize::deserialize(deserializer)?;
+        let (id, incarnation, sequence, state) = Deserialize::deserialize(deserializer)?;
         let state = match state {
             0_u8 => State::Live,
             1 => State::Suspect,
@@ -193,19 +193,19 @@
         Ok(Self {
             id,
             incarnation,
-            beat,
+            sequence,
             state,
         })
     }
 }
 
-impl Serialize for Leaving {
+impl Serialize for LeavingNotice {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         (self.id, self.incarnation).serialize(serializer)
     }
 }
 
-impl<'de> Deserialize<'de> for Leaving {
+impl<'de> Deserialize<'de> for LeavingNotice {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let (id, incarnation) = Deserialize::deserialize(deserializer)?;
         Ok(Self { id, incarnation })
@@ -250,37 +250,37 @@
 }
 
 // Evidence as one byte string, so that a piece costs its 48 bytes alone.
-struct Flat<'a>(&'a [Evidence]);
+struct EvidenceBytes<'a>(&'a [Evidence]);
 
-impl Serialize for Flat<'_> {
+impl Serialize for EvidenceBytes<'_> {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.serialize_bytes(self.0.as_flattened())
     }
 }
 
-struct Pieces(Vec<Evidence>);
+struct EvidenceList(Vec<Evidence>);
 
-impl<'de> Deserialize<'de> for Pieces {
+impl<'de> Deserialize<'de> for EvidenceList {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_bytes(PiecesVisitor)
+        deserializer.deserialize_bytes(EvidenceListVisitor)
     }
 }
 
-struct PiecesVisitor;
+struct EvidenceListVisitor;
 
-impl Visitor<'_> for PiecesVisitor {
-    type Value = Pieces;
+impl Visitor<'_> for EvidenceListVisitor {
+    type Value = EvidenceList;
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("pieces of evidence, 48 bytes each")
     }
 
-    fn visit_bytes<E: de::Error>(self, v: &[u8]) -> Result<Pieces, E> {
-        let (pieces, rest) = v.as_chunks::<EVIDENCE>();
+    fn visit_bytes<E: de::Error>(self, v: &[u8]) -> Result<EvidenceList, E> {
+        let (pieces, rest) = v.as_chunks::<EVIDENCE_BYTES>();
         if !rest.is_empty() {
             return Err(E::invalid_length(v.len(), &self));
         }
-        Ok(Pieces(pieces.to_vec()))
+        Ok(EvidenceList(pieces.to_vec()))
     }
 }
 
--- a/crates/state/src/gossip/message/tests.rs
+++ b/crates/state/src/gossip/message/tests.rs
@@ -6,11 +6,11 @@
 
 fn any_message() -> impl Strategy<Value = Message> {
     let ids = (any::<u64>(), any::<u64>(), any::<u64>(), any::<bool>());
-    let rumour = (any::<u64>(), any::<u64>(), any::<u64>(), 0..5_usize);
-    let rumour = rumour.prop_map(|(id, incarnation, beat, state)| Rumour {
+    let update = (any::<u64>(), any::<u64>(), any::<u64>(), 0..5_usize);
+    let update = update.prop_map(|(id, incarnation, sequence, state)| MemberUpdate {
         id,
         incarnation,
-        beat,
+        sequence,
         state: [
             State::Live,
             State::Suspect,
@@ -19,7 +19,7 @@
             State::Gone,
         ][state],
     });
-    let sign = any::<(u64, u64)>().prop_map(|(id, incarnation)| Leaving { id, incarnation });
+    let sign = any::<(u64, u64)>().prop_map(|(id, incarnation)| LeavingNotice { id, incarnation });
     let load = any::<(u64, u32, u64, u32)>().prop_map(|(pool, endpoints, work, taken)| Load {
         waiting: taken ^ endpoints,
         pool,
@@ -32,27 +32,27 @@
         rate,
         running,
     });
-    let piece = prop::collection::vec(any::<u8>(), EVIDENCE)
+    let piece = prop::collection::vec(any::<u8>(), EVIDENCE_BYTES)
         .prop_map(|bytes| Evidence::try_from(bytes).expect("the length is fixed"));
     (
         ids,
         any::<u64>(),
-        prop::collection::vec(rumour, 0..5),
+        prop::collection::vec(update, 0..5),
         prop::collection::vec(sign, 0..5),
         prop::collection::vec(load, 0..5),
         prop::collection::vec(piece, 0..5),
         prop::option::of(prop::collection::vec(demand, 0..5)),
     )
         .prop_map(
-            |(ids, version, rumours, leaving, loads, evidence, demands)| Message {
+            |(ids, version, member_updates, leaving, loads, evidence, demands)| Message {
                 from: Heartbeat {
                     id: ids.0,
                     incarnation: ids.1,
-                    beat: ids.2,
-                    standing: standing(ids.3),
+                    sequence: ids.2,
+                    standing: standing_from_flag(ids.3),
                 },
                 version,
-                rumours,
+                member_updates,
                 leaving,
                 loads,
                 evidence,
--- a/crates/state/src/gossip/pump.rs
+++ b/crates/state/src/gossip/pump.rs
@@ -13,57 +13,57 @@
 use rand::Rng;
 use rand::seq::{IndexedRandom, SliceRandom};
 
-use super::{Budget, Demand, Evidence, Load, Message, Spread, Urgency};
-use crate::membership::endpoints::{Endpoints, Leaving};
-use crate::membership::{Roster, Rumour, State};
+use super::{Budget, Demand, Evidence, Load, Message, SendQueue, Urgency};
+use crate::membership::endpoints::{Endpoints, LeavingNotice};
+use crate::membership::{MemberUpdate, Roster, State};
 
 /// The time between two routine contacts of one instance.
 ///
 /// At a second, two exchanges of about 900 bytes with all headers (one begun,
 /// one answered) cost under 2 KB/s of the 6 KB/s that a node may spend.
-pub const PERIOD: Duration = Duration::from_secs(1);
+pub const EXCHANGE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Peers that are told at once of news that can't wait.
 ///
 /// With three, one push wave reaches all but `x = e^(-3(1-x))`, 6% of the
 /// instances; the periodic exchange reaches those in one or two periods.
-pub const HOT_PEERS: usize = 3;
+pub const URGENT_FANOUT: usize = 3;
 
 // One routine contact in this many goes to a listed instance that is gone; one
 // in the second number if an eighth of all are, as after a cut between regions.
 // Each must be met once before it is taken back.
-const GONE_EVERY: u64 = 5;
-const MANY_GONE_EVERY: u64 = 2;
-const MANY_GONE_PARTS: usize = 8;
+const EXCHANGES_PER_GONE_CONTACT: u64 = 5;
+const EXCHANGES_PER_GONE_CONTACT_IF_MANY: u64 = 2;
+const MANY_GONE_DIVISOR: usize = 8;
 
 /// Bytes of a message's body at most.
 ///
 /// With its head it fills one packet, or a little of a second one.
-pub const LARGEST: usize = 1100;
+pub const MAX_BODY_BYTES: usize = 1100;
 
 // Items in one message at most: on the wire they take 30, 19, 38 and 48 bytes
-// at most, which with the fixed 40 and an accusation sums up to less than LARGEST.
-const RUMOURS: usize = 15;
-const SIGNS: usize = 8;
-const LOADS: usize = 6;
-const PIECES: usize = 4;
+// at most, which with the fixed 40 and an accusation sums up to less than MAX_BODY_BYTES.
+const MAX_MEMBER_UPDATES: usize = 15;
+const MAX_LEAVING_NOTICES: usize = 8;
+const MAX_LOADS: usize = 6;
+const MAX_EVIDENCE: usize = 4;
 
 // Demands, 20 bytes each, are left out of a message with more rumours than
 // this: a third of them make room for eight demands.
-const DEMANDS: usize = 8;
-const ROOM_RUMOURS: usize = 9;
+const MAX_DEMANDS: usize = 8;
+const MAX_UPDATES_WITH_DEMANDS: usize = 9;
 
 // News held to be told; more than a lost zone of 27 instances, or a rack of
 // runners that leaves at once.
-const LONGEST: usize = 512;
+const MAX_QUEUED_ITEMS: usize = 512;
 
 /// What a received message brought that its reader must act on.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct News {
+pub struct PeerUpdate {
     /// The sender holds this newer bundle version: fetch it from there.
     pub version: Option<Version>,
     /// The sender holds an older version and may be told.
-    pub behind: bool,
+    pub sender_behind: bool,
     /// The sender's load sums.
     pub loads: Vec<Load>,
     /// Evidence that was not known before.
@@ -77,17 +77,17 @@
 pub struct Pump {
     budget: Budget,
     round: VecDeque<InstanceId>,
-    next: Moment,
-    contacts: u64,
-    hot: usize,
-    warm: usize,
+    next_exchange: Moment,
+    exchanges: u64,
+    pending_urgent: usize,
+    pending_routine: usize,
     version: Version,
-    rumours: Spread<Rumour>,
-    leaving: Spread<Leaving>,
-    evidence: Spread<Evidence>,
+    member_updates: SendQueue<MemberUpdate>,
+    leaving: SendQueue<LeavingNotice>,
+    evidence: SendQueue<Evidence>,
     demands: Vec<Demand>,
     known_evidence: VecDeque<Evidence>,
-    peers: usize,
+    peer_count: usize,
 }
 
 impl Pump {
@@ -97,17 +97,17 @@
         Self {
             budget,
             round: VecDeque::new(),
-            next: Moment::ZERO,
-            contacts: 0,
-            hot: 0,
-            warm: 0,
+            next_exchange: Moment::ZERO,
+            exchanges: 0,
+            pending_urgent: 0,
+            pending_routine: 0,
             version: 0,
-            rumours: Spread::new(LONGEST),
-            leaving: Spread::new(LONGEST),
-            evidence: Spread::new(LONGEST),
+            member_updates: SendQueue::new(MAX_QUEUED_ITEMS),
+            leaving: SendQueue::new(MAX_QUEUED_ITEMS),
+            evidence: SendQueue::new(MAX_QUEUED_ITEMS),
             demands: Vec::new(),
             known_evidence: VecDeque::new(),
-            peers: 0,
+            peer_count: 0,
         }
     }
 
@@ -119,40 +119,40 @@
 
     /// Returns when [`Pump::tick`] is wanted next.
     #[must_use]
-    pub const fn next(&self) -> Moment {
-        self.next
+    pub const fn next_exchange(&self) -> Moment {
+        self.next_exchange
     }
 
     /// Sets the bundle version in force; a newer one is told at once.
     pub fn set_version(&mut self, version: Version) {
         if version > self.version {
             self.version = version;
-            self.heat();
+            self.schedule_urgent();
         }
     }
 
     /// Takes changes of the roster to pass on.
-    pub fn rumours(&mut self, changes: &[Rumour]) {
-        for &rumour in changes {
-            self.rumours
-                .retain(|held| held.id != rumour.id || newer(held, &rumour));
-            self.rumours.add(rumour);
+    pub fn queue_member_updates(&mut self, changes: &[MemberUpdate]) {
+        for &update in changes {
+            self.member_updates
+                .retain(|queued| queued.id != update.id || supersedes(queued, &update));
+            self.member_updates.push(update);
             // An accusation and its answer race each other, and the answer
             // must win; a leaving instance must lose its homes.
-            self.warm = HOT_PEERS;
+            self.pending_routine = URGENT_FANOUT;
         }
     }
 
     /// Takes a leaving sign that is new here; it is told at once.
-    pub fn leaving(&mut self, leaving: Leaving) {
-        self.leaving.add(leaving);
-        self.heat();
+    pub fn queue_leaving(&mut self, leaving: LeavingNotice) {
+        self.leaving.push(leaving);
+        self.schedule_urgent();
     }
 
     /// Takes evidence that the own quarantine found; it is told at once.
-    pub fn evidence(&mut self, piece: Evidence) {
-        if self.learn(piece) {
-            self.heat();
+    pub fn queue_evidence(&mut self, piece: Evidence) {
+        if self.record_evidence(piece) {
+            self.schedule_urgent();
         }
     }
 
@@ -160,42 +160,44 @@
     ///
     /// It is the sender's alone and is not passed on by others.
     pub fn set_demands(&mut self, mut demands: Vec<Demand>) {
-        demands.truncate(DEMANDS);
+        demands.truncate(MAX_DEMANDS);
         self.demands = demands;
     }
 
     /// Returns the peers to send a message to now.
     ///
-    /// Each is already paid for. To be called at [`Pump::next`], and at once
+    /// Each is already paid for. To be called at [`Pump::next_exchange`], and at once
     /// after news.
     pub fn tick<R: Rng>(&mut self, now: Moment, roster: &Roster, rng: &mut R) -> Vec<InstanceId> {
-        self.peers = roster.others().count();
+        self.peer_count = roster.others().count();
         let mut chosen = Vec::new();
-        while self.hot + self.warm > 0 {
-            let Some(peer) = self.draw(roster, rng, false) else {
+        while self.pending_urgent + self.pending_routine > 0 {
+            let Some(peer) = self.next_peer(roster, rng, false) else {
                 break;
             };
-            let urgency = if self.hot > 0 {
-                Urgency::News
+            let urgency = if self.pending_urgent > 0 {
+                Urgency::Urgent
             } else {
                 Urgency::Routine
             };
-            if !self.pay(now, urgency) {
+            if !self.reserve_exchange(now, urgency) {
                 // Deferred, not dropped: the counts stay until the bucket
                 // fills.
                 self.round.push_front(peer);
                 break;
             }
-            self.hot = self.hot.saturating_sub(1);
-            self.warm = self.warm.saturating_sub(1);
+            self.pending_urgent = self.pending_urgent.saturating_sub(1);
+            self.pending_routine = self.pending_routine.saturating_sub(1);
             chosen.push(peer);
         }
-        if now >= self.next {
-            self.next = now + PERIOD;
-            self.contacts += 1;
-            let gone = self.contacts.is_multiple_of(gone_every(roster));
-            if let Some(peer) = self.draw(roster, rng, gone)
-                && self.pay(now, Urgency::Routine)
+        if now >= self.next_exchange {
+            self.next_exchange = now + EXCHANGE_INTERVAL;
+            self.exchanges += 1;
+            let gone = self
+                .exchanges
+                .is_multiple_of(exchanges_per_gone_contact(roster));
+            if let Some(peer) = self.next_peer(roster, rng, gone)
+                && self.reserve_exchange(now, Urgency::Routine)
             {
                 chosen.push(peer);
             }
@@ -204,39 +206,42 @@
     }
 
     /// Returns the message for a peer, as request or as answer.
-    pub fn message(&mut self, to: InstanceId, roster: &Roster, loads: &[Load]) -> Message {
-        let times = times(self.peers);
-        let mut rumours = self.rumours.take(RUMOURS, times);
-        if let Some(accusation) = roster.accusation(to)
-            && !rumours.contains(&accusation)
+    pub fn build_message(&mut self, to: InstanceId, roster: &Roster, loads: &[Load]) -> Message {
+        let max_sends = send_limit(self.peer_count);
+        let mut member_updates = self
+            .member_updates
+            .take_batch(MAX_MEMBER_UPDATES, max_sends);
+        if let Some(suspicion) = roster.suspicion(to)
+            && !member_updates.contains(&suspicion)
         {
-            rumours.push(accusation);
+            member_updates.push(suspicion);
         }
         // A burst of news needs the bytes more; it passes in seconds.
-        let told = rumours.len() <= ROOM_RUMOURS && self.budget.ample();
-        let demands = told.then(|| self.demands.clone());
+        let has_room =
+            member_updates.len() <= MAX_UPDATES_WITH_DEMANDS && self.budget.has_surplus();
+        let demands = has_room.then(|| self.demands.clone());
         Message {
             from: roster.heartbeat(),
             version: self.version,
-            rumours,
-            leaving: self.leaving.take(SIGNS, times),
-            loads: loads[..loads.len().min(LOADS)].to_vec(),
-            evidence: self.evidence.take(PIECES, times),
+            member_updates,
+            leaving: self.leaving.take_batch(MAX_LEAVING_NOTICES, max_sends),
+            loads: loads[..loads.len().min(MAX_LOADS)].to_vec(),
+            evidence: self.evidence.take_batch(MAX_EVIDENCE, max_sends),
             demands,
         }
     }
 
     /// Takes the answer that a contact brought: settles its cost and reads it.
-    pub fn answered(
+    pub fn apply_response(
         &mut self,
         now: Moment,
         bytes: usize,
         message: &Message,
         roster: &mut Roster,
         endpoints: &mut Endpoints,
-    ) -> News {
-        self.budget.refund(LARGEST, bytes);
-        self.read(now, message, roster, endpoints)
+    ) -> PeerUpdate {
+        self.budget.refund(MAX_BODY_BYTES, bytes);
+        self.apply_message(now, message, roster, endpoints)
     }
 
     /// Takes a peer's request of `bytes`, or refuses it when the bucket can't
@@ -244,94 +249,101 @@
     ///
     /// A refusal is to be answered with an empty 429; it is the peer's gossip
     /// that waits then.
-    pub fn asked(
+    pub fn apply_request(
         &mut self,
         now: Moment,
         bytes: usize,
         message: &Message,
         roster: &mut Roster,
         endpoints: &mut Endpoints,
-    ) -> Option<News> {
-        let paid = self.budget.take(now, bytes, Urgency::News) && self.pay_one(now);
-        paid.then(|| self.read(now, message, roster, endpoints))
+    ) -> Option<PeerUpdate> {
+        let paid = self.budget.try_take(now, bytes, Urgency::Urgent) && self.reserve_message(now);
+        paid.then(|| self.apply_message(now, message, roster, endpoints))
     }
 
     /// Settles the cost of an answer or request that was sent.
-    pub fn sent(&mut self, bytes: usize) {
-        self.budget.refund(LARGEST, bytes);
+    pub fn settle_sent(&mut self, bytes: usize) {
+        self.budget.refund(MAX_BODY_BYTES, bytes);
     }
 
     /// Settles the cost of a contact that brought no answer.
-    pub fn failed(&mut self) {
-        self.budget.cancel(LARGEST);
+    pub fn settle_failed(&mut self) {
+        self.budget.cancel(MAX_BODY_BYTES);
     }
 
-    fn read(
+    fn apply_message(
         &mut self,
         now: Moment,
         message: &Message,
         roster: &mut Roster,
         endpoints: &mut Endpoints,
-    ) -> News {
-        roster.heard(now, &message.from);
-        for rumour in &message.rumours {
-            roster.rumour(now, rumour);
+    ) -> PeerUpdate {
+        roster.apply_heartbeat(now, &message.from);
+        for update in &message.member_updates {
+            roster.apply_update(now, update);
         }
         for &leaving in &message.leaving {
-            endpoints.sign(leaving);
+            endpoints.apply_notice(leaving);
         }
         let evidence = message.evidence.iter().copied();
-        let fresh: Vec<Evidence> = evidence.filter(|piece| self.learn(*piece)).collect();
-        if !fresh.is_empty() {
-            self.heat();
+        let new_evidence: Vec<Evidence> = evidence
+            .filter(|piece| self.record_evidence(*piece))
+            .collect();
+        if !new_evidence.is_empty() {
+            self.schedule_urgent();
         }
-        News {
+        PeerUpdate {
             version: (message.version > self.version).then_some(message.version),
-            behind: message.version < self.version,
+            sender_behind: message.version < self.version,
             loads: message.loads.clone(),
-            evidence: fresh,
+            evidence: new_evidence,
             demands: message.demands.clone(),
         }
     }
 
-    fn learn(&mut self, piece: Evidence) -> bool {
+    fn record_evidence(&mut self, piece: Evidence) -> bool {
         if self.known_evidence.contains(&piece) {
             return false;
         }
         self.known_evidence.push_back(piece);
-        if self.known_evidence.len() > LONGEST {
+        if self.known_evidence.len() > MAX_QUEUED_ITEMS {
             self.known_evidence.pop_front();
         }
-        self.evidence.add(piece);
+        self.evidence.push(piece);
         true
     }
 
-    fn heat(&mut self) {
-        self.hot = HOT_PEERS;
+    fn schedule_urgent(&mut self) {
+        self.pending_urgent = URGENT_FANOUT;
     }
 
     // A request and its answer, each at its largest; the rest is refunded.
-    fn pay(&mut self, now: Moment, urgency: Urgency) -> bool {
-        if !self.budget.take(now, LARGEST, urgency) {
+    fn reserve_exchange(&mut self, now: Moment, urgency: Urgency) -> bool {
+        if !self.budget.try_take(now, MAX_BODY_BYTES, urgency) {
             return false;
         }
-        if !self.budget.take(now, LARGEST, urgency) {
-            self.budget.cancel(LARGEST);
+        if !self.budget.try_take(now, MAX_BODY_BYTES, urgency) {
+            self.budget.cancel(MAX_BODY_BYTES);
             return false;
         }
         true
     }
 
-    fn pay_one(&mut self, now: Moment) -> bool {
-        self.budget.take(now, LARGEST, Urgency::News)
+    fn reserve_message(&mut self, now: Moment) -> bool {
+        self.budget.try_take(now, MAX_BODY_BYTES, Urgency::Urgent)
     }
 
-    fn draw<R: Rng>(&mut self, roster: &Roster, rng: &mut R, gone: bool) -> Option<InstanceId> {
-        if gone && let Some(peer) = draw_gone(roster, rng) {
+    fn next_peer<R: Rng>(
+        &mut self,
+        roster: &Roster,
+        rng: &mut R,
+        gone: bool,
+    ) -> Option<InstanceId> {
+        if gone && let Some(peer) = random_gone_peer(roster, rng) {
             return Some(peer);
         }
         if self.round.is_empty() {
-            self.round = shuffled(roster, rng);
+            self.round = shuffled_peers(roster, rng);
         }
         while let Some(peer) = self.round.pop_front() {
             if roster.state(peer).is_some_and(|state| state != State::Gone) {
@@ -342,31 +354,31 @@
     }
 }
 
-fn gone_every(roster: &Roster) -> u64 {
+fn exchanges_per_gone_contact(roster: &Roster) -> u64 {
     let states = roster.others().map(|(_, state)| state);
     let (mut gone, mut all) = (0, 0);
     for state in states {
         all += 1;
         gone += usize::from(state == State::Gone);
     }
-    if gone * MANY_GONE_PARTS > all {
-        MANY_GONE_EVERY
+    if gone * MANY_GONE_DIVISOR > all {
+        EXCHANGES_PER_GONE_CONTACT_IF_MANY
     } else {
-        GONE_EVERY
+        EXCHANGES_PER_GONE_CONTACT
     }
 }
 
 // Times an item is told: three times the rounds that an epidemic needs to
 // double over all peers, as in SWIM (Das, Gupta, Motivala 2002, section 4.1).
-fn times(peers: usize) -> u32 {
+fn send_limit(peers: usize) -> u32 {
     3 * (usize::BITS - peers.leading_zeros()).max(1)
 }
 
-fn newer(held: &Rumour, rumour: &Rumour) -> bool {
-    (held.incarnation, held.beat) > (rumour.incarnation, rumour.beat)
+fn supersedes(queued: &MemberUpdate, update: &MemberUpdate) -> bool {
+    (queued.incarnation, queued.sequence) > (update.incarnation, update.sequence)
 }
 
-fn shuffled<R: Rng>(roster: &Roster, rng: &mut R) -> VecDeque<InstanceId> {
+fn shuffled_peers<R: Rng>(roster: &Roster, rng: &mut R) -> VecDeque<InstanceId> {
     let mut ids: Vec<InstanceId> = roster
         .others()
         .filter(|(_, state)| *state != State::Gone)
@@ -376,7 +388,7 @@
     ids.into()
 }
 
-fn draw_gone<R: Rng>(roster: &Roster, rng: &mut R) -> Option<InstanceId> {
+fn random_gone_peer<R: Rng>(roster: &Roster, rng: &mut R) -> Option<InstanceId> {
     let gone: Vec<InstanceId> = roster
         .others()
         .filter(|(_, state)| *state == State::Gone)
--- a/crates/state/src/gossip/pump/tests.rs
+++ b/crates/state/src/gossip/pump/tests.rs
@@ -7,7 +7,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use super::super::EVIDENCE;
+use super::super::EVIDENCE_BYTES;
 use super::*;
 
 const fn at(millis: u64) -> Moment {
@@ -31,7 +31,7 @@
 fn roster(size: u64) -> Roster {
     let mut roster = Roster::new(instance(1));
     let listed: Vec<Instance> = (1..=size).map(instance).collect();
-    roster.list(at(0), &listed);
+    roster.apply_list(at(0), &listed);
     roster
 }
 
@@ -47,7 +47,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut pump = pump(2000);
     while !pump.tick(at(0), &roster, &mut rng).is_empty() {
-        pump.evidence([0; EVIDENCE]);
+        pump.queue_evidence([0; EVIDENCE_BYTES]);
         pump.set_version(pump.version + 1);
     }
     pump.set_version(99);
@@ -56,8 +56,8 @@
     for second in 1..9 {
         told.extend(pump.tick(at(second * 1000), &roster, &mut rng));
     }
-    assert!(told.len() >= HOT_PEERS, "told {told:?}");
-    let message = pump.message(told[0], &roster, &[]);
+    assert!(told.len() >= URGENT_FANOUT, "told {told:?}");
+    let message = pump.build_message(told[0], &roster, &[]);
     assert_eq!(message.version, 99);
 }
 
@@ -69,17 +69,17 @@
     pump.set_version(u64::MAX);
     for n in 0..64_u8 {
         let id = u64::MAX - u64::from(n);
-        pump.rumours(&[Rumour {
+        pump.queue_member_updates(&[MemberUpdate {
             id,
             incarnation: u64::MAX,
-            beat: u64::MAX,
+            sequence: u64::MAX,
             state: State::Gone,
         }]);
-        pump.leaving(Leaving {
+        pump.queue_leaving(LeavingNotice {
             id,
             incarnation: u64::MAX,
         });
-        pump.evidence([n; EVIDENCE]);
+        pump.queue_evidence([n; EVIDENCE_BYTES]);
     }
     let load = Load {
         pool: u64::MAX,
@@ -94,11 +94,11 @@
         running: u32::MAX,
     };
     pump.set_demands(vec![demand; 20]);
-    let message = pump.message(2, &roster, &[load; 20]);
-    assert_eq!(message.rumours.len(), RUMOURS);
+    let message = pump.build_message(2, &roster, &[load; 20]);
+    assert_eq!(message.member_updates.len(), MAX_MEMBER_UPDATES);
     assert_eq!(message.demands, None);
     assert!(
-        message.encode().len() <= LARGEST,
+        message.encode().len() <= MAX_BODY_BYTES,
         "{}",
         message.encode().len()
     );
@@ -113,16 +113,16 @@
     for n in 0..64_u8 {
         let id = u64::MAX - u64::from(n);
         let incarnation = u64::MAX;
-        if usize::from(n) < ROOM_RUMOURS {
-            pump.rumours(&[Rumour {
+        if usize::from(n) < MAX_UPDATES_WITH_DEMANDS {
+            pump.queue_member_updates(&[MemberUpdate {
                 id,
                 incarnation,
-                beat: u64::MAX,
+                sequence: u64::MAX,
                 state: State::Gone,
             }]);
         }
-        pump.leaving(Leaving { id, incarnation });
-        pump.evidence([n; EVIDENCE]);
+        pump.queue_leaving(LeavingNotice { id, incarnation });
+        pump.queue_evidence([n; EVIDENCE_BYTES]);
     }
     let load = Load {
         pool: u64::MAX,
@@ -137,10 +137,10 @@
         running: u32::MAX,
     };
     pump.set_demands(vec![demand; 20]);
-    let message = pump.message(2, &roster, &[load; 20]);
-    assert_eq!(message.demands.as_ref().map(Vec::len), Some(DEMANDS));
+    let message = pump.build_message(2, &roster, &[load; 20]);
+    assert_eq!(message.demands.as_ref().map(Vec::len), Some(MAX_DEMANDS));
     let bytes = message.encode().len();
-    assert!(bytes <= LARGEST, "{bytes}");
+    assert!(bytes <= MAX_BODY_BYTES, "{bytes}");
 }
 
 /// A dead instance is noticed late, or never, because chance leaves it out.
@@ -162,11 +162,11 @@
 #[test]
 fn the_accused_is_told() {
     let mut roster = roster(3);
-    roster.unreachable(at(0), 2);
+    roster.record_unreachable(at(0), 2);
     let mut pump = pump(6000);
-    let message = pump.message(2, &roster, &[]);
-    assert_eq!(message.rumours.len(), 1);
-    assert_eq!(message.rumours[0].state, State::Suspect);
+    let message = pump.build_message(2, &roster, &[]);
+    assert_eq!(message.member_updates.len(), 1);
+    assert_eq!(message.member_updates[0].state, State::Suspect);
 }
 
 #[test]
@@ -175,10 +175,10 @@
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut pump = pump(6000);
     pump.tick(at(0), &roster, &mut rng);
-    pump.leaving(Leaving {
+    pump.queue_leaving(LeavingNotice {
         id: 7,
         incarnation: 1,
     });
-    let told = (0..100).filter(|_| !pump.message(2, &roster, &[]).leaving.is_empty());
-    assert_eq!(told.count(), times(19) as usize);
+    let told = (0..100).filter(|_| !pump.build_message(2, &roster, &[]).leaving.is_empty());
+    assert_eq!(told.count(), send_limit(19) as usize);
 }
--- a/crates/state/src/gossip/spread.rs
+++ b/crates/state/src/gossip/spread.rs
@@ -8,28 +8,28 @@
 
 /// A bounded queue of items to tell peers.
 #[derive(Clone, Debug)]
-pub struct Spread<T> {
-    longest: usize,
+pub struct SendQueue<T> {
+    capacity: usize,
     items: VecDeque<(u32, T)>,
 }
 
-impl<T: Copy + PartialEq> Spread<T> {
-    /// Returns an empty queue of at most `longest` items.
+impl<T: Copy + PartialEq> SendQueue<T> {
+    /// Returns an empty queue of at most `capacity` items.
     #[must_use]
-    pub const fn new(longest: usize) -> Self {
+    pub const fn new(capacity: usize) -> Self {
         Self {
-            longest,
+            capacity,
             items: VecDeque::new(),
         }
     }
 
     /// Adds an item, unless it is held; the item told most often makes room.
-    pub fn add(&mut self, item: T) {
-        if self.items.iter().any(|(_, held)| *held == item) {
+    pub fn push(&mut self, item: T) {
+        if self.items.iter().any(|(_, queued)| *queued == item) {
             return;
         }
         self.items.push_front((0, item));
-        self.items.truncate(self.longest);
+        self.items.truncate(self.capacity);
     }
 
     /// Removes the items that a newer one makes worthless.
@@ -39,15 +39,15 @@
 
     /// Returns up to `most` items to tell now and counts them as told; each is
     /// dropped once told `times` times.
-    pub fn take(&mut self, most: usize, times: u32) -> Vec<T> {
-        let count = most.min(self.items.len());
-        let told: Vec<(u32, T)> = self.items.drain(..count).collect();
-        for &(n, item) in &told {
-            if n + 1 < times {
-                self.insert(n + 1, item);
+    pub fn take_batch(&mut self, max_items: usize, max_sends: u32) -> Vec<T> {
+        let count = max_items.min(self.items.len());
+        let sent: Vec<(u32, T)> = self.items.drain(..count).collect();
+        for &(sends, item) in &sent {
+            if sends + 1 < max_sends {
+                self.insert(sends + 1, item);
             }
         }
-        told.into_iter().map(|(_, item)| item).collect()
+        sent.into_iter().map(|(_, item)| item).collect()
     }
 
     /// Returns the number of items held.
@@ -63,8 +63,8 @@
     }
 
     // Keeps the queue ordered by how often items were told.
-    fn insert(&mut self, told: u32, item: T) {
-        let at = self.items.partition_point(|(n, _)| *n <= told);
-        self.items.insert(at, (told, item));
+    fn insert(&mut self, sends: u32, item: T) {
+        let at = self.items.partition_point(|(count, _)| *count <= sends);
+        self.items.insert(at, (sends, item));
     }
 }
--- a/crates/state/src/membership.rs
+++ b/crates/state/src/membership.rs
@@ -15,5 +15,5 @@
 mod member;
 mod roster;
 
-pub use member::{PROBATION, SUSPECT, State};
-pub use roster::{ABSENT, Heartbeat, Roster, Rumour};
+pub use member::{PROBATION_PERIOD, SUSPICION_TIMEOUT, State};
+pub use roster::{Heartbeat, MAX_UNLISTED, MemberUpdate, Roster};
--- a/crates/state/src/membership/endpoints.rs
+++ b/crates/state/src/membership/endpoints.rs
@@ -15,11 +15,11 @@
 /// How long an endpoint may miss from the list while it reports nothing.
 ///
 /// The list lags by seconds; an endpoint that still reports is kept.
-pub const ABSENT: Duration = Duration::from_secs(10);
+pub const MAX_UNLISTED: Duration = Duration::from_secs(10);
 
 /// A leaving sign, as instances pass it on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Leaving {
+pub struct LeavingNotice {
     /// The endpoint that leaves.
     pub id: EndpointId,
     /// The life that leaves.
@@ -32,7 +32,7 @@
     /// A new endpoint, or a new life of a known one.
     Joined(EndpointId),
     /// It gets no new work from now on; the sign is to be passed on.
-    Left(Leaving),
+    Left(LeavingNotice),
     /// It is off the list and silent.
     Gone(EndpointId),
 }
@@ -40,17 +40,17 @@
 /// The endpoints that an instance knows.
 #[derive(Debug, Default)]
 pub struct Endpoints {
-    known: BTreeMap<EndpointId, Known>,
+    entries: BTreeMap<EndpointId, Entry>,
     // Signs outlive their endpoint's entry: the list may bring it back.
-    left: BTreeMap<EndpointId, Incarnation>,
+    left_incarnations: BTreeMap<EndpointId, Incarnation>,
     changes: Vec<Change>,
 }
 
 #[derive(Debug)]
-struct Known {
+struct Entry {
     endpoint: Endpoint,
-    reported: Option<Moment>,
-    unlisted: Option<Moment>,
+    reported_at: Option<Moment>,
+    unlisted_since: Option<Moment>,
 }
 
 impl Endpoints {
@@ -61,40 +61,40 @@
     }
 
     /// Takes an answer of the platform's list; an empty one is not believed.
-    pub fn list(&mut self, now: Moment, listed: &[Endpoint]) {
+    pub fn apply_list(&mut self, now: Moment, listed: &[Endpoint]) {
         if listed.is_empty() {
             return;
         }
         for endpoint in listed {
-            self.listed(endpoint);
+            self.apply_listed(endpoint);
         }
         let present: std::collections::BTreeSet<EndpointId> =
             listed.iter().map(|endpoint| endpoint.id).collect();
-        for (id, known) in &mut self.known {
+        for (id, entry) in &mut self.entries {
             if present.contains(id) {
-                known.unlisted = None;
-            } else if known.unlisted.is_none() {
-                known.unlisted = Some(now);
+                entry.unlisted_since = None;
+            } else if entry.unlisted_since.is_none() {
+                entry.unlisted_since = Some(now);
             }
         }
     }
 
     /// Takes an endpoint's own report.
-    pub fn report(&mut self, now: Moment, id: EndpointId, report: &Report) {
-        let Some(known) = self.known.get_mut(&id) else {
+    pub fn apply_report(&mut self, now: Moment, id: EndpointId, report: &Report) {
+        let Some(entry) = self.entries.get_mut(&id) else {
             return;
         };
-        if report.incarnation < known.endpoint.incarnation {
+        if report.incarnation < entry.endpoint.incarnation {
             return;
         }
-        known.reported = Some(now);
-        if report.incarnation > known.endpoint.incarnation {
+        entry.reported_at = Some(now);
+        if report.incarnation > entry.endpoint.incarnation {
             // A restart that the list does not show yet.
-            known.endpoint.incarnation = report.incarnation;
-            self.rejoin(id);
+            entry.endpoint.incarnation = report.incarnation;
+            self.record_join(id);
         }
         if report.standing == Standing::Leaving {
-            self.sign(Leaving {
+            self.apply_notice(LeavingNotice {
                 id,
                 incarnation: report.incarnation,
             });
@@ -102,26 +102,27 @@
     }
 
     /// Takes a leaving sign: a peer's, or an answer that refused new work.
-    pub fn sign(&mut self, leaving: Leaving) {
-        let left = self.left.get(&leaving.id);
+    pub fn apply_notice(&mut self, leaving: LeavingNotice) {
+        let left = self.left_incarnations.get(&leaving.id);
         if left.is_some_and(|left| leaving.incarnation <= *left) {
             return;
         }
-        self.left.insert(leaving.id, leaving.incarnation);
+        self.left_incarnations
+            .insert(leaving.id, leaving.incarnation);
         self.changes.push(Change::Left(leaving));
-        self.stand(leaving.id);
+        self.update_standing(leaving.id);
     }
 
     /// Lets time pass and returns what changed since the last call.
     pub fn tick(&mut self, now: Moment) -> Vec<Change> {
         let gone: Vec<EndpointId> = self
-            .known
+            .entries
             .iter()
-            .filter(|(_, known)| known.gone(now))
+            .filter(|(_, entry)| entry.is_gone(now))
             .map(|(id, _)| *id)
             .collect();
         for id in gone {
-            self.known.remove(&id);
+            self.entries.remove(&id);
             self.changes.push(Change::Gone(id));
         }
         std::mem::take(&mut self.changes)
@@ -129,72 +130,79 @@
 
     /// Returns every known endpoint, its standing settled.
     pub fn endpoints(&self) -> impl Iterator<Item = &Endpoint> + '_ {
-        self.known.values().map(|known| &known.endpoint)
+        self.entries.values().map(|entry| &entry.endpoint)
     }
 
     /// Returns an endpoint by its id.
     #[must_use]
     pub fn get(&self, id: EndpointId) -> Option<&Endpoint> {
-        self.known.get(&id).map(|known| &known.endpoint)
+        self.entries.get(&id).map(|entry| &entry.endpoint)
     }
 
-    fn listed(&mut self, endpoint: &Endpoint) {
+    fn apply_listed(&mut self, endpoint: &Endpoint) {
         let id = endpoint.id;
-        let known_incarnation = self.known.get(&id).map(|known| known.endpoint.incarnation);
+        let known_incarnation = self
+            .entries
+            .get(&id)
+            .map(|entry| entry.endpoint.incarnation);
         match known_incarnation {
-            Some(known) if endpoint.incarnation < known => return,
-            Some(known) if endpoint.incarnation == known => self.refresh(endpoint),
-            _ => self.enter(endpoint),
+            Some(incarnation) if endpoint.incarnation < incarnation => return,
+            Some(incarnation) if endpoint.incarnation == incarnation => self.refresh(endpoint),
+            _ => self.insert(endpoint),
         }
         if endpoint.standing == Standing::Leaving {
-            self.sign(Leaving {
+            self.apply_notice(LeavingNotice {
                 id,
                 incarnation: endpoint.incarnation,
             });
         }
-        self.stand(id);
+        self.update_standing(id);
     }
 
     fn refresh(&mut self, endpoint: &Endpoint) {
-        if let Some(known) = self.known.get_mut(&endpoint.id) {
-            known.endpoint = endpoint.clone();
+        if let Some(entry) = self.entries.get_mut(&endpoint.id) {
+            entry.endpoint = endpoint.clone();
         }
     }
 
-    fn enter(&mut self, endpoint: &Endpoint) {
-        let known = Known {
+    fn insert(&mut self, endpoint: &Endpoint) {
+        let entry = Entry {
             endpoint: endpoint.clone(),
-            reported: None,
-            unlisted: None,
+            reported_at: None,
+            unlisted_since: None,
         };
-        self.known.insert(endpoint.id, known);
-        self.rejoin(endpoint.id);
+        self.entries.insert(endpoint.id, entry);
+        self.record_join(endpoint.id);
     }
 
-    fn rejoin(&mut self, id: EndpointId) {
-        self.stand(id);
+    fn record_join(&mut self, id: EndpointId) {
+        self.update_standing(id);
         if self.get(id).is_some_and(|e| e.standing == Standing::Live) {
             self.changes.push(Change::Joined(id));
         }
     }
 
     // Sets the standing from the signs: the only place where it is decided.
-    fn stand(&mut self, id: EndpointId) {
-        let Some(known) = self.known.get_mut(&id) else {
+    fn update_standing(&mut self, id: EndpointId) {
+        let Some(entry) = self.entries.get_mut(&id) else {
             return;
         };
-        let left = self.left.get(&id).copied();
-        known.endpoint.standing = match left {
-            Some(left) if left >= known.endpoint.incarnation => Standing::Leaving,
+        let left = self.left_incarnations.get(&id).copied();
+        entry.endpoint.standing = match left {
+            Some(left) if left >= entry.endpoint.incarnation => Standing::Leaving,
             _ => Standing::Live,
         };
     }
 }
 
-impl Known {
-    fn gone(&self, now: Moment) -> bool {
-        let unlisted = self.unlisted.is_some_and(|from| since(now, from) >= ABSENT);
-        let silent = self.reported.is_none_or(|at| since(now, at) >= ABSENT);
+impl Entry {
+    fn is_gone(&self, now: Moment) -> bool {
+        let unlisted = self
+            .unlisted_since
+            .is_some_and(|from| since(now, from) >= MAX_UNLISTED);
+        let silent = self
+            .reported_at
+            .is_none_or(|at| since(now, at) >= MAX_UNLISTED);
         unlisted && silent
     }
 }
--- a/crates/state/src/membership/endpoints/tests.rs
+++ b/crates/state/src/membership/endpoints/tests.rs
@@ -41,7 +41,7 @@
 
 fn live() -> Endpoints {
     let mut endpoints = Endpoints::new();
-    endpoints.list(at(0), &[endpoint(1, Standing::Live)]);
+    endpoints.apply_list(at(0), &[endpoint(1, Standing::Live)]);
     endpoints
 }
 
@@ -50,10 +50,10 @@
 #[test]
 fn an_endpoint_that_says_leaving_leaves_though_it_is_listed_live() {
     let mut endpoints = live();
-    endpoints.report(at(1), 7, &report(1, Standing::Leaving));
-    endpoints.list(at(2), &[endpoint(1, Standing::Live)]);
+    endpoints.apply_report(at(1), 7, &report(1, Standing::Leaving));
+    endpoints.apply_list(at(2), &[endpoint(1, Standing::Live)]);
     assert_eq!(standing(&endpoints), Some(Standing::Leaving));
-    let sign = Leaving {
+    let sign = LeavingNotice {
         id: 7,
         incarnation: 1,
     };
@@ -68,8 +68,8 @@
 #[test]
 fn an_endpoint_listed_as_leaving_leaves_though_it_reports_live() {
     let mut endpoints = live();
-    endpoints.list(at(1), &[endpoint(1, Standing::Leaving)]);
-    endpoints.report(at(2), 7, &report(1, Standing::Live));
+    endpoints.apply_list(at(1), &[endpoint(1, Standing::Leaving)]);
+    endpoints.apply_report(at(2), 7, &report(1, Standing::Live));
     assert_eq!(standing(&endpoints), Some(Standing::Leaving));
 }
 
@@ -78,10 +78,10 @@
 #[test]
 fn the_first_incarnation_may_be_zero() {
     let mut endpoints = Endpoints::new();
-    endpoints.list(at(0), &[endpoint(0, Standing::Live)]);
-    endpoints.report(at(1), 7, &report(0, Standing::Leaving));
+    endpoints.apply_list(at(0), &[endpoint(0, Standing::Live)]);
+    endpoints.apply_report(at(1), 7, &report(0, Standing::Leaving));
     assert_eq!(standing(&endpoints), Some(Standing::Leaving));
-    let sign = Leaving {
+    let sign = LeavingNotice {
         id: 7,
         incarnation: 0,
     };
@@ -95,13 +95,13 @@
 #[test]
 fn a_new_incarnation_on_the_same_address_is_someone_else() {
     let mut endpoints = live();
-    endpoints.sign(Leaving {
+    endpoints.apply_notice(LeavingNotice {
         id: 7,
         incarnation: 1,
     });
-    endpoints.report(at(1), 7, &report(2, Standing::Live));
+    endpoints.apply_report(at(1), 7, &report(2, Standing::Live));
     assert_eq!(standing(&endpoints), Some(Standing::Live));
-    endpoints.list(at(2), &[endpoint(1, Standing::Leaving)]);
+    endpoints.apply_list(at(2), &[endpoint(1, Standing::Leaving)]);
     assert_eq!(standing(&endpoints), Some(Standing::Live), "the list lags");
 }
 
@@ -110,16 +110,16 @@
 #[test]
 fn a_sign_outlives_the_list() {
     let mut endpoints = live();
-    endpoints.sign(Leaving {
+    endpoints.apply_notice(LeavingNotice {
         id: 7,
         incarnation: 1,
     });
     let mut other = endpoint(1, Standing::Live);
     other.id = 8;
-    endpoints.list(at(1), &[other]);
-    endpoints.tick(at(1) + ABSENT);
+    endpoints.apply_list(at(1), &[other]);
+    endpoints.tick(at(1) + MAX_UNLISTED);
     assert_eq!(standing(&endpoints), None);
-    endpoints.list(at(30), &[endpoint(1, Standing::Live)]);
+    endpoints.apply_list(at(30), &[endpoint(1, Standing::Live)]);
     assert_eq!(standing(&endpoints), Some(Standing::Leaving));
 }
 
@@ -128,11 +128,11 @@
 #[test]
 fn an_endpoint_that_reports_is_kept() {
     let mut endpoints = live();
-    endpoints.list(at(1), &[]);
+    endpoints.apply_list(at(1), &[]);
     let mut other = endpoint(1, Standing::Live);
     other.id = 8;
-    endpoints.list(at(2), &[other]);
-    endpoints.report(at(11), 7, &report(1, Standing::Live));
+    endpoints.apply_list(at(2), &[other]);
+    endpoints.apply_report(at(11), 7, &report(1, Standing::Live));
     endpoints.tick(at(13));
     assert_eq!(standing(&endpoints), Some(Standing::Live));
     endpoints.tick(at(21));
@@ -150,9 +150,9 @@
         for (kind, incarnation, leaving) in signs {
             let said = if leaving { Standing::Leaving } else { Standing::Live };
             match kind {
-                0 => endpoints.list(at(0), &[endpoint(incarnation, said)]),
-                1 => endpoints.report(at(0), 7, &report(incarnation, said)),
-                _ => endpoints.sign(Leaving { id: 7, incarnation }),
+                0 => endpoints.apply_list(at(0), &[endpoint(incarnation, said)]),
+                1 => endpoints.apply_report(at(0), 7, &report(incarnation, said)),
+                _ => endpoints.apply_notice(LeavingNotice { id: 7, incarnation }),
             }
             let old = kind < 2 && incarnation < newest;
             if kind < 2 {
--- a/crates/state/src/membership/member.rs
+++ b/crates/state/src/membership/member.rs
@@ -1,13 +1,13 @@
 //! The state machine of one instance in one incarnation, as a peer sees it.
 //!
 //! ```text
-//!            accused            SUSPECT passed
+//!            accused            SUSPICION_TIMEOUT passed
 //!   live ------------> suspect ----------------> gone
 //!    ^ <------------------'                       |
 //!    |   answered with a greater beat             | a greater beat
 //!    |                                            v
 //!    '------------------------------------- returning
-//!                  PROBATION passed
+//!                  PROBATION_PERIOD passed
 //!
 //!   any of them -- leaving sign --> leaving (sticky) -- silent --> gone
 //! ```
@@ -23,13 +23,13 @@
 /// A rumour reaches all of 320 instances within about 3 s, and the answer
 /// takes as long; less would drop instances that are merely slow to hear of
 /// the accusation. More leaves a dead instance's work on the fallback path.
-pub const SUSPECT: Duration = Duration::from_secs(6);
+pub const SUSPICION_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// How long an instance that came back must stay before it gets homes again.
 ///
 /// Long against the seconds for which views differ, so that an instance that
 /// flaps moves its homes away once and not to and fro.
-pub const PROBATION: Duration = Duration::from_secs(8);
+pub const PROBATION_PERIOD: Duration = Duration::from_secs(8);
 
 // How long a leaving instance may be silent before it is forgotten; it answers
 // gossip until its last stream ends.
@@ -54,12 +54,12 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Event {
     /// The instance itself, directly or through peers, showed this beat.
-    Alive { beat: u64, now: Moment },
+    Alive { sequence: u64, now: Moment },
     /// Someone could not reach the instance at this beat, or gave it up.
     ///
     /// Being given up by others is no more than an accusation: after a cut
     /// between regions each side says so of the other.
-    Accused { beat: u64, now: Moment },
+    Suspected { sequence: u64, now: Moment },
     /// The instance is leaving.
     Leave { now: Moment },
     /// The instance is new here and starts with its probation.
@@ -72,12 +72,12 @@
 #[derive(Debug, Default)]
 pub(super) struct Member {
     /// The greatest beat seen; only the subject raises it.
-    pub(super) beat: u64,
+    pub(super) sequence: u64,
     /// The last sign of life.
-    pub(super) heard: Moment,
+    pub(super) last_seen: Moment,
     /// Whether this incarnation has shown that it leaves; it may be taken for
     /// gone since, and must not come back as anything but leaving.
-    pub(super) left: bool,
+    pub(super) leaving_seen: bool,
 }
 
 /// One member's machine.
@@ -92,29 +92,36 @@
     #[state]
     fn live(&mut self, event: &Event) -> Outcome<Phase> {
         match *event {
-            Event::Alive { beat, now } => self.alive(beat, now),
-            Event::Accused { beat, now } if beat >= self.beat => {
-                Transition(Phase::suspect(beat, now))
+            Event::Alive { sequence, now } => self.handle_alive(sequence, now),
+            Event::Suspected { sequence, now } if sequence >= self.sequence => {
+                Transition(Phase::suspect(sequence, now))
             }
-            Event::Leave { now } => self.leave(now),
+            Event::Leave { now } => self.begin_leaving(now),
             Event::Probation { now } => Transition(Phase::returning(now)),
             _ => Handled,
         }
     }
 
     #[state]
-    fn suspect(&mut self, at: &mut u64, from: &Moment, event: &Event) -> Outcome<Phase> {
+    fn suspect(
+        &mut self,
+        suspected_at: &mut u64,
+        started: &Moment,
+        event: &Event,
+    ) -> Outcome<Phase> {
         match *event {
-            Event::Alive { beat, now } if beat > *at => {
-                self.sign(beat, now);
+            Event::Alive { sequence, now } if sequence > *suspected_at => {
+                self.record_alive(sequence, now);
                 Transition(Phase::live())
             }
-            Event::Accused { beat, .. } => {
-                *at = beat.max(*at);
+            Event::Suspected { sequence, .. } => {
+                *suspected_at = sequence.max(*suspected_at);
                 Handled
             }
-            Event::Leave { now } => self.leave(now),
-            Event::Tick { now } if since(now, *from) >= SUSPECT => Transition(Phase::gone(*at)),
+            Event::Leave { now } => self.begin_leaving(now),
+            Event::Tick { now } if since(now, *started) >= SUSPICION_TIMEOUT => {
+                Transition(Phase::gone(*suspected_at))
+            }
             _ => Handled,
         }
     }
@@ -122,66 +129,70 @@
     #[state]
     fn leaving(&mut self, event: &Event) -> Outcome<Phase> {
         match *event {
-            Event::Alive { beat, now } => self.alive(beat, now),
-            Event::Tick { now } if since(now, self.heard) >= LEAVING_SILENCE => {
-                Transition(Phase::gone(self.beat))
+            Event::Alive { sequence, now } => self.handle_alive(sequence, now),
+            Event::Tick { now } if since(now, self.last_seen) >= LEAVING_SILENCE => {
+                Transition(Phase::gone(self.sequence))
             }
             _ => Handled,
         }
     }
 
     #[state]
-    fn returning(&mut self, from: &Moment, event: &Event) -> Outcome<Phase> {
+    fn returning(&mut self, started: &Moment, event: &Event) -> Outcome<Phase> {
         match *event {
-            Event::Alive { beat, now } => self.alive(beat, now),
-            Event::Accused { beat, .. } if beat >= self.beat => Transition(Phase::gone(beat)),
-            Event::Leave { now } => self.leave(now),
-            Event::Tick { now } if since(now, *from) >= PROBATION => Transition(Phase::live()),
+            Event::Alive { sequence, now } => self.handle_alive(sequence, now),
+            Event::Suspected { sequence, .. } if sequence >= self.sequence => {
+                Transition(Phase::gone(sequence))
+            }
+            Event::Leave { now } => self.begin_leaving(now),
+            Event::Tick { now } if since(now, *started) >= PROBATION_PERIOD => {
+                Transition(Phase::live())
+            }
             _ => Handled,
         }
     }
 
     #[state]
-    fn gone(&mut self, at: &mut u64, event: &Event) -> Outcome<Phase> {
+    fn gone(&mut self, suspected_at: &mut u64, event: &Event) -> Outcome<Phase> {
         match *event {
-            Event::Alive { beat, now } if beat > *at => {
-                self.sign(beat, now);
-                Transition(self.back(now))
+            Event::Alive { sequence, now } if sequence > *suspected_at => {
+                self.record_alive(sequence, now);
+                Transition(self.phase_after_recovery(now))
             }
-            Event::Accused { beat, .. } => {
-                *at = beat.max(*at);
+            Event::Suspected { sequence, .. } => {
+                *suspected_at = sequence.max(*suspected_at);
                 Handled
             }
             Event::Leave { .. } => {
-                self.left = true;
+                self.leaving_seen = true;
                 Handled
             }
             _ => Handled,
         }
     }
 
-    fn alive(&mut self, beat: u64, now: Moment) -> Outcome<Phase> {
-        self.sign(beat, now);
+    fn handle_alive(&mut self, sequence: u64, now: Moment) -> Outcome<Phase> {
+        self.record_alive(sequence, now);
         Handled
     }
 
-    fn back(&self, now: Moment) -> Phase {
-        if self.left {
+    fn phase_after_recovery(&self, now: Moment) -> Phase {
+        if self.leaving_seen {
             Phase::leaving()
         } else {
             Phase::returning(now)
         }
     }
 
-    fn leave(&mut self, now: Moment) -> Outcome<Phase> {
-        self.heard = now;
-        self.left = true;
+    fn begin_leaving(&mut self, now: Moment) -> Outcome<Phase> {
+        self.last_seen = now;
+        self.leaving_seen = true;
         Transition(Phase::leaving())
     }
 
-    fn sign(&mut self, beat: u64, now: Moment) {
-        self.beat = beat.max(self.beat);
-        self.heard = now;
+    fn record_alive(&mut self, sequence: u64, now: Moment) {
+        self.sequence = sequence.max(self.sequence);
+        self.last_seen = now;
     }
 }
 
--- a/crates/state/src/membership/roster.rs
+++ b/crates/state/src/membership/roster.rs
@@ -24,7 +24,7 @@
 ///
 /// The list lags by seconds; a shorter time would accuse instances that a
 /// single stale answer left out.
-pub const ABSENT: Duration = Duration::from_secs(10);
+pub const MAX_UNLISTED: Duration = Duration::from_secs(10);
 
 /// What an instance says of itself on each message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -34,20 +34,21 @@
     /// Its life.
     pub incarnation: Incarnation,
     /// A counter that it raises to answer an accusation.
-    pub beat: u64,
+    #[serde(rename = "beat")]
+    pub sequence: u64,
     /// Whether it is leaving.
     pub standing: Standing,
 }
 
 /// What an instance says of another, or a change in its own view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rumour {
+pub struct MemberUpdate {
     /// Whom it is about.
     pub id: InstanceId,
     /// The life it is about.
     pub incarnation: Incarnation,
     /// The beat that was known then.
-    pub beat: u64,
+    pub sequence: u64,
     /// How the subject stands.
     pub state: State,
 }
@@ -55,16 +56,16 @@
 /// The instances that one instance knows, itself among them.
 pub struct Roster {
     own: Instance,
-    beat: u64,
-    listed_once: bool,
+    sequence: u64,
+    has_list: bool,
     entries: BTreeMap<InstanceId, Entry>,
-    changes: Vec<Rumour>,
+    changes: Vec<MemberUpdate>,
 }
 
 struct Entry {
     instance: Instance,
     machine: Machine,
-    unlisted: Option<Moment>,
+    unlisted_since: Option<Moment>,
     // Whether anyone but the list has shown this incarnation.
     confirmed: bool,
 }
@@ -75,8 +76,8 @@
     pub const fn new(own: Instance) -> Self {
         Self {
             own,
-            beat: 0,
-            listed_once: false,
+            sequence: 0,
+            has_list: false,
             entries: BTreeMap::new(),
             changes: Vec::new(),
         }
@@ -86,24 +87,24 @@
     ///
     /// An empty list is a fault of the platform and is not believed: at least
     /// the reader itself exists.
-    pub fn list(&mut self, now: Moment, listed: &[Instance]) {
+    pub fn apply_list(&mut self, now: Moment, listed: &[Instance]) {
         if listed.is_empty() {
             return;
         }
         for instance in listed {
             if instance.id != self.own.id {
-                self.listed(now, instance);
+                self.apply_listed(now, instance);
             }
         }
-        self.listed_once = true;
+        self.has_list = true;
         for (id, entry) in &mut self.entries {
             let present = listed.iter().any(|instance| instance.id == *id);
-            entry.mark(now, present);
+            entry.mark_listed(now, present);
         }
     }
 
     /// Takes what an instance said of itself, directly.
-    pub fn heard(&mut self, now: Moment, heartbeat: &Heartbeat) {
+    pub fn apply_heartbeat(&mut self, now: Moment, heartbeat: &Heartbeat) {
         let Some(entry) = self.entries.get_mut(&heartbeat.id) else {
             return;
         };
@@ -112,63 +113,63 @@
         }
         if heartbeat.incarnation > entry.instance.incarnation {
             // A restart that the list does not show yet.
-            entry.succeed(now, heartbeat.incarnation, heartbeat.beat);
+            entry.advance_incarnation(now, heartbeat.incarnation, heartbeat.sequence);
         }
         entry.confirmed = true;
-        let before = entry.state();
+        let previous = entry.state();
         entry.handle(Event::Alive {
-            beat: heartbeat.beat,
+            sequence: heartbeat.sequence,
             now,
         });
         if heartbeat.standing == Standing::Leaving {
             entry.handle(Event::Leave { now });
         }
-        self.note(heartbeat.id, before);
+        self.record_change(heartbeat.id, previous);
     }
 
     /// Takes what a peer said of an instance.
-    pub fn rumour(&mut self, now: Moment, rumour: &Rumour) {
-        if rumour.id == self.own.id {
-            self.answer(rumour);
+    pub fn apply_update(&mut self, now: Moment, update: &MemberUpdate) {
+        if update.id == self.own.id {
+            self.refute(update);
             return;
         }
-        let Some(entry) = self.entries.get_mut(&rumour.id) else {
+        let Some(entry) = self.entries.get_mut(&update.id) else {
             return;
         };
-        if rumour.incarnation < entry.instance.incarnation {
+        if update.incarnation < entry.instance.incarnation {
             return;
         }
-        let before = entry.state();
-        if rumour.incarnation > entry.instance.incarnation {
-            entry.succeed(now, rumour.incarnation, rumour.beat);
+        let previous = entry.state();
+        if update.incarnation > entry.instance.incarnation {
+            entry.advance_incarnation(now, update.incarnation, update.sequence);
         }
         entry.confirmed = true;
-        entry.handle(told(rumour, now));
-        self.note(rumour.id, before);
+        entry.handle(member_event(update, now));
+        self.record_change(update.id, previous);
     }
 
     /// Takes that a message to an instance found no answer.
-    pub fn unreachable(&mut self, now: Moment, id: InstanceId) {
+    pub fn record_unreachable(&mut self, now: Moment, id: InstanceId) {
         let Some(entry) = self.entries.get_mut(&id) else {
             return;
         };
-        let before = entry.state();
-        entry.accuse(now);
-        self.note(id, before);
+        let previous = entry.state();
+        entry.suspect(now);
+        self.record_change(id, previous);
     }
 
     /// Marks the own instance as leaving, for good.
     pub fn leave(&mut self) {
         if self.own.standing == Standing::Live {
             self.own.standing = Standing::Leaving;
-            self.changes.push(self.own_rumour());
+            self.changes.push(self.own_update());
         }
     }
 
     /// Lets time pass and returns what changed since the last call.
     ///
     /// Each change is a rumour worth telling peers.
-    pub fn tick(&mut self, now: Moment) -> Vec<Rumour> {
+    pub fn tick(&mut self, now: Moment) -> Vec<MemberUpdate> {
         let ids: Vec<InstanceId> = self.entries.keys().copied().collect();
         for id in ids {
             self.tick_entry(now, id);
@@ -199,7 +200,7 @@
     #[must_use]
     pub fn state(&self, id: InstanceId) -> Option<State> {
         if id == self.own.id {
-            return Some(self.own_rumour().state);
+            return Some(self.own_update().state);
         }
         self.entries.get(&id).map(Entry::state)
     }
@@ -210,43 +211,43 @@
         Heartbeat {
             id: self.own.id,
             incarnation: self.own.incarnation,
-            beat: self.beat,
+            sequence: self.sequence,
             standing: self.own.standing,
         }
     }
 
     /// Returns the accusation against an instance that it should hear of.
     #[must_use]
-    pub fn accusation(&self, id: InstanceId) -> Option<Rumour> {
-        let rumour = self.entries.get(&id)?.rumour();
-        matches!(rumour.state, State::Suspect | State::Gone).then_some(rumour)
+    pub fn suspicion(&self, id: InstanceId) -> Option<MemberUpdate> {
+        let update = self.entries.get(&id)?.to_update();
+        matches!(update.state, State::Suspect | State::Gone).then_some(update)
     }
 
-    fn listed(&mut self, now: Moment, instance: &Instance) {
+    fn apply_listed(&mut self, now: Moment, instance: &Instance) {
         let Some(entry) = self.entries.get_mut(&instance.id) else {
-            self.join(now, instance);
+            self.insert_listed(now, instance);
             return;
         };
         if instance.incarnation < entry.instance.incarnation {
             // The list has not seen the restart yet.
             return;
         }
-        let before = entry.state();
+        let previous = entry.state();
         if instance.incarnation > entry.instance.incarnation {
-            entry.succeed(now, instance.incarnation, 0);
+            entry.advance_incarnation(now, instance.incarnation, 0);
         }
         entry.instance = instance.clone();
         if instance.standing == Standing::Leaving {
             entry.handle(Event::Leave { now });
         }
-        self.note(instance.id, before);
+        self.record_change(instance.id, previous);
     }
 
-    fn join(&mut self, now: Moment, instance: &Instance) {
+    fn insert_listed(&mut self, now: Moment, instance: &Instance) {
         let mut entry = Entry::new(now, instance.clone());
         // At its own start an instance takes the list as it is; later
         // newcomers wait out their probation, by which time all know them.
-        if self.listed_once {
+        if self.has_list {
             entry.handle(Event::Probation { now });
         }
         if instance.standing == Standing::Leaving {
@@ -259,37 +260,40 @@
         let Some(entry) = self.entries.get_mut(&id) else {
             return;
         };
-        let before = entry.state();
+        let previous = entry.state();
         entry.handle(Event::Tick { now });
         let absent = entry
-            .unlisted
-            .is_some_and(|from| since(now, from) >= ABSENT);
+            .unlisted_since
+            .is_some_and(|from| since(now, from) >= MAX_UNLISTED);
         if absent && entry.state() == State::Gone {
             self.entries.remove(&id);
             return;
         }
         if absent {
             // It is off the list: unless it answers, it is gone.
-            entry.accuse(now);
-            entry.unlisted = Some(now);
+            entry.suspect(now);
+            entry.unlisted_since = Some(now);
         }
-        self.note(id, before);
+        self.record_change(id, previous);
     }
 
     // Answers an accusation against the own instance.
-    fn answer(&mut self, rumour: &Rumour) {
-        let accused = matches!(rumour.state, State::Suspect | State::Gone);
-        if accused && rumour.incarnation == self.own.incarnation && rumour.beat >= self.beat {
-            self.beat = rumour.beat + 1;
-            self.changes.push(self.own_rumour());
+    fn refute(&mut self, update: &MemberUpdate) {
+        let suspected = matches!(update.state, State::Suspect | State::Gone);
+        if suspected
+            && update.incarnation == self.own.incarnation
+            && update.sequence >= self.sequence
+        {
+            self.sequence = update.sequence + 1;
+            self.changes.push(self.own_update());
         }
     }
 
-    fn own_rumour(&self) -> Rumour {
-        Rumour {
+    fn own_update(&self) -> MemberUpdate {
+        MemberUpdate {
             id: self.own.id,
             incarnation: self.own.incarnation,
-            beat: self.beat,
+            sequence: self.sequence,
             state: match self.own.standing {
                 Standing::Live => State::Live,
                 Standing::Leaving => State::Leaving,
@@ -297,12 +301,12 @@
         }
     }
 
-    fn note(&mut self, id: InstanceId, before: State) {
+    fn record_change(&mut self, id: InstanceId, previous: State) {
         let Some(entry) = self.entries.get(&id) else {
             return;
         };
-        if entry.state() != before {
-            self.changes.push(entry.rumour());
+        if entry.state() != previous {
+            self.changes.push(entry.to_update());
         }
     }
 }
@@ -310,16 +314,16 @@
 impl Entry {
     fn new(now: Moment, instance: Instance) -> Self {
         let member = Member {
-            beat: 0,
-            heard: now,
-            left: false,
+            sequence: 0,
+            last_seen: now,
+            leaving_seen: false,
         };
         let mut machine = member.state_machine();
         machine.init();
         Self {
             instance,
             machine,
-            unlisted: None,
+            unlisted_since: None,
             confirmed: false,
         }
     }
@@ -331,21 +335,21 @@
     /// restart would put every peer on probation, and the newcomer alone would
     /// own all endpoints for that time. Only a life that was seen can end in a
     /// restart; until then the list was merely behind.
-    fn succeed(&mut self, now: Moment, incarnation: Incarnation, beat: u64) {
+    fn advance_incarnation(&mut self, now: Moment, incarnation: Incarnation, sequence: u64) {
         if self.confirmed || self.state() != State::Live {
-            self.restart(now, incarnation, beat);
+            self.restart(now, incarnation, sequence);
         } else {
             self.instance.incarnation = incarnation;
         }
     }
 
-    fn restart(&mut self, now: Moment, incarnation: Incarnation, beat: u64) {
+    fn restart(&mut self, now: Moment, incarnation: Incarnation, sequence: u64) {
         self.instance.incarnation = incarnation;
         self.instance.standing = Standing::Live;
         let member = Member {
-            beat,
-            heard: now,
-            left: false,
+            sequence,
+            last_seen: now,
+            leaving_seen: false,
         };
         self.machine = member.state_machine();
         self.machine.init();
@@ -356,16 +360,16 @@
         self.machine.handle(&event);
     }
 
-    fn accuse(&mut self, now: Moment) {
-        let beat = self.machine.inner().beat;
-        self.handle(Event::Accused { beat, now });
+    fn suspect(&mut self, now: Moment) {
+        let sequence = self.machine.inner().sequence;
+        self.handle(Event::Suspected { sequence, now });
     }
 
-    fn mark(&mut self, now: Moment, present: bool) {
+    fn mark_listed(&mut self, now: Moment, present: bool) {
         if present {
-            self.unlisted = None;
-        } else if self.unlisted.is_none() {
-            self.unlisted = Some(now);
+            self.unlisted_since = None;
+        } else if self.unlisted_since.is_none() {
+            self.unlisted_since = Some(now);
         }
     }
 
@@ -373,21 +377,21 @@
         self.machine.state().state()
     }
 
-    fn rumour(&self) -> Rumour {
-        Rumour {
+    fn to_update(&self) -> MemberUpdate {
+        MemberUpdate {
             id: self.instance.id,
             incarnation: self.instance.incarnation,
-            beat: self.machine.inner().beat,
+            sequence: self.machine.inner().sequence,
             state: self.state(),
         }
     }
 }
 
-fn told(rumour: &Rumour, now: Moment) -> Event {
-    let beat = rumour.beat;
-    match rumour.state {
-        State::Live | State::Returning => Event::Alive { beat, now },
-        State::Suspect | State::Gone => Event::Accused { beat, now },
+fn member_event(update: &MemberUpdate, now: Moment) -> Event {
+    let sequence = update.sequence;
+    match update.state {
+        State::Live | State::Returning => Event::Alive { sequence, now },
+        State::Suspect | State::Gone => Event::Suspected { sequence, now },
         State::Leaving => Event::Leave { now },
     }
 }
@@ -397,7 +401,7 @@
         let states = self.entries.iter().map(|(id, entry)| (id, entry.state()));
         f.debug_struct("Roster")
             .field("own", &self.own.id)
-            .field("beat", &self.beat)
+            .field("beat", &self.sequence)
             .field("states", &states.collect::<BTreeMap<_, _>>())
             .finish_non_exhaustive()
     }
--- a/crates/state/src/membership/roster/tests.rs
+++ b/crates/state/src/membership/roster/tests.rs
@@ -1,10 +1,10 @@
-//! Views change by incarnation and beat, and homes only after a while.
+//! Views change by incarnation and sequence, and homes only after a while.
 
 use std::net::SocketAddr;
 
 use proptest::prelude::*;
 
-use super::super::{PROBATION, SUSPECT};
+use super::super::{PROBATION_PERIOD, SUSPICION_TIMEOUT};
 use super::*;
 
 const fn at(millis: u64) -> Moment {
@@ -32,7 +32,7 @@
 /// A roster of instance 1 that knows 2 and 3 as live.
 fn three() -> Roster {
     let mut roster = Roster::new(live(1));
-    roster.list(at(0), &[live(1), live(2), live(3)]);
+    roster.apply_list(at(0), &[live(1), live(2), live(3)]);
     roster
 }
 
@@ -42,11 +42,11 @@
     ids
 }
 
-const fn beat(id: InstanceId, incarnation: Incarnation, beat: u64) -> Heartbeat {
+const fn beat(id: InstanceId, incarnation: Incarnation, sequence: u64) -> Heartbeat {
     Heartbeat {
         id,
         incarnation,
-        beat,
+        sequence,
         standing: Standing::Live,
     }
 }
@@ -56,16 +56,16 @@
 #[test]
 fn an_accused_instance_keeps_its_homes_and_may_answer() {
     let mut roster = three();
-    roster.unreachable(at(1000), 2);
+    roster.record_unreachable(at(1000), 2);
     assert_eq!(roster.state(2), Some(State::Suspect));
     assert_eq!(homes(&roster), [1, 2, 3]);
-    roster.heard(at(2000), &beat(2, 1, 0));
+    roster.apply_heartbeat(at(2000), &beat(2, 1, 0));
     assert_eq!(
         roster.state(2),
         Some(State::Suspect),
         "an old beat is no answer"
     );
-    roster.heard(at(3000), &beat(2, 1, 1));
+    roster.apply_heartbeat(at(3000), &beat(2, 1, 1));
     assert_eq!(roster.state(2), Some(State::Live));
 }
 
@@ -73,13 +73,13 @@
 #[test]
 fn an_accused_instance_that_is_silent_is_gone_though_it_is_listed() {
     let mut roster = three();
-    roster.unreachable(at(0), 2);
-    let end = at(0) + SUSPECT;
+    roster.record_unreachable(at(0), 2);
+    let end = at(0) + SUSPICION_TIMEOUT;
     roster.tick(end.saturating_sub(Duration::from_millis(1)));
     assert_eq!(homes(&roster), [1, 2, 3]);
     roster.tick(end);
     assert_eq!(homes(&roster), [1, 3]);
-    roster.list(end, &[live(1), live(2), live(3)]);
+    roster.apply_list(end, &[live(1), live(2), live(3)]);
     assert_eq!(homes(&roster), [1, 3]);
 }
 
@@ -88,16 +88,16 @@
 #[test]
 fn an_instance_that_comes_back_waits_out_its_probation() {
     let mut roster = three();
-    roster.unreachable(at(0), 2);
-    roster.tick(at(0) + SUSPECT);
+    roster.record_unreachable(at(0), 2);
+    roster.tick(at(0) + SUSPICION_TIMEOUT);
     let back = at(20_000);
-    roster.heard(back, &beat(2, 1, 1));
+    roster.apply_heartbeat(back, &beat(2, 1, 1));
     assert_eq!(roster.state(2), Some(State::Returning));
-    roster.unreachable(at(21_000), 2);
+    roster.record_unreachable(at(21_000), 2);
     assert_eq!(roster.state(2), Some(State::Gone));
     let again = at(22_000);
-    roster.heard(again, &beat(2, 1, 2));
-    roster.tick(again + PROBATION);
+    roster.apply_heartbeat(again, &beat(2, 1, 2));
+    roster.tick(again + PROBATION_PERIOD);
     assert_eq!(homes(&roster), [1, 2, 3]);
 }
 
@@ -108,23 +108,23 @@
     let mut roster = three();
     let mut leaving = beat(2, 1, 0);
     leaving.standing = Standing::Leaving;
-    roster.heard(at(0), &leaving);
-    roster.list(at(1), &[live(1), live(2), live(3)]);
-    roster.rumour(
+    roster.apply_heartbeat(at(0), &leaving);
+    roster.apply_list(at(1), &[live(1), live(2), live(3)]);
+    roster.apply_update(
         at(2),
-        &Rumour {
+        &MemberUpdate {
             id: 2,
             incarnation: 1,
-            beat: 5,
+            sequence: 5,
             state: State::Live,
         },
     );
     assert_eq!(homes(&roster), [1, 3]);
-    roster.list(at(3), &[live(1), instance(2, 2, Standing::Live), live(3)]);
+    roster.apply_list(at(3), &[live(1), instance(2, 2, Standing::Live), live(3)]);
     assert_eq!(roster.state(2), Some(State::Returning));
-    roster.tick(at(3) + PROBATION);
+    roster.tick(at(3) + PROBATION_PERIOD);
     assert_eq!(homes(&roster), [1, 2, 3]);
-    roster.heard(at(9000), &leaving);
+    roster.apply_heartbeat(at(9000), &leaving);
     assert_eq!(homes(&roster), [1, 2, 3], "a former life's word came late");
 }
 
@@ -135,10 +135,10 @@
     let mut roster = three();
     let mut leaving = beat(2, 1, 0);
     leaving.standing = Standing::Leaving;
-    roster.heard(at(0), &leaving);
+    roster.apply_heartbeat(at(0), &leaving);
     roster.tick(at(60_000));
     assert_eq!(roster.state(2), Some(State::Gone));
-    roster.heard(at(60_000), &beat(2, 1, 1));
+    roster.apply_heartbeat(at(60_000), &beat(2, 1, 1));
     assert_eq!(roster.state(2), Some(State::Leaving));
 }
 
@@ -147,12 +147,12 @@
 #[test]
 fn a_list_that_leaves_out_the_living_is_not_enough() {
     let mut roster = three();
-    roster.list(at(0), &[]);
+    roster.apply_list(at(0), &[]);
     assert_eq!(homes(&roster), [1, 2, 3]);
-    roster.list(at(0), &[live(1), live(3)]);
-    roster.tick(at(0) + ABSENT);
+    roster.apply_list(at(0), &[live(1), live(3)]);
+    roster.tick(at(0) + MAX_UNLISTED);
     assert_eq!(roster.state(2), Some(State::Suspect));
-    roster.heard(at(0) + ABSENT, &beat(2, 1, 1));
+    roster.apply_heartbeat(at(0) + MAX_UNLISTED, &beat(2, 1, 1));
     assert_eq!(homes(&roster), [1, 2, 3]);
 }
 
@@ -160,26 +160,26 @@
 #[test]
 fn an_accusation_against_oneself_is_answered() {
     let mut roster = three();
-    let mut accused = Rumour {
+    let mut accused = MemberUpdate {
         id: 1,
         incarnation: 1,
-        beat: 4,
+        sequence: 4,
         state: State::Suspect,
     };
-    roster.rumour(at(0), &accused);
-    assert_eq!(roster.heartbeat().beat, 5);
+    roster.apply_update(at(0), &accused);
+    assert_eq!(roster.heartbeat().sequence, 5);
     let answer = roster.tick(at(0));
     assert_eq!(answer.len(), 1);
-    assert_eq!((answer[0].beat, answer[0].state), (5, State::Live));
+    assert_eq!((answer[0].sequence, answer[0].state), (5, State::Live));
     accused.incarnation = 0;
-    roster.rumour(at(0), &accused);
-    assert_eq!(roster.heartbeat().beat, 5, "a former life was accused");
+    roster.apply_update(at(0), &accused);
+    assert_eq!(roster.heartbeat().sequence, 5, "a former life was accused");
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Sign {
     Heard(InstanceId, Incarnation, u64, bool),
-    Rumour(InstanceId, Incarnation, u64, u8),
+    MemberUpdate(InstanceId, Incarnation, u64, u8),
     Unreachable(InstanceId),
     Tick(u64),
 }
@@ -188,9 +188,9 @@
     let id = 2..4_u64;
     prop_oneof![
         (id.clone(), 1..4_u64, 0..4_u64, any::<bool>())
-            .prop_map(|(id, life, beat, leaving)| Sign::Heard(id, life, beat, leaving)),
+            .prop_map(|(id, life, sequence, leaving)| Sign::Heard(id, life, sequence, leaving)),
         (1..4_u64, 1..4_u64, 0..4_u64, 0..5_u8)
-            .prop_map(|(id, life, beat, state)| Sign::Rumour(id, life, beat, state)),
+            .prop_map(|(id, life, sequence, state)| Sign::MemberUpdate(id, life, sequence, state)),
         id.prop_map(Sign::Unreachable),
         (0..9000_u64).prop_map(Sign::Tick),
     ]
@@ -208,15 +208,15 @@
         let mut lives: BTreeMap<InstanceId, Incarnation> = [(2, 1), (3, 1)].into();
         for sign in signs {
             match sign {
-                Sign::Heard(id, incarnation, beat, leaving) => {
+                Sign::Heard(id, incarnation, sequence, leaving) => {
                     let standing = if leaving { Standing::Leaving } else { Standing::Live };
-                    roster.heard(now, &Heartbeat { id, incarnation, beat, standing });
+                    roster.apply_heartbeat(now, &Heartbeat { id, incarnation, sequence, standing });
                 }
-                Sign::Rumour(id, incarnation, beat, state) => {
+                Sign::MemberUpdate(id, incarnation, sequence, state) => {
                     let state = states[usize::from(state)];
-                    roster.rumour(now, &Rumour { id, incarnation, beat, state });
+                    roster.apply_update(now, &MemberUpdate { id, incarnation, sequence, state });
                 }
-                Sign::Unreachable(id) => roster.unreachable(now, id),
+                Sign::Unreachable(id) => roster.record_unreachable(now, id),
                 Sign::Tick(millis) => {
                     now += Duration::from_millis(millis);
                     roster.tick(now);
@@ -244,18 +244,18 @@
 #[test]
 fn a_list_that_shows_earlier_lives_leaves_no_newcomer_alone() {
     let mut roster = three();
-    roster.heard(at(100), &beat(2, 7, 0));
-    let rumour = Rumour {
+    roster.apply_heartbeat(at(100), &beat(2, 7, 0));
+    let update = MemberUpdate {
         id: 3,
         incarnation: 9,
-        beat: 0,
+        sequence: 0,
         state: State::Live,
     };
-    roster.rumour(at(100), &rumour);
+    roster.apply_update(at(100), &update);
     assert_eq!(homes(&roster), [1, 2, 3]);
 
     // A restart of a life that was seen still goes through its probation.
-    roster.heard(at(200), &beat(2, 8, 0));
+    roster.apply_heartbeat(at(200), &beat(2, 8, 0));
     assert_eq!(homes(&roster), [1, 3]);
 }
 
@@ -265,7 +265,7 @@
 fn an_earlier_life_that_was_leaving_does_not_bind_the_next() {
     let mut roster = Roster::new(live(1));
     let listed = [live(1), instance(2, 1, Standing::Leaving)];
-    roster.list(at(0), &listed);
-    roster.heard(at(100), &beat(2, 7, 0));
+    roster.apply_list(at(0), &listed);
+    roster.apply_heartbeat(at(100), &beat(2, 7, 0));
     assert_eq!(roster.state(2), Some(State::Returning));
 }
