--- a/crates/direct/src/dialect/tests.rs
+++ b/crates/direct/src/dialect/tests.rs
@@ -15,7 +15,7 @@
 /// on the way.
 #[test]
 fn response_is_the_endpoints_own_only_for_this_attempt() {
-    let is_from_endpoint = |answer: &ResponseFields, status| answer.is_from_endpoint(status, "a1");
+    let is_from_endpoint = |fields: &ResponseFields, status| fields.is_from_endpoint(status, "a1");
     let own = echoing(Some("a1"));
     assert!(is_from_endpoint(&own, StatusCode::OK));
     assert!(is_from_endpoint(&own, StatusCode::SERVICE_UNAVAILABLE));
--- a/crates/direct/src/place.rs
+++ b/crates/direct/src/place.rs
@@ -178,7 +178,7 @@
     /// be used.
     Spill,
     /// It has the least load.
-    Lightest,
+    LeastLoaded,
 }
 
 impl Choice {
@@ -188,7 +188,7 @@
         match self {
             Self::Home => "home",
             Self::Spill => "spill",
-            Self::Lightest => "lightest",
+            Self::LeastLoaded => "lightest",
         }
     }
 }
@@ -304,7 +304,7 @@
         };
         return send(one, choice);
     }
-    least_loaded(&with_room, draw).map_or(Pick::Full, |one| send(one, Choice::Lightest))
+    least_loaded(&with_room, draw).map_or(Pick::Full, |one| send(one, Choice::LeastLoaded))
 }
 
 const fn send(one: &Candidate, choice: Choice) -> Pick {
--- a/crates/direct/src/place/tests.rs
+++ b/crates/direct/src/place/tests.rs
@@ -49,7 +49,7 @@
 fn sent_to_least_loaded(endpoint: u64) -> Pick {
     Pick::Send {
         endpoint,
-        choice: Choice::Lightest,
+        choice: Choice::LeastLoaded,
     }
 }
 
--- a/crates/direct/src/refusal.rs
+++ b/crates/direct/src/refusal.rs
@@ -67,7 +67,7 @@
 /// to route it already; half of the jitter spreads the retries.
 ///
 /// It also applies at an instance that has just started or lost its configuration: it is
-/// informed soon after it listens, and callers of an order have no time to spare.
+/// ready soon after it listens, and callers of an order have no time to spare.
 const SHORT_RETRY_DELAY: Duration = Duration::from_millis(150);
 
 /// The random factor of the delay, drawn for each caller, so that callers refused
--- a/crates/direct/src/refusal/tests.rs
+++ b/crates/direct/src/refusal/tests.rs
@@ -60,8 +60,8 @@
         let wait = reason.retry_after().expect("a retry delay");
         let longest = wait.mul_f64(super::RETRY_JITTER.end);
         assert!(longest <= order_timeout / 3, "{reason}: {longest:?}");
-        // An instance is informed within 30 ms of its start, so an earlier retry would be
-        // in vain.
+        // An instance is ready within 30 ms of its start, so an earlier retry would be in
+        // vain.
         assert!(wait.mul_f64(super::RETRY_JITTER.start) >= Duration::from_millis(100));
     }
 }
--- a/crates/direct/src/relay.rs
+++ b/crates/direct/src/relay.rs
@@ -120,11 +120,11 @@
 // Waits, on an instance that has just started, until configuration and endpoints are
 // loaded.
 //
-// After a loss of all instances, all callers return at once. A single instance is
-// informed 30 ms after it listens, one of eighty with hundreds of routes after 600 ms.
+// After a loss of all instances, all callers return at once. An instance of a small fleet
+// is ready 30 ms after it listens, one of eighty with hundreds of routes after 600 ms.
 // Until then it is unknown whether a request can be served, and a refusal would use up
-// the caller's only retry at another instance that isn't informed either. An instance
-// that is still not informed after `STARTUP_GRACE` has lost the log and refuses at once.
+// the caller's only retry at another instance that isn't ready either. An instance that
+// is still not ready after `STARTUP_GRACE` has lost the log and refuses at once.
 async fn wait_for_startup(shared: &Shared, fields: &RequestFields) {
     let remaining = STARTUP_GRACE.saturating_sub(shared.uptime());
     if remaining.is_zero() || shared.can_route() {
--- a/crates/direct/src/relay/choose.rs
+++ b/crates/direct/src/relay/choose.rs
@@ -66,19 +66,26 @@
         draw,
     ) {
         Pick::Send { endpoint, choice } => {
-            let chosen = candidates.iter().find(|one| one.endpoint == endpoint);
-            let one = registrations
+            let candidate = candidates.iter().find(|one| one.endpoint == endpoint);
+            let registration = registrations
                 .iter()
                 .find(|one| one.endpoint.id == endpoint)
                 .ok_or(Reason::NoEndpoint)?;
-            if !take_share(job, &view, one) {
+            if !take_share(job, &view, registration) {
                 return Err(Reason::Warming);
             }
             Ok(Chosen {
-                source: source::find_source(job, &view, &candidates, &groups.paused, one, draw),
-                registration: Arc::clone(one),
+                source: source::find_source(
+                    job,
+                    &view,
+                    &candidates,
+                    &groups.paused,
+                    registration,
+                    draw,
+                ),
+                registration: Arc::clone(registration),
                 choice,
-                load: chosen.map_or(0.0, |one| one.load),
+                load: candidate.map_or(0.0, |one| one.load),
             })
         }
         Pick::Full => Err(Reason::Full),
@@ -123,7 +130,7 @@
     job.shared.metrics.count_warming_share(taken);
     log::info!(
         request:% = job.id(), endpoint:% = endpoint.name, instances:? = instances, taken = taken;
-        "took a share of an endpoint that is warming up"
+        "requested a share of an endpoint that is warming up"
     );
     taken
 }
--- a/crates/direct/src/stream.rs
+++ b/crates/direct/src/stream.rs
@@ -179,20 +179,20 @@
         if matches!(cause, Interruption::Failed(_)) {
             in_flight.check_for_crash(job.id(), job.digest());
         }
-        let next = self.resume_point(&mut job);
+        let resume_point = self.resume_point(&mut job);
         log::warn!(
-            request:% = job.id(), endpoint:% = in_flight.name(), cause:% = cause, after:? = next,
+            request:% = job.id(), endpoint:% = in_flight.name(), cause:% = cause, after:? = resume_point,
             left_ms:% = job.remaining().as_millis();
             "stream interrupted"
         );
         drop(in_flight);
-        let Ok(after) = next else {
+        let Ok(last_event_id) = resume_point else {
             job.record_end(BodyEnd::Broken);
             return Some(Box::new(StreamError::Truncated));
         };
         job.shared().metrics.count_resumed_stream();
         self.state = State::Resuming(Box::pin(async move {
-            let response = dispatch(&mut job, after).await;
+            let response = dispatch(&mut job, last_event_id).await;
             (job, response)
         }));
         None
