--- a/crates/state/src/lease/holder.rs
+++ b/crates/state/src/lease/holder.rs
@@ -119,7 +119,7 @@
             .map(|lease| lease.fence)
     }
 
-    /// Returns when the current lease was acquired, if one is lease.
+    /// Returns when the current lease was acquired, if one is held.
     #[must_use]
     pub fn held_since(&self) -> Option<Moment> {
         self.lease.map(|lease| lease.acquired_at)
@@ -272,7 +272,7 @@
             self.next_read_at = now;
             // There is no delay for a holder that is no longer a candidate. It
             // requests nothing but one release. An instance that stops while a
-            // renewal is in append could exit within the delay, and its
+            // renewal is in flight could exit within the delay, and its
             // successor would have to wait for the whole lease to expire.
             if self.candidate {
                 self.next_append_at = now + RETRY_DELAY;
