--- a/crates/direct/src/book/belief.rs
+++ b/crates/direct/src/book/belief.rs
@@ -170,8 +170,8 @@
     }
 }
 
-fn seconds(now: Moment, last: Moment) -> f64 {
-    since(now, last).as_secs_f64()
+fn seconds(now: Moment, earlier: Moment) -> f64 {
+    since(now, earlier).as_secs_f64()
 }
 
 #[cfg(test)]
--- a/crates/direct/src/evacuation.rs
+++ b/crates/direct/src/evacuation.rs
@@ -108,9 +108,9 @@
         Some(changes)
     }
 
-    /// Returns retained zones to use whose grace period is over at `read`, the time at
-    /// which the last read of the operator's topic was sent. While the log is
-    /// unavailable, the operator can't write an evacuation again.
+    /// Stops treating retained zones as evacuated once their grace period is over, and
+    /// returns them. `read` is when the last read of the operator's topic was sent: while
+    /// the log is unavailable, the operator can't write an evacuation again.
     pub fn release_expired(&mut self, read: Moment) -> Vec<String> {
         let released = self.retained.iter().filter(|(_, until)| read >= **until);
         let released: Vec<String> = released.map(|(zone, _)| zone.clone()).collect();
--- a/crates/direct/src/suspects.rs
+++ b/crates/direct/src/suspects.rs
@@ -43,7 +43,7 @@
 /// leaves up to a hundred.
 const MAX_TRACKED_REQUESTS: usize = 4_096;
 
-/// The error of times that come from another instance, which is the transit time of the
+/// By how much times from another instance may be off, because of the transit time of the
 /// message.
 const MAX_TRANSIT: Duration = Duration::from_millis(5);
 
