--- a/crates/direct/src/board/tests.rs
+++ b/crates/direct/src/board/tests.rs
@@ -37,7 +37,7 @@
 }
 
 // Returns whether an update contains anything but ages.
-const fn is_news(update: &Update) -> bool {
+const fn has_changes(update: &Update) -> bool {
     let entries = update.set.len() + update.expired.len() + update.removed.len();
     let changes = entries + update.evidence.len();
     update.full || update.policy.is_some() || update.evacuation.is_some() || changes > 0
@@ -92,7 +92,7 @@
     let first = replica.build_update(&FIRST_REQUEST, at(0), at(0));
     assert!(first.full);
     assert_eq!(names(&first), ["a", "b"]);
-    assert!(!is_news(&replica.build_update(
+    assert!(!has_changes(&replica.build_update(
         &next_request(&first),
         at(0),
         at(0)
@@ -211,7 +211,7 @@
     replica.add_holder(holder(1), now);
     let update = replica.build_update(&next_request(&update), at(0), now);
     assert_eq!(update.holders, vec![holder(1)]);
-    assert!(!is_news(&update));
+    assert!(!has_changes(&update));
     let update = replica.build_update(&next_request(&update), at(0), now);
     assert!(update.holders.is_empty());
 }
@@ -317,7 +317,7 @@
                 }
             }
             let update = replica.build_update(&request, Duration::ZERO, at(2));
-            let expected = match (update.full || update.policy.is_some(), is_news(&update)) {
+            let expected = match (update.full || update.policy.is_some(), has_changes(&update)) {
                 (true, _) => Urgency::Full,
                 (false, true) => Urgency::Incremental,
                 (false, false) => Urgency::None,
