--- a/crates/state/src/drain.rs
+++ b/crates/state/src/drain.rs
@@ -6,16 +6,17 @@
 //!                         '----- no request in flight, or limit -----'--> done
 //! ```
 //!
-//! - *announced*: peers and the balancer's probe are told. The balancer's list
-//!   lags, so new requests still come and are served.
-//! - *closing*: listeners close, idle keep-alive connections are closed and
-//!   busy ones are told `Connection: close`; owned state is handed over.
-//! - *waiting*: streams run to their end, up to [`Limits::hard_limit`] after the
-//!   signal.
+//! - *announced*: peers and the balancer's probe are notified. The balancer's
+//!   list lags, so new requests still arrive and are served.
+//! - *closing*: listeners and idle keep-alive connections are closed, responses
+//!   on busy connections carry `Connection: close`, and owned state is handed
+//!   over.
+//! - *waiting*: streams run to completion, up to [`Limits::hard_limit`] after
+//!   the signal.
 //!
-//! A second signal shortens the wait to [`Limits::second_signal_limit`] from then. A third
-//! changes nothing. A hard kill is not handled here: peers see it as any
-//! crash.
+//! A second signal shortens the wait to [`Limits::second_signal_limit`] from
+//! then on. A third signal changes nothing. A hard kill is not handled here:
+//! peers see it as a crash.
 
 use std::time::Duration;
 
@@ -26,20 +27,21 @@
 
 use machine::{Event, Machine, Phase, Shutdown};
 
-/// How long each part of a shutdown may last.
+/// The time limits of a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// How long the balancer may go on sending after the announcement.
+    /// How long the balancer may continue to send requests after the
+    /// announcement.
     pub balancer_lag: Duration,
-    /// When the process ends at the latest, from the first signal on.
+    /// The maximum time from the first signal to the exit of the process.
     pub hard_limit: Duration,
-    /// When it ends at the latest, from a second signal on.
+    /// The maximum time from a second signal to the exit of the process.
     pub second_signal_limit: Duration,
 }
 
 impl Default for Limits {
-    /// Returns limits for a balancer that probes each few seconds and streams
-    /// that last minutes.
+    /// Returns limits for a balancer that probes every few seconds and for
+    /// streams that last minutes.
     fn default() -> Self {
         Self {
             balancer_lag: Duration::from_secs(5),
@@ -49,31 +51,33 @@
     }
 }
 
-/// What the instance is to do.
+/// What the instance must do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Serve as always.
+    /// Serve normally.
     Serve,
-    /// Tell peers and the balancer's probe, and serve what still comes.
+    /// Notify peers and the balancer's probe, and serve requests that still
+    /// arrive.
     Announce {
-        /// When to ask again.
+        /// When to call [`Drain::tick`] again.
         until: Moment,
     },
-    /// Stop listening, close idle keep-alive connections, answer the rest with
-    /// `Connection: close`, and hand owned state over; then call
+    /// Stop listening, close idle keep-alive connections, respond on the rest
+    /// with `Connection: close`, and hand owned state over; then call
     /// [`Drain::record_handover`].
     Close {
-        /// When the process ends at the latest.
+        /// The latest time at which the process ends.
         limit: Moment,
     },
     /// Wait for the requests in flight.
     Wait {
-        /// When the process ends at the latest.
+        /// The latest time at which the process ends.
         limit: Moment,
     },
     /// End the process.
     Exit {
-        /// Requests that the limit cuts; zero unless it passed.
+        /// Requests in flight that the exit aborts; zero unless the limit has
+        /// passed.
         aborted: usize,
     },
 }
@@ -90,7 +94,7 @@
 }
 
 impl Drain {
-    /// Returns a drain that serves until a signal comes.
+    /// Returns a drain that serves until the first signal.
     #[must_use]
     pub fn new(limits: Limits) -> Self {
         let mut machine = Shutdown { limits, aborted: 0 }.state_machine();
@@ -98,17 +102,19 @@
         Self { machine }
     }
 
-    /// Takes a termination signal: the first starts, the second hurries.
+    /// Handles a termination signal: the first starts the shutdown, the second
+    /// shortens it.
     pub fn handle_signal(&mut self, now: Moment) {
         self.machine.handle(&Event::Signal { now });
     }
 
-    /// Takes that owned state is handed over, or can't be.
+    /// Records that owned state has been handed over, or that it can't be.
     pub fn record_handover(&mut self) {
         self.machine.handle(&Event::HandedOver);
     }
 
-    /// Lets time pass with `in_flight` requests and returns what to do.
+    /// Advances the time to `now`, with `in_flight` requests, and returns what
+    /// to do.
     pub fn tick(&mut self, now: Moment, in_flight: usize) -> Next {
         self.machine.handle(&Event::Tick { now, in_flight });
         match *self.machine.state() {
--- a/crates/state/src/drain/machine.rs
+++ b/crates/state/src/drain/machine.rs
@@ -1,26 +1,26 @@
-//! The states of a shutdown.
+//! The state machine of a shutdown.
 
 use godwitpost_types::clock::Moment;
 use statig::prelude::*;
 
 use super::Limits;
 
-/// What happens to a shutdown.
+/// An event that can change the state of a shutdown.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Event {
     /// A termination signal.
     Signal { now: Moment },
-    /// Owned state has moved.
+    /// Owned state has been handed over, or can't be.
     HandedOver,
     /// Time passes.
     Tick { now: Moment, in_flight: usize },
 }
 
-/// Shared storage of the machine.
+/// The storage that all states share.
 #[derive(Debug)]
 pub(super) struct Shutdown {
     pub(super) limits: Limits,
-    /// Requests in flight when the end came.
+    /// Requests in flight when the shutdown ended.
     pub(super) aborted: usize,
 }
 
@@ -46,8 +46,8 @@
     #[state]
     fn announced(&mut self, until: &Moment, limit: &mut Moment, event: &Event) -> Outcome<Phase> {
         match *event {
-            // An instance without requests may still be sent one: it waits
-            // out the balancer's lag whatever is in flight.
+            // The balancer may still send requests to an idle instance, so the
+            // state lasts for the balancer's lag whatever is in flight.
             Event::Tick { now, .. } if now >= *until => Transition(Phase::closing(*limit)),
             Event::Signal { now } => {
                 let limit = self.shortened_limit(*limit, now);
@@ -87,7 +87,7 @@
         Transition(Phase::done())
     }
 
-    // Each further signal only brings the limit closer.
+    // A further signal can only shorten the limit, never extend it.
     fn shorten_limit(&self, limit: &mut Moment, now: Moment) -> Outcome<Phase> {
         *limit = self.shortened_limit(*limit, now);
         Handled
--- a/crates/state/src/drain/tests.rs
+++ b/crates/state/src/drain/tests.rs
@@ -1,4 +1,4 @@
-//! Shutdowns cut nothing within their limits and end at them.
+//! A shutdown aborts no request before its limit and ends at the limit.
 
 use proptest::prelude::*;
 
@@ -14,10 +14,9 @@
     Duration::from_secs(seconds)
 }
 
-/// A caller's request is refused by an instance that is being replaced. The
-/// operator stops the instance; the balancer's list lags and still sends the
-/// request there; the instance had closed its listener at once, because
-/// nothing was in flight.
+/// Guards against refusing requests during a shutdown: the balancer's list lags
+/// and still sends a request to an instance that closed its listener at once
+/// because nothing was in flight.
 #[test]
 fn an_idle_instance_serves_while_the_balancer_lags() {
     let mut drain = Drain::new(LIMITS);
@@ -30,9 +29,8 @@
     assert_eq!(drain.tick(at(17), 0), Next::Exit { aborted: 0 });
 }
 
-/// An editor's streamed draft stops in mid-sentence. The operator stops the
-/// instance twice, impatient; the second signal ends it at once instead of
-/// after the short limit that is documented.
+/// Guards against aborting a stream early: a second signal from the operator
+/// ended the instance at once instead of after the documented short limit.
 #[test]
 fn a_second_signal_shortens_the_wait_and_a_third_does_not_lengthen_it() {
     let mut drain = Drain::new(LIMITS);
@@ -62,7 +60,7 @@
 
 proptest! {
     #[test]
-    fn nothing_is_cut_before_a_limit_and_none_outlives_it(
+    fn no_request_is_aborted_before_a_limit_and_the_limit_is_kept(
         steps in prop::collection::vec(any_step(), 1..40),
     ) {
         let mut drain = Drain::new(LIMITS);
@@ -85,8 +83,8 @@
                         prop_assert!(aborted == 0 || limit.is_some_and(|limit| now >= limit));
                         return Ok(());
                     }
-                    // A limit that passed while announced is seen one tick
-                    // later, after the close.
+                    // A limit that passes in the announced state takes effect
+                    // one tick later, after the close.
                     let late = limit.is_some_and(|limit| now >= limit);
                     let closing = matches!(next, Next::Close { .. });
                     prop_assert!(!late || closing);
--- a/crates/state/src/gossip.rs
+++ b/crates/state/src/gossip.rs
@@ -1,12 +1,12 @@
-//! What instances tell each other, when, and within how many bytes.
+//! The gossip protocol between router instances.
 //!
-//! Each period an instance sends one peer a [`Message`] and gets one back, so
-//! news travels both ways on each contact. News that can't wait, a bundle
-//! version or a leaving sign that the instance itself has just learned, goes
-//! to [`URGENT_FANOUT`] more peers at once. Everything is paid from a [`Budget`]
-//! in bytes with all headers counted; an empty one defers gossip. The bundle
-//! version is in every message, so it is deferred with the message and never
-//! left out of one.
+//! In each interval an instance sends one peer a [`Message`] and receives one
+//! in response, so updates propagate in both directions. Urgent updates (a new
+//! bundle version, a leaving notice or quarantine evidence that the instance
+//! has just learned) also go to [`URGENT_FANOUT`] more peers at once. All
+//! traffic, headers included, is charged to a [`Budget`] in bytes; an empty
+//! budget defers gossip. Every message carries the bundle version, so an empty
+//! budget can defer the version but never omits it from a message.
 
 pub mod message;
 
--- a/crates/state/src/gossip/budget.rs
+++ b/crates/state/src/gossip/budget.rs
@@ -1,18 +1,20 @@
-//! A token bucket in bytes that control traffic is paid from.
+//! A token bucket, in bytes, that limits control traffic.
 
 use godwitpost_types::clock::{Moment, since};
 
-/// Whether a message may use the part of the bucket that is kept for news.
+/// Whether a message may use the part of the bucket that is reserved for urgent
+/// updates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Urgency {
-    /// It may wait.
+    /// The message may be deferred.
     Routine,
-    /// It carries a bundle version or a leaving sign that is new.
+    /// The message carries a new update, such as a bundle version or a leaving
+    /// notice.
     Urgent,
 }
 
-/// A hard limit on control bytes: over any time `t`, at most
-/// `burst + rate x t` bytes are granted.
+/// A hard limit on control bytes: over any time `t`, at most `burst + rate x t`
+/// bytes are granted.
 #[derive(Clone, Debug)]
 pub struct Budget {
     rate: u64,
@@ -24,20 +26,20 @@
     refused: u64,
 }
 
-// Seconds of its rate that a bucket holds: enough for the burst of pushes that
-// follows a new version.
+// Seconds of its rate that the bucket holds: enough for the burst of messages
+// that follows a new bundle version.
 const BURST_SECONDS: u64 = 2;
 
-// The part of the bucket that routine messages leave untouched: a quarter pays
-// for three pushes of news at about a kilobyte each.
+// Routine messages leave one part in this many of the bucket untouched: a
+// quarter covers three urgent messages of about a kilobyte each.
 const RESERVE_DIVISOR: u64 = 4;
 
 impl Budget {
     /// Returns a full bucket of `rate` bytes a second.
     ///
-    /// `headers` is what one message costs beside its body: HTTP head, framing
-    /// and the TCP/IP headers of its packets and their acknowledgements, as
-    /// the router measures them.
+    /// `headers` is the overhead of one message in bytes: the HTTP head, the
+    /// framing and the TCP/IP headers of its packets and their
+    /// acknowledgements, as the router measures them.
     #[must_use]
     pub const fn new(now: Moment, rate: u64, headers: u64) -> Self {
         let burst = rate * BURST_SECONDS;
@@ -52,7 +54,8 @@
         }
     }
 
-    /// Takes the cost of one message with a body of `body` bytes, or refuses.
+    /// Takes the cost of one message with a body of `body` bytes and returns
+    /// true, or returns false if the bucket does not cover it.
     pub fn try_take(&mut self, now: Moment, body: usize, urgency: Urgency) -> bool {
         self.refill(now);
         let cost = self.cost(body);
@@ -69,14 +72,14 @@
         true
     }
 
-    /// Gives back the difference after a message turned out shorter.
+    /// Refunds the difference if a message was shorter than the size taken.
     pub fn refund(&mut self, taken: usize, used: usize) {
         let refunded = (taken.saturating_sub(used)) as u64;
         self.level = (self.level + refunded).min(self.burst);
         self.spent = self.spent.saturating_sub(refunded);
     }
 
-    /// Gives back the whole cost of a message that is not sent after all.
+    /// Refunds the whole cost of a message that was not sent.
     pub fn cancel(&mut self, body: usize) {
         let cost = self.cost(body);
         self.level = (self.level + cost).min(self.burst);
@@ -109,7 +112,7 @@
         let elapsed = since(now, self.filled_at);
         let bytes = elapsed.as_millis() * u128::from(self.rate) / 1000;
         if bytes == 0 {
-            // Too short a time for a whole byte; it counts the next time.
+            // The time is too short for a whole byte; the next refill counts it.
             return;
         }
         let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
--- a/crates/state/src/gossip/message.rs
+++ b/crates/state/src/gossip/message.rs
@@ -1,7 +1,8 @@
-//! The message that instances exchange, and its bytes.
+//! The message that instances exchange, and its encoding.
 //!
-//! Its visitors are written by hand: it is the message that the control budget
-//! is spent on. All parts are arrays in a fixed order, without field names.
+//! The serializers and visitors are written by hand, because the control budget
+//! is spent on this message. All parts are arrays in a fixed order, without
+//! field names.
 
 use std::fmt;
 use std::time::Duration;
@@ -17,60 +18,60 @@
 
 /// The size of one piece of quarantine evidence in bytes.
 ///
-/// A request's digest, the endpoint with its incarnation, the instance that
-/// saw it, and the time.
+/// It holds a request's digest, the endpoint with its incarnation, the instance
+/// that observed it, and the time.
 pub const EVIDENCE_BYTES: usize = 48;
 
-/// Quarantine evidence; only the quarantine reads it.
+/// Quarantine evidence, opaque to gossip; only the quarantine decodes it.
 pub type Evidence = [u8; EVIDENCE_BYTES];
 
-/// A sender's sums over the endpoints of one pool that it is home to.
+/// The sender's load, summed over its home endpoints in one pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Load {
     /// The pool: a service, or a model of it.
     pub pool: u64,
-    /// Endpoints summed over.
+    /// The number of endpoints in the sums.
     pub endpoints: u32,
-    /// Their estimated work, in tokens still to be computed.
+    /// The estimated work of the endpoints, in tokens still to be computed.
     pub work: u64,
-    /// Requests that wait for them.
+    /// The number of requests that wait for these endpoints.
     pub waiting: u32,
     /// When the sums were taken, in whole milliseconds.
     pub taken: Moment,
 }
 
-/// What a workspace asks of the sender; the limits read it.
+/// The demand of a workspace at the sender, an input of the workspace limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Demand {
     /// The workspace.
     pub workspace: u64,
-    /// Requests in 1,000 seconds.
+    /// Requests per 1,000 seconds.
     pub rate: u32,
-    /// Requests at once.
+    /// Concurrent requests.
     pub running: u32,
 }
 
-/// What one instance tells another.
+/// A gossip message from one instance to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// The sender, alive at this beat.
+    /// The sender's heartbeat.
     pub from: Heartbeat,
     /// The bundle version in force at the sender; 0 for none.
     pub version: Version,
-    /// What is said of instances.
+    /// Updates about instances.
     pub member_updates: Vec<MemberUpdate>,
-    /// Endpoints that leave.
+    /// Notices of leaving endpoints.
     pub leaving: Vec<LeavingNotice>,
     /// The sender's load sums.
     pub loads: Vec<Load>,
     /// Quarantine evidence.
     pub evidence: Vec<Evidence>,
-    /// The sender's demand by workspaces near or over their share of it;
-    /// `None` if nothing is said of it.
+    /// The demand, at the sender, of workspaces near or over their share; `None`
+    /// if the message omits it.
     pub demands: Option<Vec<Demand>>,
 }
 
-/// Why bytes are no message.
+/// Why bytes could not be decoded as a message.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum Error {
     /// the bytes are no gossip message ({0}); check that all instances run the same release
@@ -84,7 +85,7 @@
     ///
     /// # Panics
     ///
-    /// Panics if the encoder fails, which writing to memory never does.
+    /// Panics if the encoder fails, which does not happen when writing to memory.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         rmp_serde::to_vec(self).expect("a message encodes into memory")
@@ -249,7 +250,7 @@
     }
 }
 
-// Evidence as one byte string, so that a piece costs its 48 bytes alone.
+// Evidence as one byte string, so that a piece takes exactly its 48 bytes.
 struct EvidenceBytes<'a>(&'a [Evidence]);
 
 impl Serialize for EvidenceBytes<'_> {
--- a/crates/state/src/gossip/message/tests.rs
+++ b/crates/state/src/gossip/message/tests.rs
@@ -1,4 +1,4 @@
-//! Messages survive their encoding and stay within their size.
+//! Messages survive encoding and decoding, and malformed bytes cause no panic.
 
 use proptest::prelude::*;
 
@@ -19,7 +19,8 @@
             State::Gone,
         ][state],
     });
-    let sign = any::<(u64, u64)>().prop_map(|(id, incarnation)| LeavingNotice { id, incarnation });
+    let notice =
+        any::<(u64, u64)>().prop_map(|(id, incarnation)| LeavingNotice { id, incarnation });
     let load = any::<(u64, u32, u64, u32)>().prop_map(|(pool, endpoints, work, taken)| Load {
         waiting: taken ^ endpoints,
         pool,
@@ -38,7 +39,7 @@
         ids,
         any::<u64>(),
         prop::collection::vec(update, 0..5),
-        prop::collection::vec(sign, 0..5),
+        prop::collection::vec(notice, 0..5),
         prop::collection::vec(load, 0..5),
         prop::collection::vec(piece, 0..5),
         prop::option::of(prop::collection::vec(demand, 0..5)),
@@ -68,7 +69,7 @@
     }
 
     #[test]
-    fn strange_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn malformed_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = Message::decode(&bytes).map(|message| message.encode());
     }
 }
--- a/crates/state/src/gossip/pump.rs
+++ b/crates/state/src/gossip/pump.rs
@@ -1,9 +1,10 @@
-//! Whom to talk to, when, and what to put into a message.
+//! The choice of peers, the schedule and the content of gossip messages.
 //!
-//! Peers are met in a random order that is shuffled again after each round, so
-//! each is met once a round: a dead one is noticed within a bounded time, not
-//! merely an expected one. Some contacts go to instances that are gone but
-//! still listed, which is how regions that lost each other meet again.
+//! Peers are contacted in a random order that is shuffled again after each
+//! round. Each peer is contacted once per round, so the time to detect a dead
+//! one is bounded and not merely bounded on average. Some contacts go to
+//! instances that are gone but still listed, so that regions reconnect after a
+//! partition.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -17,62 +18,67 @@
 use crate::membership::endpoints::{Endpoints, LeavingNotice};
 use crate::membership::{MemberUpdate, Roster, State};
 
-/// The time between two routine contacts of one instance.
+/// The time between two routine exchanges that one instance starts.
 ///
-/// At a second, two exchanges of about 900 bytes with all headers (one begun,
-/// one answered) cost under 2 KB/s of the 6 KB/s that a node may spend.
+/// At one second, two exchanges of about 900 bytes with all headers (one
+/// started, one answered) cost under 2 KB/s of the 6 KB/s that a node may spend.
 pub const EXCHANGE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Peers that are told at once of news that can't wait.
+/// The number of peers to which an urgent update is sent at once.
 ///
-/// With three, one push wave reaches all but `x = e^(-3(1-x))`, 6% of the
-/// instances; the periodic exchange reaches those in one or two periods.
+/// With three, the first wave of pushes misses a share of `x = e^(-3(1-x))`, 6%
+/// of the instances; the periodic exchange reaches those in one or two
+/// intervals.
 pub const URGENT_FANOUT: usize = 3;
 
-// One routine contact in this many goes to a listed instance that is gone; one
-// in the second number if an eighth of all are, as after a cut between regions.
-// Each must be met once before it is taken back.
+// One routine exchange in this many goes to a listed instance that is gone; one
+// in the second number if more than an eighth of all are gone, as after a
+// partition between regions. Each gone instance must be contacted once before
+// it can return.
 const EXCHANGES_PER_GONE_CONTACT: u64 = 5;
 const EXCHANGES_PER_GONE_CONTACT_IF_MANY: u64 = 2;
 const MANY_GONE_DIVISOR: usize = 8;
 
-/// Bytes of a message's body at most.
+/// The maximum size of a message body.
 ///
-/// With its head it fills one packet, or a little of a second one.
+/// With its head, such a message fills one packet or slightly exceeds it.
 pub const MAX_BODY_BYTES: usize = 1100;
 
-// Items in one message at most: on the wire they take 30, 19, 38 and 48 bytes
-// at most, which with the fixed 40 and an accusation sums up to less than MAX_BODY_BYTES.
+// The maximum number of items in one message. On the wire an item takes at most
+// 30, 19, 38 and 48 bytes; with the fixed 40 bytes and a suspicion of the
+// recipient the sum stays below MAX_BODY_BYTES.
 const MAX_MEMBER_UPDATES: usize = 15;
 const MAX_LEAVING_NOTICES: usize = 8;
 const MAX_LOADS: usize = 6;
 const MAX_EVIDENCE: usize = 4;
 
-// Demands, 20 bytes each, are left out of a message with more rumours than
-// this: a third of them make room for eight demands.
+// Eight demands of 20 bytes each take as much room as a third of the member
+// updates, so a message with more than MAX_UPDATES_WITH_DEMANDS updates omits
+// them.
 const MAX_DEMANDS: usize = 8;
 const MAX_UPDATES_WITH_DEMANDS: usize = 9;
 
-// News held to be told; more than a lost zone of 27 instances, or a rack of
-// runners that leaves at once.
+// The maximum number of queued items of one kind. It exceeds what the loss of a
+// zone of 27 instances, or of a rack of endpoints that leaves at once, produces.
 const MAX_QUEUED_ITEMS: usize = 512;
 
-/// What a received message brought that its reader must act on.
+/// The parts of a received message that the caller must act on.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PeerUpdate {
-    /// The sender holds this newer bundle version: fetch it from there.
+    /// A newer bundle version that the sender holds and that can be fetched from
+    /// it.
     pub version: Option<Version>,
-    /// The sender holds an older version and may be told.
+    /// Whether the sender holds an older version and can be sent the newer one.
     pub sender_behind: bool,
     /// The sender's load sums.
     pub loads: Vec<Load>,
-    /// Evidence that was not known before.
+    /// Evidence that this instance did not know before.
     pub evidence: Vec<Evidence>,
-    /// The sender's demand by workspaces, if it was told.
+    /// The demand of workspaces at the sender, if the message includes it.
     pub demands: Option<Vec<Demand>>,
 }
 
-/// The gossip of one instance.
+/// The gossip protocol state of one instance.
 #[derive(Debug)]
 pub struct Pump {
     budget: Budget,
@@ -91,7 +97,8 @@
 }
 
 impl Pump {
-    /// Returns a pump that pays from `budget` and begins at once.
+    /// Returns a pump that charges its traffic to `budget` and starts its first
+    /// exchange at once.
     #[must_use]
     pub const fn new(budget: Budget) -> Self {
         Self {
@@ -111,19 +118,19 @@
         }
     }
 
-    /// Returns the budget, for its counters.
+    /// Returns the budget, for access to its counters.
     #[must_use]
     pub const fn budget(&self) -> &Budget {
         &self.budget
     }
 
-    /// Returns when [`Pump::tick`] is wanted next.
+    /// Returns when [`Pump::tick`] must be called next.
     #[must_use]
     pub const fn next_exchange(&self) -> Moment {
         self.next_exchange
     }
 
-    /// Sets the bundle version in force; a newer one is told at once.
+    /// Sets the bundle version in force; a newer one is sent at once.
     pub fn set_version(&mut self, version: Version) {
         if version > self.version {
             self.version = version;
@@ -131,34 +138,34 @@
         }
     }
 
-    /// Takes changes of the roster to pass on.
+    /// Queues changes of the roster to propagate.
     pub fn queue_member_updates(&mut self, changes: &[MemberUpdate]) {
         for &update in changes {
             self.member_updates
                 .retain(|queued| queued.id != update.id || supersedes(queued, &update));
             self.member_updates.push(update);
-            // An accusation and its answer race each other, and the answer
-            // must win; a leaving instance must lose its homes.
+            // A suspicion and its refutation race, and the refutation must win;
+            // a leaving instance must lose its home endpoints.
             self.pending_routine = URGENT_FANOUT;
         }
     }
 
-    /// Takes a leaving sign that is new here; it is told at once.
+    /// Queues a leaving notice that is new to this instance; it is sent at once.
     pub fn queue_leaving(&mut self, leaving: LeavingNotice) {
         self.leaving.push(leaving);
         self.schedule_urgent();
     }
 
-    /// Takes evidence that the own quarantine found; it is told at once.
+    /// Queues evidence that the own quarantine found; it is sent at once.
     pub fn queue_evidence(&mut self, piece: Evidence) {
         if self.record_evidence(piece) {
             self.schedule_urgent();
         }
     }
 
-    /// Sets the own demand to tell, of which the first eight are told.
+    /// Sets the own demands, of which the first eight are sent.
     ///
-    /// It is the sender's alone and is not passed on by others.
+    /// They describe the sender only; peers do not forward them.
     pub fn set_demands(&mut self, mut demands: Vec<Demand>) {
         demands.truncate(MAX_DEMANDS);
         self.demands = demands;
@@ -166,8 +173,8 @@
 
     /// Returns the peers to send a message to now.
     ///
-    /// Each is already paid for. To be called at [`Pump::next_exchange`], and at once
-    /// after news.
+    /// The budget is already charged for each of them. The caller must call this
+    /// at [`Pump::next_exchange`], and at once after it queued an update.
     pub fn tick<R: Rng>(&mut self, now: Moment, roster: &Roster, rng: &mut R) -> Vec<InstanceId> {
         self.peer_count = roster.others().count();
         let mut chosen = Vec::new();
@@ -181,8 +188,8 @@
                 Urgency::Routine
             };
             if !self.reserve_exchange(now, urgency) {
-                // Deferred, not dropped: the counts stay until the bucket
-                // fills.
+                // The sends are deferred, not dropped: the counts stay until
+                // the bucket refills.
                 self.round.push_front(peer);
                 break;
             }
@@ -205,7 +212,7 @@
         chosen
     }
 
-    /// Returns the message for a peer, as request or as answer.
+    /// Returns the message for a peer, used as a request or as a response.
     pub fn build_message(&mut self, to: InstanceId, roster: &Roster, loads: &[Load]) -> Message {
         let max_sends = send_limit(self.peer_count);
         let mut member_updates = self
@@ -216,7 +223,8 @@
         {
             member_updates.push(suspicion);
         }
-        // A burst of news needs the bytes more; it passes in seconds.
+        // Demands are omitted in a burst of updates, which lasts only seconds
+        // and needs the bytes more.
         let has_room =
             member_updates.len() <= MAX_UPDATES_WITH_DEMANDS && self.budget.has_surplus();
         let demands = has_room.then(|| self.demands.clone());
@@ -231,7 +239,8 @@
         }
     }
 
-    /// Takes the answer that a contact brought: settles its cost and reads it.
+    /// Applies the response to an exchange that this instance started, after
+    /// settling its cost.
     pub fn apply_response(
         &mut self,
         now: Moment,
@@ -244,11 +253,11 @@
         self.apply_message(now, message, roster, endpoints)
     }
 
-    /// Takes a peer's request of `bytes`, or refuses it when the bucket can't
-    /// pay for it and its answer.
+    /// Applies a peer's request of `bytes`, or returns `None` if the bucket does
+    /// not cover the request and its response.
     ///
-    /// A refusal is to be answered with an empty 429; it is the peer's gossip
-    /// that waits then.
+    /// The caller must respond to a refused request with an empty 429, which
+    /// defers the peer's gossip.
     pub fn apply_request(
         &mut self,
         now: Moment,
@@ -261,12 +270,12 @@
         paid.then(|| self.apply_message(now, message, roster, endpoints))
     }
 
-    /// Settles the cost of an answer or request that was sent.
+    /// Settles the cost of a request or response that was sent.
     pub fn settle_sent(&mut self, bytes: usize) {
         self.budget.refund(MAX_BODY_BYTES, bytes);
     }
 
-    /// Settles the cost of a contact that brought no answer.
+    /// Settles the cost of an exchange that got no response.
     pub fn settle_failed(&mut self) {
         self.budget.cancel(MAX_BODY_BYTES);
     }
@@ -317,7 +326,8 @@
         self.pending_urgent = URGENT_FANOUT;
     }
 
-    // A request and its answer, each at its largest; the rest is refunded.
+    // Charges a request and its response at the maximum size. The unused part
+    // is refunded later.
     fn reserve_exchange(&mut self, now: Moment, urgency: Urgency) -> bool {
         if !self.budget.try_take(now, MAX_BODY_BYTES, urgency) {
             return false;
@@ -368,8 +378,9 @@
     }
 }
 
-// Times an item is told: three times the rounds that an epidemic needs to
-// double over all peers, as in SWIM (Das, Gupta, Motivala 2002, section 4.1).
+// Returns how often an item is sent: three times the number of rounds in which
+// an epidemic that doubles each round reaches all peers, as in SWIM (Das, Gupta,
+// Motivala 2002, section 4.1).
 fn send_limit(peers: usize) -> u32 {
     3 * (usize::BITS - peers.leading_zeros()).max(1)
 }
--- a/crates/state/src/gossip/pump/tests.rs
+++ b/crates/state/src/gossip/pump/tests.rs
@@ -1,4 +1,5 @@
-//! News is deferred by an empty bucket, never dropped, and fits its message.
+//! An empty bucket defers updates and never drops them, and messages fit their
+//! size limit.
 
 use std::net::SocketAddr;
 
@@ -39,10 +40,11 @@
     Pump::new(Budget::new(at(0), rate, 330))
 }
 
-/// A rolled bundle is not in force on a router for minutes. Its bucket was
-/// empty when the version came, and the push was dropped.
+/// Guards against a bundle version that takes minutes to reach a router: the
+/// bucket was empty when the version arrived, and the push was dropped instead
+/// of deferred.
 #[test]
-fn a_version_waits_for_the_bucket_and_is_told_then() {
+fn a_version_is_deferred_until_the_bucket_refills() {
     let roster = roster(20);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut pump = pump(2000);
@@ -52,16 +54,17 @@
     }
     pump.set_version(99);
     assert_eq!(pump.tick(at(1), &roster, &mut rng), []);
-    let mut told = Vec::new();
+    let mut contacted = Vec::new();
     for second in 1..9 {
-        told.extend(pump.tick(at(second * 1000), &roster, &mut rng));
+        contacted.extend(pump.tick(at(second * 1000), &roster, &mut rng));
     }
-    assert!(told.len() >= URGENT_FANOUT, "told {told:?}");
-    let message = pump.build_message(told[0], &roster, &[]);
+    assert!(contacted.len() >= URGENT_FANOUT, "contacted {contacted:?}");
+    let message = pump.build_message(contacted[0], &roster, &[]);
     assert_eq!(message.version, 99);
 }
 
-/// The sum that the budget takes beforehand must cover the largest message.
+/// The amount that the budget reserves in advance must cover the largest
+/// message.
 #[test]
 fn the_largest_message_fits() {
     let roster = roster(2);
@@ -104,7 +107,8 @@
     );
 }
 
-/// A message with demands outgrows what was paid for it beforehand.
+/// Guards against a message with demands that exceeds the amount reserved for
+/// it in advance.
 #[test]
 fn the_largest_message_with_demands_fits() {
     let roster = roster(2);
@@ -143,24 +147,25 @@
     assert!(bytes <= MAX_BODY_BYTES, "{bytes}");
 }
 
-/// A dead instance is noticed late, or never, because chance leaves it out.
+/// Guards against late or missed detection of a dead instance: with independent
+/// random choices a peer may not be contacted for a long time.
 #[test]
-fn each_peer_is_met_once_a_round() {
+fn each_peer_is_contacted_once_a_round() {
     let roster = roster(20);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut pump = pump(6000);
-    let mut met = Vec::new();
+    let mut contacted = Vec::new();
     for second in 0..19 {
-        met.extend(pump.tick(at(second * 1000), &roster, &mut rng));
+        contacted.extend(pump.tick(at(second * 1000), &roster, &mut rng));
     }
-    met.sort_unstable();
+    contacted.sort_unstable();
     let all: Vec<InstanceId> = (2..=20).collect();
-    assert_eq!(met, all);
+    assert_eq!(contacted, all);
 }
 
-/// An accused instance must hear of it to answer.
+/// A suspected instance must learn of the suspicion to refute it.
 #[test]
-fn the_accused_is_told() {
+fn a_suspected_instance_is_informed() {
     let mut roster = roster(3);
     roster.record_unreachable(at(0), 2);
     let mut pump = pump(6000);
@@ -170,7 +175,7 @@
 }
 
 #[test]
-fn news_is_told_a_limited_number_of_times() {
+fn an_item_is_sent_a_limited_number_of_times() {
     let roster = roster(20);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut pump = pump(6000);
@@ -179,6 +184,6 @@
         id: 7,
         incarnation: 1,
     });
-    let told = (0..100).filter(|_| !pump.build_message(2, &roster, &[]).leaving.is_empty());
-    assert_eq!(told.count(), send_limit(19) as usize);
+    let sent = (0..100).filter(|_| !pump.build_message(2, &roster, &[]).leaving.is_empty());
+    assert_eq!(sent.count(), send_limit(19) as usize);
 }
--- a/crates/state/src/gossip/spread.rs
+++ b/crates/state/src/gossip/spread.rs
@@ -1,12 +1,12 @@
-//! News to pass on, each item a limited number of times.
+//! A queue of updates to propagate, each sent a limited number of times.
 //!
-//! Items told least often go first, so a burst of news can't starve the last
-//! of it, and an item is dropped once it was told often enough to have reached
-//! everyone with near certainty.
+//! The items sent least often go first, so no item of a burst is starved. An
+//! item is dropped once it has been sent often enough to have reached all
+//! instances with near certainty.
 
 use std::collections::VecDeque;
 
-/// A bounded queue of items to tell peers.
+/// A bounded queue of items to send to peers.
 #[derive(Clone, Debug)]
 pub struct SendQueue<T> {
     capacity: usize,
@@ -23,7 +23,8 @@
         }
     }
 
-    /// Adds an item, unless it is held; the item told most often makes room.
+    /// Adds an item unless it is queued already. A full queue drops the item
+    /// that was sent most often.
     pub fn push(&mut self, item: T) {
         if self.items.iter().any(|(_, queued)| *queued == item) {
             return;
@@ -32,13 +33,14 @@
         self.items.truncate(self.capacity);
     }
 
-    /// Removes the items that a newer one makes worthless.
+    /// Keeps only the items for which `keep` returns true, to remove those that
+    /// a newer item supersedes.
     pub fn retain(&mut self, keep: impl Fn(&T) -> bool) {
         self.items.retain(|(_, item)| keep(item));
     }
 
-    /// Returns up to `most` items to tell now and counts them as told; each is
-    /// dropped once told `times` times.
+    /// Returns up to `max_items` items to send now and counts them as sent. An
+    /// item is dropped once it has been sent `max_sends` times.
     pub fn take_batch(&mut self, max_items: usize, max_sends: u32) -> Vec<T> {
         let count = max_items.min(self.items.len());
         let sent: Vec<(u32, T)> = self.items.drain(..count).collect();
@@ -50,19 +52,19 @@
         sent.into_iter().map(|(_, item)| item).collect()
     }
 
-    /// Returns the number of items held.
+    /// Returns the number of queued items.
     #[must_use]
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
-    /// Returns whether nothing is to be told.
+    /// Returns whether no items are queued.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    // Keeps the queue ordered by how often items were told.
+    // Keeps the queue ordered by how often items were sent.
     fn insert(&mut self, sends: u32, item: T) {
         let at = self.items.partition_point(|(count, _)| *count <= sends);
         self.items.insert(at, (sends, item));
--- a/crates/state/src/membership.rs
+++ b/crates/state/src/membership.rs
@@ -1,14 +1,17 @@
-//! Which instances and endpoints exist, from sources that disagree.
+//! Membership: which instances and endpoints exist, from sources that disagree.
 //!
-//! The platform's list lags and may be empty or wrong for a while, a peer's
-//! word may be old, and views differ for seconds as a matter of course. Two
-//! rules keep that harmless. A sign counts by incarnation, and by a *beat*
-//! that only the subject raises, so old news never beats new. And a view
-//! changes where work lives only after a state has lasted: a suspected
-//! instance keeps its homes, and one that comes back waits out a probation.
+//! The platform's list lags and may be empty or wrong for a while, an update
+//! from a peer may be outdated, and the views of instances normally differ for
+//! seconds. Two rules keep this harmless:
 //!
-//! - [`Roster`] holds the router instances.
-//! - [`endpoints::Endpoints`] holds the endpoints; *leaving* is sticky there.
+//! - Updates are ordered by incarnation and then by a *sequence number* that
+//!   only the subject increments, so an old update never overrides a newer one.
+//! - Home endpoints move only after a state has lasted for some time: a
+//!   suspected instance keeps its home endpoints, and a returning instance gets
+//!   them back after a probation period.
+//!
+//! [`Roster`] tracks the router instances. [`endpoints::Endpoints`] tracks the
+//! endpoints, for which *leaving* is final within an incarnation.
 
 pub mod endpoints;
 
--- a/crates/state/src/membership/endpoints.rs
+++ b/crates/state/src/membership/endpoints.rs
@@ -1,9 +1,10 @@
-//! The endpoints, from the list, their own reports and peers' leaving signs.
+//! The endpoints, from the list, their own reports and peers' leaving notices.
 //!
-//! Any source may be behind: the list says live while the endpoint says
-//! leaving, or the reverse. The first leaving sign of an incarnation, from
-//! wherever, holds for that incarnation; only a greater incarnation is live
-//! again, because it is another process on the same address.
+//! Any source may be outdated: the list may show an endpoint as live while the
+//! endpoint reports that it is leaving, or the reverse. The first leaving notice
+//! for an incarnation, from any source, is final for that incarnation. Only a
+//! greater incarnation is live again, because it is another process at the same
+//! address.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,28 +13,29 @@
 use godwitpost_types::endpoint::{Endpoint, Report, Standing};
 use godwitpost_types::id::{EndpointId, Incarnation};
 
-/// How long an endpoint may miss from the list while it reports nothing.
+/// How long an endpoint may be missing from the list, and send no report,
+/// before it is removed.
 ///
-/// The list lags by seconds; an endpoint that still reports is kept.
+/// The list lags by seconds; an endpoint that still reports is retained.
 pub const MAX_UNLISTED: Duration = Duration::from_secs(10);
 
-/// A leaving sign, as instances pass it on.
+/// The notice that an endpoint is leaving, as instances forward it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LeavingNotice {
     /// The endpoint that leaves.
     pub id: EndpointId,
-    /// The life that leaves.
+    /// The incarnation that leaves.
     pub incarnation: Incarnation,
 }
 
-/// What changed.
+/// A change of the known endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A new endpoint, or a new life of a known one.
+    /// A new endpoint, or a new incarnation of a known one.
     Joined(EndpointId),
-    /// It gets no new work from now on; the sign is to be passed on.
+    /// The endpoint gets no new work from now on; the notice must be forwarded.
     Left(LeavingNotice),
-    /// It is off the list and silent.
+    /// The endpoint is off the list and sends no reports.
     Gone(EndpointId),
 }
 
@@ -41,7 +43,8 @@
 #[derive(Debug, Default)]
 pub struct Endpoints {
     entries: BTreeMap<EndpointId, Entry>,
-    // Signs outlive their endpoint's entry: the list may bring it back.
+    // The greatest incarnation that left. It outlives the endpoint's entry,
+    // because a stale list may show the endpoint again.
     left_incarnations: BTreeMap<EndpointId, Incarnation>,
     changes: Vec<Change>,
 }
@@ -60,7 +63,7 @@
         Self::default()
     }
 
-    /// Takes an answer of the platform's list; an empty one is not believed.
+    /// Applies a response of the platform's list; an empty one is ignored.
     pub fn apply_list(&mut self, now: Moment, listed: &[Endpoint]) {
         if listed.is_empty() {
             return;
@@ -79,7 +82,7 @@
         }
     }
 
-    /// Takes an endpoint's own report.
+    /// Applies an endpoint's own report.
     pub fn apply_report(&mut self, now: Moment, id: EndpointId, report: &Report) {
         let Some(entry) = self.entries.get_mut(&id) else {
             return;
@@ -89,7 +92,7 @@
         }
         entry.reported_at = Some(now);
         if report.incarnation > entry.endpoint.incarnation {
-            // A restart that the list does not show yet.
+            // The endpoint restarted and the list does not show it yet.
             entry.endpoint.incarnation = report.incarnation;
             self.record_join(id);
         }
@@ -101,7 +104,8 @@
         }
     }
 
-    /// Takes a leaving sign: a peer's, or an answer that refused new work.
+    /// Applies a leaving notice from a peer or from a response that refused new
+    /// work.
     pub fn apply_notice(&mut self, leaving: LeavingNotice) {
         let left = self.left_incarnations.get(&leaving.id);
         if left.is_some_and(|left| leaving.incarnation <= *left) {
@@ -113,7 +117,7 @@
         self.update_standing(leaving.id);
     }
 
-    /// Lets time pass and returns what changed since the last call.
+    /// Advances the time to `now` and returns the changes since the last call.
     pub fn tick(&mut self, now: Moment) -> Vec<Change> {
         let gone: Vec<EndpointId> = self
             .entries
@@ -128,7 +132,7 @@
         std::mem::take(&mut self.changes)
     }
 
-    /// Returns every known endpoint, its standing settled.
+    /// Returns every known endpoint with its effective standing.
     pub fn endpoints(&self) -> impl Iterator<Item = &Endpoint> + '_ {
         self.entries.values().map(|entry| &entry.endpoint)
     }
@@ -182,7 +186,8 @@
         }
     }
 
-    // Sets the standing from the signs: the only place where it is decided.
+    // Sets the standing from the incarnation that left. No other code decides
+    // the standing.
     fn update_standing(&mut self, id: EndpointId) {
         let Some(entry) = self.entries.get_mut(&id) else {
             return;
--- a/crates/state/src/membership/endpoints/tests.rs
+++ b/crates/state/src/membership/endpoints/tests.rs
@@ -1,4 +1,4 @@
-//! Leaving signs hold for their incarnation, wherever they come from.
+//! A leaving notice is final for its incarnation, whatever its source.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -45,55 +45,57 @@
     endpoints
 }
 
-/// New drafts go to a runner that is shutting down: it says that it leaves,
-/// the list still says live.
+/// Guards against new requests to an endpoint that is shutting down: it reports
+/// that it is leaving, but the list still shows it as live.
 #[test]
-fn an_endpoint_that_says_leaving_leaves_though_it_is_listed_live() {
+fn an_endpoint_that_reports_leaving_is_leaving_though_it_is_listed_live() {
     let mut endpoints = live();
     endpoints.apply_report(at(1), 7, &report(1, Standing::Leaving));
     endpoints.apply_list(at(2), &[endpoint(1, Standing::Live)]);
     assert_eq!(standing(&endpoints), Some(Standing::Leaving));
-    let sign = LeavingNotice {
+    let notice = LeavingNotice {
         id: 7,
         incarnation: 1,
     };
     assert_eq!(
         endpoints.tick(at(2)),
-        [Change::Joined(7), Change::Left(sign)]
+        [Change::Joined(7), Change::Left(notice)]
     );
 }
 
-/// The reverse: the list says leaving, and the runner's lagging report was
-/// taken before it knew.
+/// The reverse case: the list shows the endpoint as leaving, but its outdated
+/// report says live.
 #[test]
-fn an_endpoint_listed_as_leaving_leaves_though_it_reports_live() {
+fn an_endpoint_listed_as_leaving_is_leaving_though_it_reports_live() {
     let mut endpoints = live();
     endpoints.apply_list(at(1), &[endpoint(1, Standing::Leaving)]);
     endpoints.apply_report(at(2), 7, &report(1, Standing::Live));
     assert_eq!(standing(&endpoints), Some(Standing::Leaving));
 }
 
-/// New drafts go to a leaving runner in its first life, which the platform
-/// numbers zero: its sign looked like one that was known already.
+/// Guards against new requests to a leaving endpoint in its first incarnation,
+/// which the platform numbers zero: its notice looked like one that was known
+/// already.
 #[test]
 fn the_first_incarnation_may_be_zero() {
     let mut endpoints = Endpoints::new();
     endpoints.apply_list(at(0), &[endpoint(0, Standing::Live)]);
     endpoints.apply_report(at(1), 7, &report(0, Standing::Leaving));
     assert_eq!(standing(&endpoints), Some(Standing::Leaving));
-    let sign = LeavingNotice {
+    let notice = LeavingNotice {
         id: 7,
         incarnation: 0,
     };
     assert_eq!(
         endpoints.tick(at(1)),
-        [Change::Joined(7), Change::Left(sign)]
+        [Change::Joined(7), Change::Left(notice)]
     );
 }
 
-/// A restarted runner gets no work, since its former life was leaving.
+/// Guards against a restarted endpoint that gets no work because its previous
+/// incarnation was leaving.
 #[test]
-fn a_new_incarnation_on_the_same_address_is_someone_else() {
+fn a_new_incarnation_at_the_same_address_is_live() {
     let mut endpoints = live();
     endpoints.apply_notice(LeavingNotice {
         id: 7,
@@ -105,10 +107,10 @@
     assert_eq!(standing(&endpoints), Some(Standing::Live), "the list lags");
 }
 
-/// A leaving runner that drops off the list and comes back on a stale answer
-/// is taken for a new one.
+/// Guards against a leaving endpoint that is treated as new: it drops off the
+/// list and appears again in a stale list.
 #[test]
-fn a_sign_outlives_the_list() {
+fn a_leaving_notice_outlives_the_listing() {
     let mut endpoints = live();
     endpoints.apply_notice(LeavingNotice {
         id: 7,
@@ -123,10 +125,10 @@
     assert_eq!(standing(&endpoints), Some(Standing::Leaving));
 }
 
-/// A service stops because the list answers with nothing, or leaves out a
-/// runner that still reports.
+/// Guards against a service that stops because the list is empty, or omits an
+/// endpoint that still reports.
 #[test]
-fn an_endpoint_that_reports_is_kept() {
+fn an_endpoint_that_reports_is_retained() {
     let mut endpoints = live();
     endpoints.apply_list(at(1), &[]);
     let mut other = endpoint(1, Standing::Live);
@@ -141,17 +143,17 @@
 
 proptest! {
     #[test]
-    fn leaving_is_sticky_whatever_comes(
-        signs in prop::collection::vec((0..3_u8, 1..4_u64, any::<bool>()), 1..40),
+    fn leaving_is_final_whatever_the_order_of_notices(
+        notices in prop::collection::vec((0..3_u8, 1..4_u64, any::<bool>()), 1..40),
     ) {
         let mut endpoints = live();
         let mut left = 0;
         let mut newest = 1;
-        for (kind, incarnation, leaving) in signs {
-            let said = if leaving { Standing::Leaving } else { Standing::Live };
+        for (kind, incarnation, leaving) in notices {
+            let standing_shown = if leaving { Standing::Leaving } else { Standing::Live };
             match kind {
-                0 => endpoints.apply_list(at(0), &[endpoint(incarnation, said)]),
-                1 => endpoints.apply_report(at(0), 7, &report(incarnation, said)),
+                0 => endpoints.apply_list(at(0), &[endpoint(incarnation, standing_shown)]),
+                1 => endpoints.apply_report(at(0), 7, &report(incarnation, standing_shown)),
                 _ => endpoints.apply_notice(LeavingNotice { id: 7, incarnation }),
             }
             let old = kind < 2 && incarnation < newest;
--- a/crates/state/src/membership/member.rs
+++ b/crates/state/src/membership/member.rs
@@ -1,15 +1,16 @@
 //! The state machine of one instance in one incarnation, as a peer sees it.
 //!
 //! ```text
-//!            accused            SUSPICION_TIMEOUT passed
-//!   live ------------> suspect ----------------> gone
-//!    ^ <------------------'                       |
-//!    |   answered with a greater beat             | a greater beat
-//!    |                                            v
-//!    '------------------------------------- returning
-//!                  PROBATION_PERIOD passed
+//!          suspected            SUSPICION_TIMEOUT passed
+//!   live ------------> suspect --------------------------> gone
+//!    ^ <------------------'                                 |
+//!    |   refuted with a greater sequence number             | a greater
+//!    |                                                      | sequence number
+//!    |                                                      v
+//!    '----------------------------------------------- returning
+//!                 PROBATION_PERIOD passed
 //!
-//!   any of them -- leaving sign --> leaving (sticky) -- silent --> gone
+//!   any state -- leaving notice --> leaving (final) -- silent --> gone
 //! ```
 
 use std::time::Duration;
@@ -18,69 +19,74 @@
 use serde::{Deserialize, Serialize};
 use statig::prelude::*;
 
-/// How long an accused instance has to answer before it is gone.
+/// How long a suspected instance has to refute the suspicion before it is gone.
 ///
-/// A rumour reaches all of 320 instances within about 3 s, and the answer
-/// takes as long; less would drop instances that are merely slow to hear of
-/// the accusation. More leaves a dead instance's work on the fallback path.
+/// An update reaches all of 320 instances within about 3 s, and the refutation
+/// takes as long. A shorter timeout would drop instances that learn of the
+/// suspicion late; a longer one leaves a dead instance's work on the fallback
+/// path.
 pub const SUSPICION_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// How long an instance that came back must stay before it gets homes again.
+/// How long a returning instance must stay reachable before it gets home
+/// endpoints again.
 ///
-/// Long against the seconds for which views differ, so that an instance that
-/// flaps moves its homes away once and not to and fro.
+/// This exceeds the few seconds for which views differ, so the home endpoints
+/// of a flapping instance move away once instead of back and forth.
 pub const PROBATION_PERIOD: Duration = Duration::from_secs(8);
 
-// How long a leaving instance may be silent before it is forgotten; it answers
+// How long a leaving instance may be silent before it is gone. It responds to
 // gossip until its last stream ends.
-const LEAVING_SILENCE: Duration = Duration::from_secs(30);
+const MAX_LEAVING_SILENCE: Duration = Duration::from_secs(30);
 
-/// How an instance stands, for rumours and for whoever asks.
+/// The state of an instance as another instance sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum State {
-    /// It gets work.
+    /// It gets home endpoints.
     Live,
-    /// Someone could not reach it; it keeps its homes for now.
+    /// An instance could not reach it. It keeps its home endpoints until the
+    /// suspicion times out.
     Suspect,
-    /// It finishes what it has and gets no homes.
+    /// It finishes its requests and gets no home endpoints.
     Leaving,
-    /// It came back and gets homes after its probation.
+    /// It is reachable again and gets home endpoints after its probation
+    /// period.
     Returning,
-    /// It is taken for dead or cut off.
+    /// It is considered dead or unreachable.
     Gone,
 }
 
-/// What can happen to a member.
+/// An event that can change the state of a member.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Event {
-    /// The instance itself, directly or through peers, showed this beat.
+    /// The instance, directly or through peers, published this sequence number.
     Alive { sequence: u64, now: Moment },
-    /// Someone could not reach the instance at this beat, or gave it up.
+    /// Another instance could not reach this one at this sequence number, or
+    /// considers it gone.
     ///
-    /// Being given up by others is no more than an accusation: after a cut
-    /// between regions each side says so of the other.
+    /// "Gone" in the view of others counts only as a suspicion: in a partition
+    /// between regions each side considers the other gone.
     Suspected { sequence: u64, now: Moment },
     /// The instance is leaving.
     Leave { now: Moment },
-    /// The instance is new here and starts with its probation.
+    /// The instance is new in this view and starts with its probation period.
     Probation { now: Moment },
     /// Time passes.
     Tick { now: Moment },
 }
 
-/// Shared storage of the machine.
+/// The storage that all states share.
 #[derive(Debug, Default)]
 pub(super) struct Member {
-    /// The greatest beat seen; only the subject raises it.
+    /// The greatest sequence number seen; only the subject increments it.
     pub(super) sequence: u64,
-    /// The last sign of life.
+    /// When the instance last showed that it is alive.
     pub(super) last_seen: Moment,
-    /// Whether this incarnation has shown that it leaves; it may be taken for
-    /// gone since, and must not come back as anything but leaving.
+    /// Whether this incarnation has announced that it leaves. If it is
+    /// considered gone later, it can only return to the leaving state.
     pub(super) leaving_seen: bool,
 }
 
-/// One member's machine.
+/// The state machine of one member.
 pub(super) type Machine = StateMachine<Member>;
 
 #[state_machine(
@@ -130,7 +136,7 @@
     fn leaving(&mut self, event: &Event) -> Outcome<Phase> {
         match *event {
             Event::Alive { sequence, now } => self.handle_alive(sequence, now),
-            Event::Tick { now } if since(now, self.last_seen) >= LEAVING_SILENCE => {
+            Event::Tick { now } if since(now, self.last_seen) >= MAX_LEAVING_SILENCE => {
                 Transition(Phase::gone(self.sequence))
             }
             _ => Handled,
--- a/crates/state/src/membership/roster.rs
+++ b/crates/state/src/membership/roster.rs
@@ -1,10 +1,11 @@
 //! The router instances, as one of them sees the others.
 //!
-//! The list brings names and addresses; direct contact and rumours bring life
-//! and death. An instance that can't be reached is accused, and the accusation
-//! spreads until the accused answers it with a greater beat or is gone. So a
-//! broken path between two instances costs nothing, and a lost zone is gone
-//! for everyone within seconds though the list still shows it.
+//! The platform's list supplies names and addresses; direct contact and updates
+//! from peers show which instances are alive. An instance that can't be reached
+//! is suspected. The suspicion propagates until the subject refutes it with a
+//! greater sequence number or is considered gone. A broken path between two
+//! instances therefore moves no home endpoints, and a lost zone is gone in all
+//! views within seconds, even while the list still shows it.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -19,41 +20,41 @@
 
 use super::member::{Event, Machine, Member, State};
 
-/// How long an instance may miss from the list before it is accused, and how
-/// long a gone one is kept after it left the list.
+/// How long an instance may be missing from the list before it is suspected,
+/// and how long a gone one is retained after it left the list.
 ///
-/// The list lags by seconds; a shorter time would accuse instances that a
-/// single stale answer left out.
+/// The list lags by seconds; a shorter time would cause suspicion of instances
+/// that are missing from a single stale list.
 pub const MAX_UNLISTED: Duration = Duration::from_secs(10);
 
-/// What an instance says of itself on each message.
+/// The sender's own state, part of each message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Who speaks.
+    /// The sender.
     pub id: InstanceId,
-    /// Its life.
+    /// The sender's incarnation.
     pub incarnation: Incarnation,
-    /// A counter that it raises to answer an accusation.
+    /// A counter that the sender increments to refute a suspicion.
     #[serde(rename = "beat")]
     pub sequence: u64,
-    /// Whether it is leaving.
+    /// Whether the sender is leaving.
     pub standing: Standing,
 }
 
-/// What an instance says of another, or a change in its own view.
+/// The state of one instance in the view of another, as exchanged by gossip.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberUpdate {
-    /// Whom it is about.
+    /// The subject of the update.
     pub id: InstanceId,
-    /// The life it is about.
+    /// The subject's incarnation.
     pub incarnation: Incarnation,
-    /// The beat that was known then.
+    /// The subject's sequence number that the view knew at the time.
     pub sequence: u64,
-    /// How the subject stands.
+    /// The subject's state.
     pub state: State,
 }
 
-/// The instances that one instance knows, itself among them.
+/// The instances that one instance knows, including itself.
 pub struct Roster {
     own: Instance,
     sequence: u64,
@@ -66,12 +67,12 @@
     instance: Instance,
     machine: Machine,
     unlisted_since: Option<Moment>,
-    // Whether anyone but the list has shown this incarnation.
+    // Whether a source other than the list has shown this incarnation.
     confirmed: bool,
 }
 
 impl Roster {
-    /// Returns a roster that knows its own instance alone.
+    /// Returns a roster that knows only its own instance.
     #[must_use]
     pub const fn new(own: Instance) -> Self {
         Self {
@@ -83,10 +84,10 @@
         }
     }
 
-    /// Takes an answer of the platform's list.
+    /// Applies a response of the platform's list.
     ///
-    /// An empty list is a fault of the platform and is not believed: at least
-    /// the reader itself exists.
+    /// An empty list is a fault of the platform and is ignored, because at
+    /// least the reader itself exists.
     pub fn apply_list(&mut self, now: Moment, listed: &[Instance]) {
         if listed.is_empty() {
             return;
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Takes what an instance said of itself, directly.
+    /// Applies the heartbeat of an instance that was contacted directly.
     pub fn apply_heartbeat(&mut self, now: Moment, heartbeat: &Heartbeat) {
         let Some(entry) = self.entries.get_mut(&heartbeat.id) else {
             return;
@@ -112,7 +113,7 @@
             return;
         }
         if heartbeat.incarnation > entry.instance.incarnation {
-            // A restart that the list does not show yet.
+            // The instance restarted and the list does not show it yet.
             entry.advance_incarnation(now, heartbeat.incarnation, heartbeat.sequence);
         }
         entry.confirmed = true;
@@ -127,7 +128,7 @@
         self.record_change(heartbeat.id, previous);
     }
 
-    /// Takes what a peer said of an instance.
+    /// Applies a peer's update about an instance.
     pub fn apply_update(&mut self, now: Moment, update: &MemberUpdate) {
         if update.id == self.own.id {
             self.refute(update);
@@ -148,7 +149,7 @@
         self.record_change(update.id, previous);
     }
 
-    /// Takes that a message to an instance found no answer.
+    /// Records that a message to an instance got no response.
     pub fn record_unreachable(&mut self, now: Moment, id: InstanceId) {
         let Some(entry) = self.entries.get_mut(&id) else {
             return;
@@ -158,7 +159,7 @@
         self.record_change(id, previous);
     }
 
-    /// Marks the own instance as leaving, for good.
+    /// Marks the own instance as leaving; this can't be undone.
     pub fn leave(&mut self) {
         if self.own.standing == Standing::Live {
             self.own.standing = Standing::Leaving;
@@ -166,9 +167,9 @@
         }
     }
 
-    /// Lets time pass and returns what changed since the last call.
+    /// Advances the time to `now` and returns the changes since the last call.
     ///
-    /// Each change is a rumour worth telling peers.
+    /// Each change should be propagated to peers.
     pub fn tick(&mut self, now: Moment) -> Vec<MemberUpdate> {
         let ids: Vec<InstanceId> = self.entries.keys().copied().collect();
         for id in ids {
@@ -177,7 +178,8 @@
         std::mem::take(&mut self.changes)
     }
 
-    /// Returns the instances that get homes: the live and suspected ones.
+    /// Returns the instances that get home endpoints: the live and the
+    /// suspected ones.
     pub fn instances(&self) -> impl Iterator<Item = &Instance> + '_ {
         let own = Some(&self.own).filter(|own| own.standing == Standing::Live);
         let others = self
@@ -188,15 +190,14 @@
         others.chain(own)
     }
 
-    /// Returns every other instance with its state, for choosing whom to talk
-    /// to.
+    /// Returns every other instance with its state, for choosing gossip peers.
     pub fn others(&self) -> impl Iterator<Item = (&Instance, State)> + '_ {
         self.entries
             .values()
             .map(|entry| (&entry.instance, entry.state()))
     }
 
-    /// Returns how an instance stands; the own one is live or leaving.
+    /// Returns the state of an instance; the own one is live or leaving.
     #[must_use]
     pub fn state(&self, id: InstanceId) -> Option<State> {
         if id == self.own.id {
@@ -205,7 +206,7 @@
         self.entries.get(&id).map(Entry::state)
     }
 
-    /// Returns what the own instance says of itself.
+    /// Returns the heartbeat of the own instance.
     #[must_use]
     pub const fn heartbeat(&self) -> Heartbeat {
         Heartbeat {
@@ -216,7 +217,8 @@
         }
     }
 
-    /// Returns the accusation against an instance that it should hear of.
+    /// Returns the suspicion about an instance, if any, so that the instance
+    /// can be informed and refute it.
     #[must_use]
     pub fn suspicion(&self, id: InstanceId) -> Option<MemberUpdate> {
         let update = self.entries.get(&id)?.to_update();
@@ -229,7 +231,7 @@
             return;
         };
         if instance.incarnation < entry.instance.incarnation {
-            // The list has not seen the restart yet.
+            // The list does not show the restart yet.
             return;
         }
         let previous = entry.state();
@@ -245,8 +247,8 @@
 
     fn insert_listed(&mut self, now: Moment, instance: &Instance) {
         let mut entry = Entry::new(now, instance.clone());
-        // At its own start an instance takes the list as it is; later
-        // newcomers wait out their probation, by which time all know them.
+        // At startup an instance accepts the list as it is. Instances listed
+        // later start with a probation period, after which all views know them.
         if self.has_list {
             entry.handle(Event::Probation { now });
         }
@@ -270,14 +272,15 @@
             return;
         }
         if absent {
-            // It is off the list: unless it answers, it is gone.
+            // The instance is off the list: unless it refutes the suspicion, it
+            // is gone.
             entry.suspect(now);
             entry.unlisted_since = Some(now);
         }
         self.record_change(id, previous);
     }
 
-    // Answers an accusation against the own instance.
+    // Refutes a suspicion about the own instance.
     fn refute(&mut self, update: &MemberUpdate) {
         let suspected = matches!(update.state, State::Suspect | State::Gone);
         if suspected
@@ -328,13 +331,13 @@
         }
     }
 
-    /// Goes over to a greater incarnation.
+    /// Moves the entry to a greater incarnation.
     ///
-    /// The failure: a router starts and takes the list as it is; the list lags
-    /// and shows earlier lives of its peers. Taking each first contact for a
-    /// restart would put every peer on probation, and the newcomer alone would
-    /// own all endpoints for that time. Only a life that was seen can end in a
-    /// restart; until then the list was merely behind.
+    /// Only an incarnation that was confirmed by contact or by a peer can end in
+    /// a restart; otherwise the list was merely outdated. A router accepts the
+    /// list at startup, and a lagging list shows earlier incarnations of its
+    /// peers. If each first contact counted as a restart, every peer would be on
+    /// probation and the new router would own all endpoints for that time.
     fn advance_incarnation(&mut self, now: Moment, incarnation: Incarnation, sequence: u64) {
         if self.confirmed || self.state() != State::Live {
             self.restart(now, incarnation, sequence);
--- a/crates/state/src/membership/roster/tests.rs
+++ b/crates/state/src/membership/roster/tests.rs
@@ -1,4 +1,5 @@
-//! Views change by incarnation and sequence, and homes only after a while.
+//! Views change by incarnation and sequence number, and home endpoints move only
+//! after a state has lasted.
 
 use std::net::SocketAddr;
 
@@ -42,7 +43,7 @@
     ids
 }
 
-const fn beat(id: InstanceId, incarnation: Incarnation, sequence: u64) -> Heartbeat {
+const fn heartbeat(id: InstanceId, incarnation: Incarnation, sequence: u64) -> Heartbeat {
     Heartbeat {
         id,
         incarnation,
@@ -51,27 +52,28 @@
     }
 }
 
-/// Chats lose their warm context for nothing. One path between two instances
-/// breaks, and the accused instance's homes move at once.
+/// Guards against chats that lose their warm context without need: one path
+/// between two instances breaks, and the suspected instance's home endpoints
+/// move at once.
 #[test]
-fn an_accused_instance_keeps_its_homes_and_may_answer() {
+fn a_suspected_instance_keeps_its_homes_and_can_refute() {
     let mut roster = three();
     roster.record_unreachable(at(1000), 2);
     assert_eq!(roster.state(2), Some(State::Suspect));
     assert_eq!(homes(&roster), [1, 2, 3]);
-    roster.apply_heartbeat(at(2000), &beat(2, 1, 0));
+    roster.apply_heartbeat(at(2000), &heartbeat(2, 1, 0));
     assert_eq!(
         roster.state(2),
         Some(State::Suspect),
-        "an old beat is no answer"
+        "an old sequence number refutes nothing"
     );
-    roster.apply_heartbeat(at(3000), &beat(2, 1, 1));
+    roster.apply_heartbeat(at(3000), &heartbeat(2, 1, 1));
     assert_eq!(roster.state(2), Some(State::Live));
 }
 
-/// Requests go to a dead instance for as long as the list lags.
+/// Guards against requests to a dead instance for as long as the list lags.
 #[test]
-fn an_accused_instance_that_is_silent_is_gone_though_it_is_listed() {
+fn a_suspected_instance_that_is_silent_is_gone_though_it_is_listed() {
     let mut roster = three();
     roster.record_unreachable(at(0), 2);
     let end = at(0) + SUSPICION_TIMEOUT;
@@ -83,30 +85,31 @@
     assert_eq!(homes(&roster), [1, 3]);
 }
 
-/// Homes move to and fro with an instance that flaps: it must stay for a while
-/// before it gets them back.
+/// Guards against home endpoints that move back and forth with a flapping
+/// instance: it must stay reachable for a while before it gets them back.
 #[test]
-fn an_instance_that_comes_back_waits_out_its_probation() {
+fn a_returning_instance_gets_homes_after_its_probation() {
     let mut roster = three();
     roster.record_unreachable(at(0), 2);
     roster.tick(at(0) + SUSPICION_TIMEOUT);
     let back = at(20_000);
-    roster.apply_heartbeat(back, &beat(2, 1, 1));
+    roster.apply_heartbeat(back, &heartbeat(2, 1, 1));
     assert_eq!(roster.state(2), Some(State::Returning));
     roster.record_unreachable(at(21_000), 2);
     assert_eq!(roster.state(2), Some(State::Gone));
     let again = at(22_000);
-    roster.apply_heartbeat(again, &beat(2, 1, 2));
+    roster.apply_heartbeat(again, &heartbeat(2, 1, 2));
     roster.tick(again + PROBATION_PERIOD);
     assert_eq!(homes(&roster), [1, 2, 3]);
 }
 
-/// A leaving instance gets homes again. The list still says live, and a peer
-/// that has not heard says so as well.
+/// Guards against a leaving instance that gets home endpoints again: the list
+/// still shows it as live, and so does a peer that has not learned of the
+/// change.
 #[test]
-fn leaving_is_sticky_until_the_next_incarnation() {
+fn leaving_is_final_until_the_next_incarnation() {
     let mut roster = three();
-    let mut leaving = beat(2, 1, 0);
+    let mut leaving = heartbeat(2, 1, 0);
     leaving.standing = Standing::Leaving;
     roster.apply_heartbeat(at(0), &leaving);
     roster.apply_list(at(1), &[live(1), live(2), live(3)]);
@@ -125,126 +128,144 @@
     roster.tick(at(3) + PROBATION_PERIOD);
     assert_eq!(homes(&roster), [1, 2, 3]);
     roster.apply_heartbeat(at(9000), &leaving);
-    assert_eq!(homes(&roster), [1, 2, 3], "a former life's word came late");
+    assert_eq!(
+        homes(&roster),
+        [1, 2, 3],
+        "a late heartbeat of an earlier incarnation"
+    );
 }
 
-/// A leaving instance gets homes again: silent while its last stream ran, it
-/// was taken for gone, and its next sign of life looked like a return.
+/// Guards against a leaving instance that gets home endpoints again: silent
+/// while its last stream ran, it was considered gone, and its next heartbeat
+/// looked like a return.
 #[test]
-fn leaving_outlives_being_taken_for_gone() {
+fn leaving_persists_after_the_instance_was_considered_gone() {
     let mut roster = three();
-    let mut leaving = beat(2, 1, 0);
+    let mut leaving = heartbeat(2, 1, 0);
     leaving.standing = Standing::Leaving;
     roster.apply_heartbeat(at(0), &leaving);
     roster.tick(at(60_000));
     assert_eq!(roster.state(2), Some(State::Gone));
-    roster.apply_heartbeat(at(60_000), &beat(2, 1, 1));
+    roster.apply_heartbeat(at(60_000), &heartbeat(2, 1, 1));
     assert_eq!(roster.state(2), Some(State::Leaving));
 }
 
-/// The fleet empties itself because the list answers with nothing for a
-/// moment, or leaves an instance out by mistake.
+/// Guards against a fleet that removes its own instances because the list is
+/// empty for a moment or omits an instance by mistake.
 #[test]
-fn a_list_that_leaves_out_the_living_is_not_enough() {
+fn a_live_instance_missing_from_the_list_is_not_removed() {
     let mut roster = three();
     roster.apply_list(at(0), &[]);
     assert_eq!(homes(&roster), [1, 2, 3]);
     roster.apply_list(at(0), &[live(1), live(3)]);
     roster.tick(at(0) + MAX_UNLISTED);
     assert_eq!(roster.state(2), Some(State::Suspect));
-    roster.apply_heartbeat(at(0) + MAX_UNLISTED, &beat(2, 1, 1));
+    roster.apply_heartbeat(at(0) + MAX_UNLISTED, &heartbeat(2, 1, 1));
     assert_eq!(homes(&roster), [1, 2, 3]);
 }
 
-/// An instance is accused while it is fine: it must hear of it and answer.
+/// A healthy instance that is suspected must learn of it and refute the
+/// suspicion.
 #[test]
-fn an_accusation_against_oneself_is_answered() {
+fn a_suspicion_about_the_own_instance_is_refuted() {
     let mut roster = three();
-    let mut accused = MemberUpdate {
+    let mut suspected = MemberUpdate {
         id: 1,
         incarnation: 1,
         sequence: 4,
         state: State::Suspect,
     };
-    roster.apply_update(at(0), &accused);
+    roster.apply_update(at(0), &suspected);
     assert_eq!(roster.heartbeat().sequence, 5);
-    let answer = roster.tick(at(0));
-    assert_eq!(answer.len(), 1);
-    assert_eq!((answer[0].sequence, answer[0].state), (5, State::Live));
-    accused.incarnation = 0;
-    roster.apply_update(at(0), &accused);
-    assert_eq!(roster.heartbeat().sequence, 5, "a former life was accused");
+    let changes = roster.tick(at(0));
+    assert_eq!(changes.len(), 1);
+    assert_eq!((changes[0].sequence, changes[0].state), (5, State::Live));
+    suspected.incarnation = 0;
+    roster.apply_update(at(0), &suspected);
+    assert_eq!(
+        roster.heartbeat().sequence,
+        5,
+        "an earlier incarnation was suspected"
+    );
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Sign {
-    Heard(InstanceId, Incarnation, u64, bool),
-    MemberUpdate(InstanceId, Incarnation, u64, u8),
+enum Step {
+    Heartbeat(InstanceId, Incarnation, u64, bool),
+    Update(InstanceId, Incarnation, u64, u8),
     Unreachable(InstanceId),
     Tick(u64),
 }
 
-fn any_sign() -> impl Strategy<Value = Sign> {
+fn any_step() -> impl Strategy<Value = Step> {
     let id = 2..4_u64;
     prop_oneof![
-        (id.clone(), 1..4_u64, 0..4_u64, any::<bool>())
-            .prop_map(|(id, life, sequence, leaving)| Sign::Heard(id, life, sequence, leaving)),
-        (1..4_u64, 1..4_u64, 0..4_u64, 0..5_u8)
-            .prop_map(|(id, life, sequence, state)| Sign::MemberUpdate(id, life, sequence, state)),
-        id.prop_map(Sign::Unreachable),
-        (0..9000_u64).prop_map(Sign::Tick),
+        (id.clone(), 1..4_u64, 0..4_u64, any::<bool>()).prop_map(
+            |(id, incarnation, sequence, leaving)| Step::Heartbeat(
+                id,
+                incarnation,
+                sequence,
+                leaving
+            )
+        ),
+        (1..4_u64, 1..4_u64, 0..4_u64, 0..5_u8).prop_map(|(id, incarnation, sequence, state)| {
+            Step::Update(id, incarnation, sequence, state)
+        }),
+        id.prop_map(Step::Unreachable),
+        (0..9000_u64).prop_map(Step::Tick),
     ]
 }
 
 proptest! {
     #[test]
     fn leaving_never_ends_within_an_incarnation(
-        signs in prop::collection::vec(any_sign(), 1..60),
+        steps in prop::collection::vec(any_step(), 1..60),
     ) {
         let states = [State::Live, State::Suspect, State::Leaving, State::Returning, State::Gone];
         let mut roster = three();
         let mut now = at(0);
         let mut left: BTreeMap<InstanceId, Incarnation> = BTreeMap::new();
-        let mut lives: BTreeMap<InstanceId, Incarnation> = [(2, 1), (3, 1)].into();
-        for sign in signs {
-            match sign {
-                Sign::Heard(id, incarnation, sequence, leaving) => {
+        let mut incarnations: BTreeMap<InstanceId, Incarnation> = [(2, 1), (3, 1)].into();
+        for step in steps {
+            match step {
+                Step::Heartbeat(id, incarnation, sequence, leaving) => {
                     let standing = if leaving { Standing::Leaving } else { Standing::Live };
                     roster.apply_heartbeat(now, &Heartbeat { id, incarnation, sequence, standing });
                 }
-                Sign::MemberUpdate(id, incarnation, sequence, state) => {
+                Step::Update(id, incarnation, sequence, state) => {
                     let state = states[usize::from(state)];
                     roster.apply_update(now, &MemberUpdate { id, incarnation, sequence, state });
                 }
-                Sign::Unreachable(id) => roster.record_unreachable(now, id),
-                Sign::Tick(millis) => {
+                Step::Unreachable(id) => roster.record_unreachable(now, id),
+                Step::Tick(millis) => {
                     now += Duration::from_millis(millis);
                     roster.tick(now);
                 }
             }
             for (instance, state) in roster.others() {
-                let life = lives.entry(instance.id).or_default();
-                prop_assert!(instance.incarnation >= *life, "an incarnation went back");
-                *life = instance.incarnation;
+                let incarnation = incarnations.entry(instance.id).or_default();
+                prop_assert!(instance.incarnation >= *incarnation, "an incarnation went back");
+                *incarnation = instance.incarnation;
                 if state == State::Leaving {
                     left.insert(instance.id, instance.incarnation);
                 }
-                let sticky = left.get(&instance.id) == Some(&instance.incarnation);
-                let homed = matches!(state, State::Live | State::Suspect);
-                prop_assert!(!(sticky && homed), "{} serves again", instance.id);
+                let is_leaving = left.get(&instance.id) == Some(&instance.incarnation);
+                let has_homes = matches!(state, State::Live | State::Suspect);
+                prop_assert!(!(is_leaving && has_homes), "{} serves again", instance.id);
             }
         }
     }
 }
 
-/// A key that was sent again is told *already ran* and gets no replay. Its
-/// router has just started; the list shows earlier lives of all its peers.
-/// It takes their first heartbeats for restarts, puts every peer on probation
-/// and for eight seconds takes itself for the owner of all endpoints.
+/// Guards against a retried key that gets the answer *already ran* instead of a
+/// replay. A router has just started, and the list shows earlier incarnations of
+/// all its peers. It treats their first heartbeats as restarts, puts every peer
+/// on probation and for eight seconds considers itself the owner of all
+/// endpoints.
 #[test]
-fn a_list_that_shows_earlier_lives_leaves_no_newcomer_alone() {
+fn a_list_with_earlier_incarnations_puts_no_peer_on_probation() {
     let mut roster = three();
-    roster.apply_heartbeat(at(100), &beat(2, 7, 0));
+    roster.apply_heartbeat(at(100), &heartbeat(2, 7, 0));
     let update = MemberUpdate {
         id: 3,
         incarnation: 9,
@@ -254,18 +275,19 @@
     roster.apply_update(at(100), &update);
     assert_eq!(homes(&roster), [1, 2, 3]);
 
-    // A restart of a life that was seen still goes through its probation.
-    roster.apply_heartbeat(at(200), &beat(2, 8, 0));
+    // A restart after a confirmed incarnation still starts a probation period.
+    roster.apply_heartbeat(at(200), &heartbeat(2, 8, 0));
     assert_eq!(homes(&roster), [1, 3]);
 }
 
-/// A restarted instance never gets homes again: the list still shows its
-/// earlier life, which was leaving, and that sign is taken for the new life.
+/// Guards against a restarted instance that never gets home endpoints again: the
+/// list still shows its earlier incarnation as leaving, and that was applied to
+/// the new incarnation.
 #[test]
-fn an_earlier_life_that_was_leaving_does_not_bind_the_next() {
+fn leaving_of_an_earlier_incarnation_does_not_apply_to_the_next() {
     let mut roster = Roster::new(live(1));
     let listed = [live(1), instance(2, 1, Standing::Leaving)];
     roster.apply_list(at(0), &listed);
-    roster.apply_heartbeat(at(100), &beat(2, 7, 0));
+    roster.apply_heartbeat(at(100), &heartbeat(2, 7, 0));
     assert_eq!(roster.state(2), Some(State::Returning));
 }
