--- a/crates/state/src/drain.rs
+++ b/crates/state/src/drain.rs
@@ -1,7 +1,7 @@
 //! The graceful shutdown of one instance.
 //!
 //! ```text
-//! serving --signal--> announced --LAG--> closing --handed over--> waiting
+//! serving --signal--> announced --lag--> closing --handed over--> waiting
 //!                         |                 |                        |
 //!                         '----- no request in flight, or limit -----'--> done
 //! ```
--- a/crates/state/src/gossip/message.rs
+++ b/crates/state/src/gossip/message.rs
@@ -139,17 +139,17 @@
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Message, A::Error> {
         Ok(Message {
             from: Heartbeat {
-                id: next_element(&mut seq)?,
-                incarnation: next_element(&mut seq)?,
-                sequence: next_element(&mut seq)?,
-                standing: standing_from_flag(next_element(&mut seq)?),
+                id: required_element(&mut seq)?,
+                incarnation: required_element(&mut seq)?,
+                sequence: required_element(&mut seq)?,
+                standing: standing_from_flag(required_element(&mut seq)?),
             },
-            version: next_element(&mut seq)?,
-            member_updates: next_element(&mut seq)?,
-            leaving: next_element(&mut seq)?,
-            loads: next_element(&mut seq)?,
-            evidence: next_element::<A, EvidenceList>(&mut seq)?.0,
-            demands: next_element(&mut seq)?,
+            version: required_element(&mut seq)?,
+            member_updates: required_element(&mut seq)?,
+            leaving: required_element(&mut seq)?,
+            loads: required_element(&mut seq)?,
+            evidence: required_element::<A, EvidenceList>(&mut seq)?.0,
+            demands: required_element(&mut seq)?,
         })
     }
 }
@@ -162,7 +162,9 @@
     }
 }
 
-fn next_element<'de, A: SeqAccess<'de>, T: Deserialize<'de>>(seq: &mut A) -> Result<T, A::Error> {
+fn required_element<'de, A: SeqAccess<'de>, T: Deserialize<'de>>(
+    seq: &mut A,
+) -> Result<T, A::Error> {
     seq.next_element()?
         .ok_or_else(|| de::Error::custom("a message has too few elements"))
 }
--- a/crates/state/src/gossip/spread.rs
+++ b/crates/state/src/gossip/spread.rs
@@ -66,7 +66,9 @@
 
     // Keeps the queue ordered by how often items were sent.
     fn insert(&mut self, sends: u32, item: T) {
-        let at = self.items.partition_point(|(count, _)| *count <= sends);
+        let at = self
+            .items
+            .partition_point(|(queued_sends, _)| *queued_sends <= sends);
         self.items.insert(at, (sends, item));
     }
 }
--- a/crates/state/src/membership/endpoints.rs
+++ b/crates/state/src/membership/endpoints.rs
@@ -152,7 +152,7 @@
         match known_incarnation {
             Some(incarnation) if endpoint.incarnation < incarnation => return,
             Some(incarnation) if endpoint.incarnation == incarnation => self.refresh(endpoint),
-            _ => self.insert(endpoint),
+            _ => self.insert_entry(endpoint),
         }
         if endpoint.standing == Standing::Leaving {
             self.apply_notice(LeavingNotice {
@@ -169,7 +169,7 @@
         }
     }
 
-    fn insert(&mut self, endpoint: &Endpoint) {
+    fn insert_entry(&mut self, endpoint: &Endpoint) {
         let entry = Entry {
             endpoint: endpoint.clone(),
             reported_at: None,
--- a/crates/state/src/membership/roster/tests.rs
+++ b/crates/state/src/membership/roster/tests.rs
@@ -225,7 +225,7 @@
         let mut roster = three();
         let mut now = at(0);
         let mut left: BTreeMap<InstanceId, Incarnation> = BTreeMap::new();
-        let mut incarnations: BTreeMap<InstanceId, Incarnation> = [(2, 1), (3, 1)].into();
+        let mut last_incarnations: BTreeMap<InstanceId, Incarnation> = [(2, 1), (3, 1)].into();
         for step in steps {
             match step {
                 Step::Heartbeat(id, incarnation, sequence, leaving) => {
@@ -243,9 +243,9 @@
                 }
             }
             for (instance, state) in roster.others() {
-                let incarnation = incarnations.entry(instance.id).or_default();
-                prop_assert!(instance.incarnation >= *incarnation, "an incarnation went back");
-                *incarnation = instance.incarnation;
+                let last_incarnation = last_incarnations.entry(instance.id).or_default();
+                prop_assert!(instance.incarnation >= *last_incarnation, "an incarnation went back");
+                *last_incarnation = instance.incarnation;
                 if state == State::Leaving {
                     left.insert(instance.id, instance.incarnation);
                 }
