--- a/crates/direct/src/control.rs
+++ b/crates/direct/src/control.rs
@@ -1,10 +1,10 @@
-//! The control thread: follows the log and publishes what is in force.
+//! The control thread: follows the log and publishes the state in force.
 //!
-//! Each topic is followed by a task of this thread, which sends what it heard
-//! to one loop. The loop alone changes state, and publishes a new view when
-//! something in it changed. An instance that has others to ask follows one of
-//! them instead (`peers`), and goes back to the log when none of them knows
-//! better.
+//! Each topic is followed by a task of this thread, which sends its updates to
+//! one loop. Only this loop changes state, and it publishes a new view whenever
+//! something in the state changed. An instance with other seeds to poll follows
+//! one of them instead of the log (`peers`), and returns to the log when none
+//! of them is sufficiently up to date.
 
 mod entries;
 mod follow;
@@ -23,8 +23,8 @@
 use godwitpost_types::id::{self, EndpointId, Era, ServiceId, Version};
 use tokio::sync::{mpsc, watch};
 
-use self::follow::{Heard, Log, Mode, Topic, follow};
-use self::peers::News;
+use self::follow::{Follower, Mode, Topic, TopicUpdate, follow};
+use self::peers::PeerUpdate;
 use crate::evacuation::{EvacuatedZones, Evacuation, TopicState};
 use crate::feed::Change;
 use crate::policy::Policy;
@@ -34,26 +34,26 @@
 use crate::source::{Directive, Position, Source};
 use crate::startup::StartupState;
 
-/// How often endpoints that are held to be down, and lapsed entries, are
-/// looked at.
-const TICK: Duration = Duration::from_millis(100);
+/// The interval at which endpoints considered down and expired entries are
+/// checked.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The configuration and the endpoints, where they are followed from.
+/// The topics of the log that an instance follows.
 #[derive(Debug)]
 pub struct Sources {
-    /// What the operator says; versions of the configuration only ever increase.
+    /// The operator's topic. Versions of the configuration only ever increase.
     pub operator: Source<Directive>,
-    /// What endpoints say of themselves.
+    /// The topic in which endpoints register themselves.
     pub endpoints: Source<Registration>,
 }
 
 enum Event {
-    Operator(Heard<Directive>),
-    Endpoints(Heard<Registration>),
-    Peer(Box<News>),
+    Operator(TopicUpdate<Directive>),
+    Endpoints(TopicUpdate<Registration>),
+    Peer(Box<PeerUpdate>),
 }
 
-/// Follows both topics; never returns.
+/// Follows both topics. Returns only if all tasks that send events have ended.
 pub(crate) async fn run(
     shared: Arc<Shared>,
     sources: Sources,
@@ -61,58 +61,64 @@
     peers_port: Option<Port>,
     ended: watch::Receiver<bool>,
 ) {
-    // Three tasks that wait for their turn to send; nothing piles up.
+    // Each of the three senders waits until its event is received, so no
+    // backlog builds up.
     let (sender, mut events) = mpsc::channel(3);
     let timer = Timer::new(Duration::ZERO);
     tokio::spawn(timer.clone().drive(Clock::start_at(Duration::ZERO)));
-    let asks = shared.settings.polls_peers();
-    let (mode, modes) = watch::channel(Mode::at_start(asks));
-    let log = |topic| Log {
+    let polls_peers = shared.settings.polls_peers();
+    let (mode, modes) = watch::channel(Mode::at_start(polls_peers));
+    let follower = |topic| Follower {
         shared: Arc::clone(&shared),
         topic,
         modes: modes.clone(),
     };
     tokio::spawn(follow(
         sources.operator,
-        log(Topic::Operator),
+        follower(Topic::Operator),
         sender.clone(),
         Event::Operator,
     ));
     tokio::spawn(follow(
         sources.endpoints,
-        log(Topic::Endpoints),
+        follower(Topic::Endpoints),
         sender.clone(),
         Event::Endpoints,
     ));
     if let Some(port) = peers_port {
-        let told = Arc::clone(&shared);
-        let answer = move |request| peers::answer(Arc::clone(&told), request);
+        let served = Arc::clone(&shared);
+        let handler = move |request| peers::handle_request(Arc::clone(&served), request);
         tokio::spawn(serve::run(
             port,
             crate::serve::internal_limits(),
             ended,
-            answer,
+            handler,
         ));
     }
     if !shared.settings.other_seeds().is_empty() {
-        tokio::spawn(peers::ask(Arc::clone(&shared), mode, sender, peer_event));
+        tokio::spawn(peers::poll_peers(
+            Arc::clone(&shared),
+            mode,
+            sender,
+            peer_event,
+        ));
     }
     if shared.settings.is_seed() {
-        tokio::spawn(peers::exchange(Arc::clone(&shared)));
+        tokio::spawn(peers::run_exchange(Arc::clone(&shared)));
     }
     let mut control = Control::new(shared, lines);
-    let mut ticks = timer.every(TICK);
+    let mut ticks = timer.every(TICK_INTERVAL);
     loop {
         tokio::select! {
             event = events.recv() => match event {
-                Some(Event::Operator(heard)) => control.operator(heard),
-                // What was read before a peer was asked may be older than
-                // what the peer told since.
-                Some(Event::Endpoints(heard)) if modes.borrow().current(heard.mode) => {
-                    control.endpoints(heard);
+                Some(Event::Operator(update)) => control.apply_operator_update(update),
+                // Entries that were read before a switch to a peer may be older
+                // than the peer's.
+                Some(Event::Endpoints(update)) if modes.borrow().is_current(update.mode) => {
+                    control.apply_endpoints_update(update);
                 }
                 Some(Event::Endpoints(_)) => {}
-                Some(Event::Peer(news)) => control.peer(*news),
+                Some(Event::Peer(update)) => control.apply_peer_update(*update),
                 None => return,
             },
             _ = ticks.next() => control.tick(boot_time()),
@@ -120,33 +126,33 @@
     }
 }
 
-fn peer_event(news: News) -> Event {
-    Event::Peer(Box::new(news))
+fn peer_event(update: PeerUpdate) -> Event {
+    Event::Peer(Box::new(update))
 }
 
 struct Control {
     shared: Arc<Shared>,
     lines: Queue,
     policy: Option<Arc<Policy>>,
-    evacuation: EvacuatedZones,
-    // What the follower of the operator's topic has read of evacuations.
-    reading: TopicState,
-    // Until when what an evacuated zone's endpoints hold may be fetched.
-    fetched: BTreeMap<String, Moment>,
-    // When zones were given back.
-    returned: BTreeMap<String, Moment>,
+    evacuated: EvacuatedZones,
+    // The evacuations and the version read so far from the operator's topic.
+    topic_state: TopicState,
+    // For each evacuated zone, until when prompts held by its endpoints may be
+    // fetched.
+    fetchable_until: BTreeMap<String, Moment>,
+    // When each zone was returned to use.
+    returned_at: BTreeMap<String, Moment>,
     revoked: Arc<RevokedKeys>,
     roster: Roster,
-    start: StartupState,
-    // The log's era, and when it was first heard of.
+    startup: StartupState,
+    // The log's era, and when this instance learned of it.
     era: Option<(Era, Moment)>,
-    // The version that the log holds, as read last, if that is older than the one in
-    // force.
-    lags: Option<Version>,
-    // Whether the configuration's topic was ever read.
-    read: bool,
-    listed: bool,
-    fresh: bool,
+    // The version last read from the log, if it is older than the one in force.
+    log_behind_at: Option<Version>,
+    // Whether the operator's topic has been read completely at least once.
+    policy_read: bool,
+    endpoints_listed: bool,
+    policy_current: bool,
 }
 
 impl Control {
@@ -156,214 +162,222 @@
             shared,
             lines,
             policy: None,
-            evacuation: EvacuatedZones::default(),
-            reading: TopicState::default(),
-            fetched: BTreeMap::new(),
-            returned: BTreeMap::new(),
+            evacuated: EvacuatedZones::default(),
+            topic_state: TopicState::default(),
+            fetchable_until: BTreeMap::new(),
+            returned_at: BTreeMap::new(),
             revoked: Arc::default(),
-            start: StartupState::default(),
+            startup: StartupState::default(),
             era: None,
-            lags: None,
-            read: false,
-            listed: false,
-            fresh: false,
+            log_behind_at: None,
+            policy_read: false,
+            endpoints_listed: false,
+            policy_current: false,
         }
     }
 
-    fn operator(&mut self, heard: Heard<Directive>) {
+    fn apply_operator_update(&mut self, update: TopicUpdate<Directive>) {
         let mut newer = false;
-        self.era(heard.era, None);
-        self.reading.reset_if_new(heard.mode.epoch, heard.era);
-        for change in heard.changes {
-            newer |= self.statement(change);
-        }
-        if let Some(offset) = heard.position {
-            let era = heard.era;
-            newer |= self.evacuate(self.reading.evacuation_at(Position { era, offset }), "log");
+        self.record_era(update.era, None);
+        self.topic_state.reset_if_new(update.mode.epoch, update.era);
+        for change in update.changes {
+            newer |= self.apply_directive(change);
+        }
+        if let Some(offset) = update.position {
+            let era = update.era;
+            newer |= self.apply_evacuation(
+                self.topic_state.evacuation_at(Position { era, offset }),
+                "log",
+            );
         }
         if newer {
-            self.publish();
+            self.publish_view();
         }
-        if heard.whole {
-            self.read(heard.era, heard.asked);
+        if update.complete {
+            self.record_complete_read(update.era, update.sent_at);
         }
     }
 
-    // Takes in that the log was read whole.
-    fn read(&mut self, era: Era, asked: Moment) {
-        let before = self.start;
-        let believed = self.start.record_read(era, asked);
-        self.shared.set_log_needs_reread(!believed);
-        if believed {
-            self.confirm(asked, self.reading.version);
-        } else if self.start != before {
-            log::info!(era = era, version = self.reading.version; "the log may have just come back from a copy; it is read again before keys are acted on");
+    // Records that the operator's topic was read completely.
+    fn record_complete_read(&mut self, era: Era, sent_at: Moment) {
+        let before = self.startup;
+        let reliable = self.startup.record_read(era, sent_at);
+        self.shared.set_log_needs_reread(!reliable);
+        if reliable {
+            self.confirm_policy(sent_at, self.topic_state.version);
+        } else if self.startup != before {
+            log::info!(era = era, version = self.topic_state.version; "the log may have just been restored from a copy; reading it again before acting on keys");
         }
     }
 
-    // Returns whether the log lacks what is in force, holding this version. It may lack
-    // a newer one as well then, which took keys away.
-    fn is_behind(&mut self, version: Version) -> bool {
-        let held = self.version();
-        let lags = Some(version).filter(|version| *version < held);
-        if lags != std::mem::replace(&mut self.lags, lags) {
-            log::warn!(version = version, held = held, behind = lags.is_some(); "version that the log holds, and the one in force");
-        }
-        lags.is_some()
+    // Returns whether the log holds an older version than the one in force.
+    // Such a log may also lack a newer version that revoked keys, so it can't
+    // confirm the configuration.
+    fn check_log_behind(&mut self, version: Version) -> bool {
+        let in_force = self.version_in_force();
+        let behind_at = Some(version).filter(|version| *version < in_force);
+        if behind_at != std::mem::replace(&mut self.log_behind_at, behind_at) {
+            log::warn!(version = version, held = in_force, behind = behind_at.is_some(); "version in the log compared with the version in force");
+        }
+        behind_at.is_some()
     }
 
-    // The version in force; 0 if there is none.
-    fn version(&self) -> Version {
-        self.policy.as_ref().map_or(0, |held| held.version())
+    // Returns the version in force, or 0 if there is none.
+    fn version_in_force(&self) -> Version {
+        self.policy.as_ref().map_or(0, |policy| policy.version())
     }
 
-    // Takes in the era of the log that told something, and when a peer heard of it.
-    fn era(&mut self, era: Era, heard: Option<Moment>) {
+    // Records the era of the log, and when a peer learned that the log was
+    // restored from a copy.
+    fn record_era(&mut self, era: Era, restored_at: Option<Moment>) {
         let now = boot_time();
         let before = self.era.map(|(before, _)| before);
         if before < Some(era) {
             self.era = Some((era, now));
             self.shared
                 .update_replica(false, |replica| replica.set_era(era));
-            log::info!(era = era, before:? = before; "era of the log");
+            log::info!(era = era, before:? = before; "log era changed");
         }
-        let rose = before.is_some_and(|before| before < era);
-        if let Some(at) = heard.or(rose.then_some(now)) {
+        let increased = before.is_some_and(|before| before < era);
+        if let Some(at) = restored_at.or(increased.then_some(now)) {
             self.roster.record_restore(at);
             self.shared
                 .update_replica(false, |replica| replica.record_restore(at));
         }
     }
 
-    fn statement(&mut self, change: Change<Directive>) -> bool {
+    fn apply_directive(&mut self, change: Change<Directive>) -> bool {
         match change {
             Change::Set(_, Directive::Policy(policy)) => {
-                self.reading.version = policy.version();
-                self.policy(policy)
+                self.topic_state.version = policy.version();
+                self.apply_policy(policy)
             }
             Change::Set(key, Directive::Evacuate(zone)) => {
-                self.reading.set(key, zone);
+                self.topic_state.set(key, zone);
                 false
             }
             Change::Removed(key) => {
-                self.reading.remove(&key);
+                self.topic_state.remove(&key);
                 false
             }
             Change::Unreadable(key, cause) => {
-                log::error!(key:% = key, cause:% = cause; "operator's record can't be read; the last version stays");
-                self.reading.version = self.version();
+                log::error!(key:% = key, cause:% = cause; "operator's record is unreadable; keeping the last version");
+                self.topic_state.version = self.version_in_force();
                 false
             }
         }
     }
 
-    // Takes in which zones are evacuated, by the word of `told_by`; returns whether
-    // that changed.
-    fn evacuate(&mut self, evacuation: Evacuation, told_by: &str) -> bool {
+    // Applies the set of evacuated zones. `source` names its origin in the log.
+    // Returns whether any zone changed.
+    fn apply_evacuation(&mut self, evacuation: Evacuation, source: &str) -> bool {
         let as_of = evacuation.as_of;
-        let Some(changes) = self.evacuation.apply(evacuation, boot_time()) else {
+        let Some(changes) = self.evacuated.apply(evacuation, boot_time()) else {
             return false;
         };
-        let own = self.evacuation.state().clone();
+        let state = self.evacuated.state().clone();
         self.shared
-            .update_replica(true, |replica| replica.set_evacuation(own));
+            .update_replica(true, |replica| replica.set_evacuation(state));
         for zone in &changes.evacuated {
-            log::warn!(zone:% = zone, as_of:% = as_of, told_by:% = told_by; "zone evacuated; its endpoints get nothing");
-            self.fetch_from(zone);
+            log::warn!(zone:% = zone, as_of:% = as_of, told_by:% = source; "zone evacuated; its endpoints get no requests");
+            self.allow_fetching(zone);
         }
         for zone in &changes.returned {
-            log::info!(zone:% = zone, as_of:% = as_of, told_by:% = told_by; "zone returned; its endpoints are used again");
-            self.give_back(zone);
+            log::info!(zone:% = zone, as_of:% = as_of, told_by:% = source; "zone returned; its endpoints are used again");
+            self.restore_zone(zone);
         }
         self.shared
             .metrics
-            .record_evacuated_zones(self.evacuation.zones().count());
+            .record_evacuated_zones(self.evacuated.zones().count());
         !changes.is_empty()
     }
 
-    fn give_back(&mut self, zone: &str) {
+    fn restore_zone(&mut self, zone: &str) {
         let now = boot_time();
-        self.fetched.remove(zone);
-        self.returned.insert(zone.to_owned(), now);
-        let mut book = self.shared.endpoint_stats();
+        self.fetchable_until.remove(zone);
+        self.returned_at.insert(zone.to_owned(), now);
+        let mut stats = self.shared.endpoint_stats();
         let registrations = self.roster.registrations();
         for one in registrations.filter(|one| one.endpoint.zone == id::of(zone)) {
-            book.set_idle(one.endpoint.id, now);
+            stats.set_idle(one.endpoint.id, now);
         }
     }
 
-    // That there is no configuration yet is known as well, but nothing can be
-    // acted on by it.
-    fn confirm(&mut self, at: Moment, version: Version) {
-        if self.is_behind(version) {
+    // Records that the configuration was confirmed by a read sent at `at`. An
+    // absent configuration is reported to peers as read, but keys can't be
+    // acted on.
+    fn confirm_policy(&mut self, at: Moment, version: Version) {
+        if self.check_log_behind(version) {
             return;
         }
         if self.policy.is_some() {
             self.shared.confirm_policy(at);
         }
-        let first = !std::mem::replace(&mut self.read, true);
+        let first = !std::mem::replace(&mut self.policy_read, true);
         self.shared
             .update_replica(first, |replica| replica.confirm_policy(at));
     }
 
-    // What a peer told that reads the log.
-    fn peer(&mut self, news: News) {
-        self.era(news.era, news.restored);
-        self.roster.set_origin(Origin::Peer(news.life));
-        let mut changed = news.whole && !self.listed;
-        let gone = self.gone(&news);
-        if let Some(content) = news.policy {
-            changed |= self.policy(Policy::new(content));
-        }
-        if let Some(evacuation) = news.evacuation {
-            changed |= self.evacuate(evacuation, "peer");
-        }
-        self.roster.record_read(news.endpoints_read);
-        for registration in news.set {
-            changed |= self.take(registration, news.made, Roster::apply_from_peer);
-        }
-        for name in gone {
-            changed |= self.dismiss(&name);
-        }
-        self.listed |= news.whole;
+    // Applies the state that a peer has read from the log.
+    fn apply_peer_update(&mut self, update: PeerUpdate) {
+        self.record_era(update.era, update.restored_at);
+        self.roster.set_origin(Origin::Peer(update.incarnation));
+        let mut changed = update.full && !self.endpoints_listed;
+        let removed = self.removed_endpoints(&update);
+        if let Some(content) = update.policy {
+            changed |= self.apply_policy(Policy::new(content));
+        }
+        if let Some(evacuation) = update.evacuation {
+            changed |= self.apply_evacuation(evacuation, "peer");
+        }
+        self.roster.record_read(update.endpoints_confirmed_at);
+        for registration in update.set {
+            changed |= self.apply_entry(registration, update.built_at, Roster::apply_from_peer);
+        }
+        for name in removed {
+            changed |= self.remove_endpoint(&name);
+        }
+        self.endpoints_listed |= update.full;
         if changed {
-            self.publish();
+            self.publish_view();
         }
-        for evidence in news.evidence {
+        for evidence in update.evidence {
             self.shared.crash_tracker().record(evidence);
         }
         self.shared.update_replica(false, |replica| {
-            replica.confirm_endpoints(news.endpoints_read);
+            replica.confirm_endpoints(update.endpoints_confirmed_at);
         });
-        self.start.record_peer_answer();
+        self.startup.record_peer_answer();
         self.shared.set_log_needs_reread(false);
-        self.confirm(news.policy_read, news.version);
+        self.confirm_policy(update.policy_confirmed_at, update.version);
     }
 
-    // Lets endpoints elsewhere fetch what those of an evacuated zone hold, in what is
-    // left of the time for leaving it. An instance that has lost touch, or has just
-    // started, can't know how much that is.
-    fn fetch_from(&mut self, zone: &str) {
+    // Allows endpoints elsewhere to fetch the prompts held in an evacuated zone
+    // for the rest of the time allowed for leaving it. An instance whose
+    // configuration is out of date, or that has just started, can't know how
+    // much of that time is left and so allows none.
+    fn allow_fetching(&mut self, zone: &str) {
         let settings = &self.shared.settings;
-        let left = settings
+        let remaining = settings
             .evacuation
             .saturating_sub(settings.max_update_delay());
         if self.shared.policy_age() < settings.max_update_delay() {
-            self.fetched.insert(zone.to_owned(), boot_time() + left);
+            self.fetchable_until
+                .insert(zone.to_owned(), boot_time() + remaining);
         }
     }
 
-    fn policy(&mut self, policy: Policy) -> bool {
-        let held = self.version();
-        // The log never goes back; whatever looks like it is a mistake that must
-        // not undo a version that callers have seen work.
-        if policy.version() <= held {
-            log::warn!(version = policy.version(), held = held, era:? = self.era.map(|(era, _)| era); "older version ignored");
+    fn apply_policy(&mut self, policy: Policy) -> bool {
+        let in_force = self.version_in_force();
+        // Versions only increase. An older one must be a mistake and must not
+        // undo a version that callers have already seen in effect.
+        if policy.version() <= in_force {
+            log::warn!(version = policy.version(), held = in_force, era:? = self.era.map(|(era, _)| era); "older version ignored");
             return false;
         }
-        let changes = self.keys(&policy);
+        let changes = self.record_revoked_keys(&policy);
         log::info!(
-            version = policy.version(), before = held, routes = policy.routes(),
+            version = policy.version(), before = in_force, routes = policy.routes(),
             keys_added = changes.added, keys_removed = changes.removed;
             "version in force"
         );
@@ -374,11 +388,11 @@
         true
     }
 
-    // Remembers the keys that a version takes away.
-    fn keys(&mut self, policy: &Policy) -> KeyChanges {
+    // Records the keys that a new version revokes.
+    fn record_revoked_keys(&mut self, policy: &Policy) -> KeyChanges {
         match &self.policy {
-            Some(held) if held.content().keys != policy.content().keys => {
-                Arc::make_mut(&mut self.revoked).record_replacement(held, policy)
+            Some(current) if current.content().keys != policy.content().keys => {
+                Arc::make_mut(&mut self.revoked).record_replacement(current, policy)
             }
             _ => KeyChanges::default(),
         }
@@ -392,112 +406,118 @@
         self.shared
             .metrics
             .record_policy_age(self.shared.policy_age());
-        if let Some((era, heard)) = self.era {
-            self.shared.metrics.record_log_era(era, since(now, heard));
+        if let Some((era, learned_at)) = self.era {
+            self.shared
+                .metrics
+                .record_log_era(era, since(now, learned_at));
         }
         let spans = self.shared.directory().len();
         self.shared.metrics.record_prompt_spans(spans);
-        let gone = self.roster.remove_expired(now);
-        for name in &gone {
-            log::info!(endpoint:% = name; "endpoint still missing after the log's return; gone");
+        let removed = self.roster.remove_expired(now);
+        for name in &removed {
+            log::info!(endpoint:% = name; "endpoint removed: its entry did not return after the log outage");
             self.shared
                 .update_replica(true, |replica| replica.remove_endpoint(name));
         }
-        let mut changed = !gone.is_empty();
-        changed |= self.notices(now);
+        let mut changed = !removed.is_empty();
+        changed |= self.apply_notices(now);
         for registration in self.roster.take_unconfirmed() {
-            changed |= self.take(registration, now, Roster::apply);
+            changed |= self.apply_entry(registration, now, Roster::apply);
         }
         let read = self.shared.policy_confirmed_at().unwrap_or_default();
-        let returned = self.evacuation.release_expired(read);
+        let returned = self.evacuated.release_expired(read);
         for zone in &returned {
-            log::info!(zone:% = zone; "zone is not evacuated again after the log came back; its endpoints are used again");
-            self.give_back(zone);
+            log::info!(zone:% = zone; "zone returned: the restored log does not evacuate it; its endpoints are used again");
+            self.restore_zone(zone);
         }
-        let fetched = self.fetched.len();
-        self.fetched.retain(|_, until| now < *until);
-        if changed || !returned.is_empty() || self.fetched.len() < fetched {
-            self.publish();
+        let fetchable = self.fetchable_until.len();
+        self.fetchable_until.retain(|_, until| now < *until);
+        if changed || !returned.is_empty() || self.fetchable_until.len() < fetchable {
+            self.publish_view();
         }
-        self.freshness(now);
+        self.check_policy_current(now);
     }
 
-    fn freshness(&mut self, now: Moment) {
-        let fresh = self.shared.is_policy_current();
-        if fresh == self.fresh {
+    fn check_policy_current(&mut self, now: Moment) {
+        let current = self.shared.is_policy_current();
+        if current == self.policy_current {
             return;
         }
-        self.fresh = fresh;
+        self.policy_current = current;
         let age = self
             .shared
             .policy_confirmed_at()
             .map(|at| since(now, at).as_millis());
-        if fresh {
-            log::info!(age_ms:? = age; "configuration confirmed; keys are acted on");
+        if current {
+            log::info!(age_ms:? = age; "configuration confirmed; accepting keys");
         } else {
-            log::warn!(age_ms:? = age; "configuration not confirmed in time; keys are not acted on");
+            log::warn!(age_ms:? = age; "configuration not confirmed in time; refusing keys");
         }
     }
 
-    // When endpoints that are warming up will have done so. Those of a zone that was
-    // given back may have become cold shortly before, which their entries say late.
+    // Returns when each warming endpoint will be warm. Endpoints of a returned
+    // zone may have gone cold shortly before, which their entries report late.
     fn warm_at(&self) -> BTreeMap<EndpointId, Moment> {
         let now = boot_time();
-        let told = self.roster.warming(now);
-        let mut warm_at: BTreeMap<_, _> = told.map(|(one, at)| (one.endpoint.id, at)).collect();
-        for (name, back) in &self.returned {
+        let warming = self.roster.warming(now);
+        let mut warm_at: BTreeMap<_, _> = warming.map(|(one, at)| (one.endpoint.id, at)).collect();
+        for (name, returned_at) in &self.returned_at {
             let zone = id::of(name);
             let all = self.roster.registrations();
             for one in all.filter(|one| one.endpoint.zone == zone) {
-                let own = warm_at.entry(one.endpoint.id).or_default();
-                *own = (*own).max(*back + self.warms_up(one.endpoint.service));
+                let until = warm_at.entry(one.endpoint.id).or_default();
+                *until = (*until).max(*returned_at + self.warm_up_time(one.endpoint.service));
             }
         }
         warm_at.retain(|_, at| *at > now);
         warm_at
     }
 
-    // How long endpoints of a service take to warm up.
-    fn warms_up(&self, service: ServiceId) -> Duration {
+    // Returns how long the endpoints of a service take to warm up.
+    fn warm_up_time(&self, service: ServiceId) -> Duration {
         let policy = self.policy.as_ref();
         let service = policy.and_then(|policy| policy.service(service));
         let ramp = service.and_then(|service| service.ramp);
         ramp.map_or(Duration::ZERO, |ramp| ramp.time)
     }
 
-    fn publish(&self) {
-        let of = |standing| {
+    fn publish_view(&self) {
+        let with_standing = |standing| {
             let all = self.roster.registrations();
             all.filter(move |one| one.endpoint.standing == standing)
         };
-        let evacuated = |one: &&Registration| self.evacuation.contains(one.endpoint.zone);
+        let evacuated = |one: &&Registration| self.evacuated.contains(one.endpoint.zone);
         let usable = |one: &&Registration| !evacuated(one);
-        let fetched = |one: &&Registration| {
-            let mut zones = self.fetched.keys();
+        let fetchable = |one: &&Registration| {
+            let mut zones = self.fetchable_until.keys();
             zones.any(|name| id::of(name) == one.endpoint.zone)
         };
-        let held = of(Standing::Leaving).filter(|one| usable(one) || fetched(one));
-        let held = held.chain(of(Standing::Live).filter(fetched));
+        let leaving = with_standing(Standing::Leaving).filter(|one| usable(one) || fetchable(one));
+        let leaving = leaving.chain(with_standing(Standing::Live).filter(fetchable));
         let endpoints = self
-            .listed
-            .then(|| by_service(of(Standing::Live).filter(usable)));
-        let live = endpoints.iter().flatten().map(|(_, of)| of.len()).sum();
+            .endpoints_listed
+            .then(|| by_service(with_standing(Standing::Live).filter(usable)));
+        let live = endpoints
+            .iter()
+            .flatten()
+            .map(|(_, endpoints)| endpoints.len())
+            .sum();
         self.shared.metrics.record_endpoints(live);
         self.shared.publish(View {
             policy: self.policy.clone(),
             endpoints,
-            leaving: by_service(held),
-            evacuated: by_service(of(Standing::Live).filter(evacuated)),
+            leaving: by_service(leaving),
+            evacuated: by_service(with_standing(Standing::Live).filter(evacuated)),
             warm_at: self.warm_at(),
             revoked: Arc::clone(&self.revoked),
         });
-        let known: BTreeSet<_> = self
+        let known_ids: BTreeSet<_> = self
             .roster
             .registrations()
             .map(|one| one.endpoint.id)
             .collect();
         self.shared
             .endpoint_stats()
-            .retain_endpoints(|id| known.contains(&id));
+            .retain_endpoints(|id| known_ids.contains(&id));
     }
 }
--- a/crates/direct/src/control/entries.rs
+++ b/crates/direct/src/control/entries.rs
@@ -1,4 +1,4 @@
-//! What the log, peers and endpoints themselves say of endpoints, taken in.
+//! Applies what the log, peers and endpoints themselves report about endpoints.
 
 use std::collections::BTreeSet;
 
@@ -6,38 +6,38 @@
 use godwitpost_types::clock::{Moment, since};
 
 use super::Control;
-use super::follow::Heard;
-use super::peers::News;
+use super::follow::TopicUpdate;
+use super::peers::PeerUpdate;
 use crate::feed::Change;
 use crate::roster::{Origin, Registration, RemoveResult, Roster, SetResult};
 
 impl Control {
-    pub(super) fn endpoints(&mut self, heard: Heard<Registration>) {
+    pub(super) fn apply_endpoints_update(&mut self, update: TopicUpdate<Registration>) {
         let now = boot_time();
-        self.era(heard.era, None);
-        self.roster.set_origin(Origin::Log(heard.mode.epoch));
+        self.record_era(update.era, None);
+        self.roster.set_origin(Origin::Log(update.mode.epoch));
         self.roster.record_read(now);
-        let first = heard.whole && !self.listed;
+        let first = update.complete && !self.endpoints_listed;
         let mut changed = first;
-        for change in heard.changes {
-            changed |= self.endpoint(change, heard.listed, now);
+        for change in update.changes {
+            changed |= self.apply_change(change, update.from_list, now);
         }
-        self.listed |= heard.whole;
+        self.endpoints_listed |= update.complete;
         if changed {
-            self.publish();
+            self.publish_view();
         }
-        if heard.whole {
+        if update.complete {
             self.shared
-                .update_replica(first, |replica| replica.confirm_endpoints(heard.asked));
+                .update_replica(first, |replica| replica.confirm_endpoints(update.sent_at));
         }
     }
 
-    fn endpoint(&mut self, change: Change<Registration>, listed: bool, now: Moment) -> bool {
+    fn apply_change(&mut self, change: Change<Registration>, from_list: bool, now: Moment) -> bool {
         match change {
-            Change::Set(_, registration) if listed => {
-                self.take(registration, now, Roster::apply_listed)
+            Change::Set(_, registration) if from_list => {
+                self.apply_entry(registration, now, Roster::apply_listed)
             }
-            Change::Set(_, registration) => self.take(registration, now, Roster::apply),
+            Change::Set(_, registration) => self.apply_entry(registration, now, Roster::apply),
             Change::Removed(name) => match self.roster.remove(&name, now) {
                 RemoveResult::Removed => {
                     log::info!(endpoint:% = name; "endpoint gone");
@@ -46,7 +46,7 @@
                     true
                 }
                 RemoveResult::Retained => {
-                    log::info!(endpoint:% = name; "entry lapsed with the log away; endpoint kept");
+                    log::info!(endpoint:% = name; "entry expired during a log outage; endpoint retained");
                     self.shared
                         .update_replica(true, |replica| replica.mark_expired(&name));
                     false
@@ -54,99 +54,102 @@
                 RemoveResult::Unknown => false,
             },
             Change::Unreadable(name, cause) => {
-                log::warn!(entry:% = name, cause:% = cause; "entry names no endpoint");
+                log::warn!(entry:% = name, cause:% = cause; "entry does not describe an endpoint");
                 false
             }
         }
     }
 
-    // Takes in an entry that was told at `then`, by what the roster does with such.
-    pub(super) fn take(
+    // Applies an entry learned at `learned_at` by way of `apply`. Returns
+    // whether the view changed.
+    pub(super) fn apply_entry(
         &mut self,
         registration: Registration,
-        then: Moment,
-        set: fn(&mut Roster, Registration, Moment) -> SetResult,
+        learned_at: Moment,
+        apply: fn(&mut Roster, Registration, Moment) -> SetResult,
     ) -> bool {
         let endpoint = registration.endpoint.clone();
-        let told = registration.clone();
-        let setting = set(&mut self.roster, registration, then);
-        match setting {
+        let entry = registration.clone();
+        let result = apply(&mut self.roster, registration, learned_at);
+        match result {
             SetResult::Unchanged => return false,
             SetResult::Older | SetResult::Doubted => {
                 log::info!(
                     endpoint:% = endpoint.name, incarnation = endpoint.incarnation,
-                    standing:? = endpoint.standing, setting:? = setting;
-                    "entry not taken"
+                    standing:? = endpoint.standing, setting:? = result;
+                    "entry rejected"
                 );
                 return false;
             }
             SetResult::Renewed | SetResult::WarmingAgain | SetResult::Changed => {}
         }
-        if setting == SetResult::Renewed {
-            self.tell(told);
-            log::info!(endpoint:% = endpoint.name; "lapsed entry is back");
+        if result == SetResult::Renewed {
+            self.publish_entry(entry);
+            log::info!(endpoint:% = endpoint.name; "expired entry returned");
             return false;
         }
-        self.changed(told, "entry");
+        self.report_change(entry, "entry");
         true
     }
 
-    // Tells peers what an endpoint's entry says now.
-    fn tell(&self, registration: Registration) -> Moment {
+    // Sends an endpoint's entry to peers. Returns when the endpoint will be
+    // warm.
+    fn publish_entry(&self, registration: Registration) -> Moment {
         let warm_at = self.roster.warm_at(&registration.endpoint.name);
         self.shared
             .update_replica(true, |replica| replica.set_endpoint(registration, warm_at));
         warm_at
     }
 
-    // Tells peers and logs that an endpoint says something new of itself.
-    fn changed(&self, registration: Registration, told_by: &str) {
+    // Sends a changed endpoint to peers and logs the change.
+    fn report_change(&self, registration: Registration, source: &str) {
         let endpoint = registration.endpoint.clone();
-        let warm_at = self.tell(registration);
+        let warm_at = self.publish_entry(registration);
         log::info!(
             endpoint:% = endpoint.name, incarnation = endpoint.incarnation,
             address:% = endpoint.address, standing:? = endpoint.standing,
-            warming_ms = since(warm_at, boot_time()).as_millis(), told_by:% = told_by;
+            warming_ms = since(warm_at, boot_time()).as_millis(), told_by:% = source;
             "endpoint changed"
         );
     }
 
-    // Takes in which endpoints said in answers that they are leaving; returns whether
-    // that changed anything.
-    pub(super) fn notices(&mut self, now: Moment) -> bool {
+    // Applies the notices of leaving that endpoints put in their responses.
+    // Returns whether any endpoint changed.
+    pub(super) fn apply_notices(&mut self, now: Moment) -> bool {
         let (leaving, paused) = {
             let mut notices = self.shared.notices();
             (notices.take_leaving(now), notices.paused_count(now))
         };
         self.shared.metrics.record_paused_endpoints(paused);
         let mut changed = false;
-        for life in leaving {
-            if let Some(registration) = self.roster.mark_leaving(&life, now) {
-                self.changed(registration, "endpoint");
+        for incarnation in leaving {
+            if let Some(registration) = self.roster.mark_leaving(&incarnation, now) {
+                self.report_change(registration, "endpoint");
                 changed = true;
             }
         }
         changed
     }
 
-    // The endpoints that are gone: those named, or all that a whole list
-    // doesn't name. Those that lapsed at the peer are neither: known ones stay,
-    // and unknown ones, which may have been seen leaving here, stay out.
-    pub(super) fn gone(&self, news: &News) -> Vec<String> {
-        if !news.whole {
-            return news.gone.clone();
+    // Returns the endpoints that an update removes: those it names as removed
+    // or, if it is full, all that it doesn't mention. Entries that expired at
+    // the peer are neither removed nor added: known endpoints stay, and unknown
+    // ones, which may have been seen leaving here, stay out.
+    pub(super) fn removed_endpoints(&self, update: &PeerUpdate) -> Vec<String> {
+        if !update.full {
+            return update.removed.clone();
         }
-        let set = news.set.iter().map(|one| one.endpoint.name.as_str());
-        let lapsed = news.lapsed.iter().map(String::as_str);
-        let told: BTreeSet<&str> = set.chain(lapsed).collect();
+        let set = update.set.iter().map(|one| one.endpoint.name.as_str());
+        let expired = update.expired.iter().map(String::as_str);
+        let named: BTreeSet<&str> = set.chain(expired).collect();
         self.roster
             .registrations()
             .map(|one| one.endpoint.name.clone())
-            .filter(|name| !told.contains(name.as_str()))
+            .filter(|name| !named.contains(name.as_str()))
             .collect()
     }
 
-    pub(super) fn dismiss(&mut self, name: &str) -> bool {
+    pub(super) fn remove_endpoint(&mut self, name: &str) -> bool {
         let known = self.roster.remove_confirmed(name, boot_time());
         if known {
             log::info!(endpoint:% = name; "endpoint gone");
--- a/crates/direct/src/control/follow.rs
+++ b/crates/direct/src/control/follow.rs
@@ -1,4 +1,4 @@
-//! One topic's follower: asks, waits, and tells what it heard.
+//! Follows one topic of the log: reads it repeatedly and sends each result on.
 
 mod notes;
 
@@ -16,51 +16,54 @@
 use crate::shared::Shared;
 use crate::source::{ReadError, Source, Tail};
 
-/// The first pause after a failed call, before jitter. It doubles, up to the
-/// second of these figures, or the third at an instance that has others to ask
-/// and does so meanwhile. A lost answer is asked for again soon, and a service
-/// in trouble gets a call a second from each instance at most, but two from
-/// those that the others wait for: they notice its return within 0.6 s, which
-/// the grace of lapsed entries counts on.
-const BACKOFF: Duration = Duration::from_millis(250);
-const LONGEST: Duration = Duration::from_millis(500);
-const LONGEST_OF_MANY: Duration = Duration::from_secs(2);
-
-/// The pause between reads while lapsed entries may come back, or while what was read
-/// can't be relied on yet.
-const HURRY: Duration = Duration::from_millis(250);
-
-/// How long a read of the configuration waits for a change. Each read is a
-/// call that the platform counts. Twice this and one call that fails, with its
-/// time-out and pause, is 4.1 s: less than the shortest lease, of 4.7 s.
-const WAIT: Duration = Duration::from_millis(1_300);
-
-/// The same at an instance that others ask. What they know is older than what
-/// it knows by as much as they need to find out that it lost the log.
-const WAIT_FOR_OTHERS: Duration = Duration::from_millis(500);
-
-/// How many times as often the list of endpoints is read for others.
-const OFTENER: u32 = 2;
-
-/// The pause after a topic was listed at an instance that has others to ask: one of
-/// them most likely spares it the next read.
-const LISTED: Duration = Duration::from_millis(600);
-
-/// When a topic is asked again.
+/// The pause after a failed call, before jitter. It doubles up to
+/// `MAX_BACKOFF`, or up to `MAX_BACKOFF_WITH_PEERS` at an instance that polls
+/// peers meanwhile.
+///
+/// A lost answer is soon requested again, and a log service in trouble gets at
+/// most one call a second from each instance, or two from those that serve
+/// peers. They notice the log's return within 0.6 s, which the grace period of
+/// expired entries relies on.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
+const MAX_BACKOFF_WITH_PEERS: Duration = Duration::from_secs(2);
+
+/// The pause between reads while expired entries may return, or while the last
+/// read can't be relied on yet.
+const FAST_READ_PAUSE: Duration = Duration::from_millis(250);
+
+/// How long a read of the configuration waits for a change. Each read is a call
+/// that the platform counts. Twice this, plus one failed call with its timeout
+/// and pause, is 4.1 s, which is less than the shortest lease of 4.7 s.
+const READ_WAIT: Duration = Duration::from_millis(1_300);
+
+/// The same at an instance that serves peers. Their state is older than its own
+/// by the time that they need to detect that it has lost the log.
+const READ_WAIT_SERVING_PEERS: Duration = Duration::from_millis(500);
+
+/// The factor by which an instance that serves peers reads the list of
+/// endpoints more often.
+const REFRESH_DIVISOR_SERVING_PEERS: u32 = 2;
+
+/// The pause after listing a topic at an instance that polls peers. A peer's
+/// answer most likely makes the next read unnecessary.
+const PAUSE_AFTER_LISTING: Duration = Duration::from_millis(600);
+
+/// When a topic is read again.
 #[derive(Clone, Copy, Debug)]
 enum Pace {
-    /// At once; the call itself waits this long for a change.
+    /// At once. The call itself waits up to this long for a change.
     Wait(Duration),
-    /// After this long, without waiting in the call.
+    /// After this pause, with a call that doesn't wait.
     Poll(Duration),
 }
 
-/// Whether the log itself is read.
+/// Whether the log is read directly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Mode {
-    /// Whether it is, rather than a peer asked.
+    /// Whether the log is read, rather than a peer polled.
     pub(super) direct: bool,
-    /// Counts the changes.
+    /// The number of changes of mode so far.
     pub(super) epoch: u64,
 }
 
@@ -74,35 +77,36 @@
 }
 
 impl Mode {
-    /// Returns the mode of an instance that starts, and asks peers first or doesn't.
-    pub(super) const fn at_start(asks: bool) -> Self {
+    /// Returns the initial mode of an instance, by whether it polls peers
+    /// first.
+    pub(super) const fn at_start(polls_peers: bool) -> Self {
         Self {
-            direct: !asks,
+            direct: !polls_peers,
             epoch: 0,
         }
     }
 
-    /// Returns whether what was read in `mode` still counts.
-    pub(super) fn current(self, mode: Self) -> bool {
+    /// Returns whether a read made in `mode` is still valid.
+    pub(super) fn is_current(self, mode: Self) -> bool {
         self.direct && self == mode
     }
 }
 
-/// What a follower needs beside its topic's source.
-pub(super) struct Log {
+/// The context of the task that follows a topic.
+pub(super) struct Follower {
     pub(super) shared: Arc<Shared>,
     pub(super) topic: Topic,
     pub(super) modes: watch::Receiver<Mode>,
 }
 
-impl Log {
+impl Follower {
     fn pace(&self) -> Pace {
         let refresh = self.shared.settings.refresh;
         match (self.topic, self.shared.serves_peers()) {
-            (Topic::Operator, false) => Pace::Wait(WAIT),
-            (Topic::Operator, true) => Pace::Wait(WAIT_FOR_OTHERS),
+            (Topic::Operator, false) => Pace::Wait(READ_WAIT),
+            (Topic::Operator, true) => Pace::Wait(READ_WAIT_SERVING_PEERS),
             (Topic::Endpoints, false) => Pace::Poll(refresh),
-            (Topic::Endpoints, true) => Pace::Poll(refresh / OFTENER),
+            (Topic::Endpoints, true) => Pace::Poll(refresh / REFRESH_DIVISOR_SERVING_PEERS),
         }
     }
 
@@ -111,7 +115,7 @@
     }
 }
 
-/// Which topic is followed.
+/// The topics of the log.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Topic {
     Operator,
@@ -127,143 +131,159 @@
     }
 }
 
-/// What one call told.
-pub(super) struct Heard<T> {
+/// The result of one call.
+pub(super) struct TopicUpdate<T> {
     pub(super) changes: Vec<Change<T>>,
-    /// Whether they come from a list, not from records.
-    pub(super) listed: bool,
+    /// Whether the changes come from a list rather than from single records.
+    pub(super) from_list: bool,
     /// When the call was sent.
-    pub(super) asked: Moment,
-    /// Whether everything that the topic held then is known now.
-    pub(super) whole: bool,
-    /// Up to which offset all records are known, unless the topic is being listed.
+    pub(super) sent_at: Moment,
+    /// Whether everything that the topic held when the call was sent is now
+    /// known.
+    pub(super) complete: bool,
+    /// The offset up to which all records are known; `None` while the topic is
+    /// being listed.
     pub(super) position: Option<Offset>,
-    /// The era of the log that told it; 0 if it names none.
+    /// The era of the log; 0 if it names none.
     pub(super) era: Era,
-    /// The mode in which it was asked.
+    /// The mode in which the call was sent.
     pub(super) mode: Mode,
 }
 
-/// Follows a topic for as long as somebody listens.
+/// Follows a topic until the receiver of its events is closed.
 pub(super) async fn follow<T, E>(
     source: Source<T>,
-    mut log: Log,
+    mut follower: Follower,
     events: mpsc::Sender<E>,
-    event: fn(Heard<T>) -> E,
+    event: fn(TopicUpdate<T>) -> E,
 ) {
     let mut feed = Feed::default();
     let mut mode = Mode::default();
-    let mut loss = Loss::default();
-    // Whether the last call told all there was. Only then is it worth waiting
-    // for a change; at a start or after an absence the answer is wanted now.
-    let mut current = false;
-    // How long the last answer took beyond its wait. One with changes comes
-    // before the wait is over, and says less than one without.
+    let mut outage = Outage::default();
+    // Whether the last call returned everything. Only then may the next call
+    // wait for a change: after a start or an outage, the answer is needed at
+    // once.
+    let mut up_to_date = false;
+    // How long the last answer took beyond its wait. An answer with changes
+    // arrives before the wait ends, so an answer without changes is the better
+    // measure.
     let mut lag = Duration::ZERO;
     loop {
-        let Ok(now) = log.modes.wait_for(|mode| mode.direct).await.map(|now| *now) else {
+        let Ok(now) = follower
+            .modes
+            .wait_for(|mode| mode.direct)
+            .await
+            .map(|now| *now)
+        else {
             return;
         };
         if now != mode {
             mode = now;
             feed = Feed::with_known_keys(
-                log.shared
+                follower
+                    .shared
                     .update_replica(false, |replica| replica.endpoint_names()),
             );
-            current = false;
+            up_to_date = false;
         }
-        let pace = log.pace();
+        let pace = follower.pace();
         let listing = !feed.is_listed();
-        let wait = if current && !log.shared.log_needs_reread() {
-            waiting(pace, lag)
+        let wait = if up_to_date && !follower.shared.log_needs_reread() {
+            read_wait(pace, lag)
         } else {
             Duration::ZERO
         };
-        let asked = boot_time();
-        let answer = ask(&source, &mut feed, wait, mode, &log).await;
-        current = matches!(&answer, Ok(heard) if heard.whole);
-        let quiet = matches!(&answer, Ok(heard) if heard.changes.is_empty());
-        if quiet || wait.is_zero() {
-            lag = since(boot_time(), asked).saturating_sub(wait);
+        let sent_at = boot_time();
+        let answer = read_topic(&source, &mut feed, wait, mode, &follower).await;
+        up_to_date = matches!(&answer, Ok(update) if update.complete);
+        let unchanged = matches!(&answer, Ok(update) if update.changes.is_empty());
+        if unchanged || wait.is_zero() {
+            lag = since(boot_time(), sent_at).saturating_sub(wait);
         }
-        let pause = loss.note(&log, answer.as_ref().err());
-        if let Ok(heard) = answer
-            && events.send(event(heard)).await.is_err()
+        let backoff = outage.record_call(&follower, answer.as_ref().err());
+        if let Ok(update) = answer
+            && events.send(event(update)).await.is_err()
         {
             return;
         }
-        let rest = match current {
-            true if listing && log.polls_peers() => LISTED,
-            true if log.shared.log_needs_reread() => HURRY,
-            true => rest(pace, lag).min(loss.hurry()),
-            false => pause,
+        let pause = match up_to_date {
+            true if listing && follower.polls_peers() => PAUSE_AFTER_LISTING,
+            true if follower.shared.log_needs_reread() => FAST_READ_PAUSE,
+            true => pause_between_reads(pace, lag).min(outage.max_pause()),
+            false => backoff,
         };
-        tokio::time::sleep(rest).await;
+        tokio::time::sleep(pause).await;
     }
 }
 
-fn longest(log: &Log) -> Duration {
-    if log.polls_peers() && !log.shared.serves_peers() {
-        LONGEST_OF_MANY
+fn max_backoff(follower: &Follower) -> Duration {
+    if follower.polls_peers() && !follower.shared.serves_peers() {
+        MAX_BACKOFF_WITH_PEERS
     } else {
-        LONGEST
+        MAX_BACKOFF
     }
 }
 
-/// Since when the log can't be read, and how often that was tried.
+/// The current or last period in which the log couldn't be read.
 #[derive(Debug, Default)]
-struct Loss {
+struct Outage {
     since: Option<Moment>,
     failures: u32,
-    regained: Option<Moment>,
+    ended_at: Option<Moment>,
 }
 
-impl Loss {
-    // The longest pause between reads now.
-    fn hurry(&self) -> Duration {
+impl Outage {
+    // Returns the longest pause between reads for now.
+    fn max_pause(&self) -> Duration {
         let now = boot_time();
         let recent = self
-            .regained
+            .ended_at
             .is_some_and(|at| since(now, at) < EXPIRED_ENTRY_GRACE);
-        if recent { HURRY } else { Duration::MAX }
+        if recent {
+            FAST_READ_PAUSE
+        } else {
+            Duration::MAX
+        }
     }
 
-    // Takes in how a call ended; returns the pause before the next one.
-    fn note(&mut self, log: &Log, fault: Option<&ReadError>) -> Duration {
-        let topic = log.topic.as_str();
+    // Records the result of a call. Returns the pause before the next call if
+    // it failed.
+    fn record_call(&mut self, follower: &Follower, error: Option<&ReadError>) -> Duration {
+        let topic = follower.topic.as_str();
         let now = boot_time();
-        log.shared
+        follower
+            .shared
             .metrics
-            .count_log_read(topic, fault.map_or("ok", name));
-        let Some(fault) = fault else {
+            .count_log_read(topic, error.map_or("ok", metric_label));
+        let Some(error) = error else {
             if let Some(from) = self.since.take() {
-                let lost = since(now, from).as_millis();
-                log::info!(topic:% = topic, away_ms:% = lost, calls = self.failures; "log regained");
+                let outage = since(now, from).as_millis();
+                log::info!(topic:% = topic, away_ms:% = outage, calls = self.failures; "log reachable again");
             }
-            if matches!(log.topic, Topic::Operator) {
-                log.shared.set_log_unavailable(false);
+            if matches!(follower.topic, Topic::Operator) {
+                follower.shared.set_log_unavailable(false);
             }
             if self.failures > 0 {
-                self.regained = Some(now);
+                self.ended_at = Some(now);
             }
             self.failures = 0;
             return Duration::ZERO;
         };
-        if matches!(log.topic, Topic::Operator) {
-            log.shared.set_log_unavailable(true);
+        if matches!(follower.topic, Topic::Operator) {
+            follower.shared.set_log_unavailable(true);
         }
         if self.since.is_none() {
             self.since = Some(now);
-            log::warn!(topic:% = topic, cause:% = fault; "log lost");
+            log::warn!(topic:% = topic, cause:% = error; "log lost");
         }
-        let pause = (BACKOFF * 2_u32.pow(self.failures.min(8))).min(longest(log));
+        let pause = (INITIAL_BACKOFF * 2_u32.pow(self.failures.min(8))).min(max_backoff(follower));
         self.failures += 1;
         pause.mul_f64(rand::rng().random_range(0.75..1.25))
     }
 }
 
-const fn name(fault: &ReadError) -> &'static str {
-    match fault {
+const fn metric_label(error: &ReadError) -> &'static str {
+    match error {
         ReadError::Unreachable(_) => "unreachable",
         ReadError::Timeout => "timeout",
         ReadError::Refused(_) => "refused",
@@ -272,65 +292,67 @@
     }
 }
 
-// How long a read waits for a change, from a log that is this late.
+// Returns how long a read waits for a change, given the log's lag.
 //
-// A log whose answers are slow is read as often as another one. Waiting as long
-// as ever beside that, the instances that are asked knew news so old that they
-// seemed to have lost the log, and all others went there themselves.
-const fn waiting(pace: Pace, lag: Duration) -> Duration {
+// The lag is subtracted so that a slow log is read as often as a fast one. With
+// the full wait on top of the lag, the state of instances that serve peers
+// became so old that they appeared to have lost the log, and all the others
+// turned to the log themselves.
+const fn read_wait(pace: Pace, lag: Duration) -> Duration {
     match pace {
         Pace::Wait(wait) => wait.saturating_sub(lag),
         Pace::Poll(_) => Duration::ZERO,
     }
 }
 
-// How long to rest between reads, likewise.
-const fn rest(pace: Pace, lag: Duration) -> Duration {
+// Returns the pause between reads, given the log's lag, which is subtracted for
+// the same reason.
+const fn pause_between_reads(pace: Pace, lag: Duration) -> Duration {
     match pace {
         Pace::Wait(_) => Duration::ZERO,
         Pace::Poll(pause) => pause.saturating_sub(lag),
     }
 }
 
-async fn ask<T>(
+async fn read_topic<T>(
     source: &Source<T>,
     feed: &mut Feed,
     wait: Duration,
     mode: Mode,
-    log: &Log,
-) -> Result<Heard<T>, ReadError> {
-    let asked = boot_time();
+    follower: &Follower,
+) -> Result<TopicUpdate<T>, ReadError> {
+    let sent_at = boot_time();
     let next = feed.next_query();
-    let listed = matches!(next, Query::List(_));
-    let (changes, whole) = match next {
+    let from_list = matches!(next, Query::List(_));
+    let (changes, complete) = match next {
         Query::List(after) => {
             let first = after.is_none();
             let reply = (source.list)(after).await?;
             check_era(feed, reply.era)?;
-            notes::era(log, feed, reply.era);
-            // What changed while several pages were read is still to come. A
-            // single one is the topic as it was: read on for that alone, each
-            // topic would cost everybody that starts another call.
-            let whole = first && reply.body.next.is_none();
-            notes::page(log, &reply.body);
-            (feed.apply_page(reply), whole)
+            notes::log_new_era(follower, feed, reply.era);
+            // Changes made while several pages were read are still to come. A
+            // single page is a consistent snapshot. Reading on just to be sure
+            // would cost every starting instance another call per topic.
+            let complete = first && reply.body.next.is_none();
+            notes::log_page(follower, &reply.body);
+            (feed.apply_page(reply), complete)
         }
         Query::Read(from) => {
             let reply = (source.read)(from, wait).await?;
             check_era(feed, reply.era)?;
-            notes::era(log, feed, reply.era);
-            let whole = matches!(&reply.body, Tail::Records { next, end, .. } if next >= end);
-            notes::tail(log, from, &reply.body);
-            (feed.apply_tail(reply), whole)
+            notes::log_new_era(follower, feed, reply.era);
+            let complete = matches!(&reply.body, Tail::Records { next, end, .. } if next >= end);
+            notes::log_tail(follower, from, &reply.body);
+            (feed.apply_tail(reply), complete)
         }
     };
-    notes::ignored(log, feed.take_ignored_count());
-    Ok(Heard {
+    notes::log_ignored(follower, feed.take_ignored_count());
+    Ok(TopicUpdate {
         changes,
-        listed,
-        asked,
-        // One that has to be listed anew isn't known.
-        whole: whole && feed.is_listed(),
+        from_list,
+        sent_at,
+        // A topic that has to be listed again isn't known.
+        complete: complete && feed.is_listed(),
         position: feed.position(),
         era: feed.era(),
         mode,
--- a/crates/direct/src/control/peers.rs
+++ b/crates/direct/src/control/peers.rs
@@ -1,11 +1,13 @@
-//! Asking another instance what the log says.
+//! Polls another instance for the state of the log.
 //!
-//! An instance with seeds to ask follows one of them in place of the log: a
-//! question waits there until something changes, so news is as quick as with
-//! the log itself. When the one it asks fails, falls silent or lost the log
-//! itself, it asks another one, as long as what it knows isn't too old by then,
-//! and else reads the log and looks for another after a pause.
-//! What a peer tells is taken only if it is not older than what was read
+//! An instance with seeds to poll follows one of them instead of the log. Each
+//! poll waits at the peer until something changes, so updates arrive as soon as
+//! from the log itself. When the peer fails, doesn't answer in time or has lost
+//! the log, the instance polls another one for as long as its own state isn't
+//! too old, and otherwise reads the log and looks for another peer after a
+//! pause.
+//!
+//! A peer's update is accepted only if it is not older than the state read
 //! here: an endpoint that was seen leaving must not come back.
 
 mod age;
@@ -29,77 +31,82 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, timeout};
 
-use self::age::{LONGEST_WAIT, PATIENCE, left, wait, wait_while_partial};
-pub(super) use self::answer::answer;
-pub(super) use self::passing::exchange;
+use self::age::{
+    ANSWER_TIMEOUT, MAX_POLL_WAIT, poll_wait, poll_wait_at_reduced_service, remaining_time,
+};
+pub(super) use self::answer::handle_request;
 pub(crate) use self::passing::forward_evidence;
-pub(super) use self::peer::News;
-use self::peer::{Peer, Refusal};
+pub(super) use self::passing::run_exchange;
+pub(super) use self::peer::PeerUpdate;
+use self::peer::{Peer, PeerError};
 use super::follow::Mode;
 use crate::shared::Shared;
 use crate::standby::Peers;
 
-const PATH: &str = "/peer/v4/state";
+const STATE_PATH: &str = "/peer/v4/state";
 
-/// The most that a question or an answer may hold: a configuration of 8,900
-/// workspaces and 3,300 endpoints takes about 3 MB.
-const MESSAGE_BYTES: usize = 16 << 20;
+/// The largest accepted request or answer. A configuration of 8,900 workspaces
+/// and 3,300 endpoints takes about 3 MB.
+const MAX_MESSAGE_BYTES: usize = 16 << 20;
 
-/// The pause before another instance is looked for, before jitter.
-const PAUSE: Duration = Duration::from_secs(3);
+/// The pause before looking for another peer, before jitter.
+const RETRY_PAUSE: Duration = Duration::from_secs(3);
 
-/// The same while the log can't be read. Asking a peer costs the platform
-/// nothing, and the first of them to get through serves all.
-const HASTE: Duration = Duration::from_millis(400);
+/// The same while the log can't be read. Polling a peer costs the platform
+/// nothing, and the first instance that gets through to the log serves all
+/// others.
+const FAST_RETRY_PAUSE: Duration = Duration::from_millis(400);
 
-/// How long after its start an instance asks peers in haste. Those that are asked
-/// start at the same time and need up to a second themselves, and until it follows one
-/// it reads the log.
-const STARTS: Duration = Duration::from_secs(5);
+/// How long after its start an instance uses `FAST_RETRY_PAUSE`. The peers
+/// start at the same time and need up to a second themselves, and until the
+/// instance follows one of them it reads the log.
+const STARTUP_PERIOD: Duration = Duration::from_secs(5);
 
-/// How long an instance that starts asks peers before it reads the log: time for
-/// one that is gone, and for one that starts as well and answers when it has read.
-const ASKS_FIRST: Duration = Duration::from_millis(600);
+/// How long a starting instance polls peers before it reads the log. This
+/// leaves time for a peer that is gone, and for one that is starting as well
+/// and answers once it has read the log.
+const STARTUP_POLL_TIME: Duration = Duration::from_millis(600);
 
-/// The pause before it asks again peers that don't listen yet.
-const AGAIN: Duration = Duration::from_millis(50);
+/// The pause before a starting instance polls again when no peer is listening
+/// yet.
+const STARTUP_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// How long an instance that is to read the log asks another one before it
-/// tries the log again.
-const VISIT: Duration = Duration::from_secs(4);
+/// How long a seed that lost the log polls another one before it tries the log
+/// again.
+const MAX_SEED_POLL_TIME: Duration = Duration::from_secs(4);
 
-/// How asking one peer after the other ended.
-enum Turn {
+/// Why a round of polling peers ended.
+enum RoundEnd {
     /// The log has to be read.
-    Over,
-    /// Nobody listens any more.
+    ReadLog,
+    /// The receiver of events is closed.
     Closed,
 }
 
-// What asking needs, whoever is asked.
-struct Asker<E> {
+// What polling needs, whichever peer is polled.
+struct Poller<E> {
     shared: Arc<Shared>,
     connector: Connector,
     mode: watch::Sender<Mode>,
     events: mpsc::Sender<E>,
-    event: fn(News) -> E,
+    event: fn(PeerUpdate) -> E,
     peers: Peers,
 }
 
-/// Follows one peer after the other for as long as somebody listens.
-pub(super) async fn ask<E>(
+/// Follows one peer after another until the receiver of events is closed.
+pub(super) async fn poll_peers<E>(
     shared: Arc<Shared>,
     mode: watch::Sender<Mode>,
     events: mpsc::Sender<E>,
-    event: fn(News) -> E,
+    event: fn(PeerUpdate) -> E,
 ) {
     let seeds = shared.settings.other_seeds();
     let first = rand::rng().random_range(0..seeds.len().max(1));
-    let visits = shared.settings.is_seed();
-    let mut lost = shared.log_unavailable();
-    let mut asker = Asker {
+    let is_seed = shared.settings.is_seed();
+    let mut log_unavailable = shared.log_unavailable();
+    let mut poller = Poller {
         connector: Connector::new(connect::Settings {
-            connect_timeout: PATIENCE,
+            connect_timeout: ANSWER_TIMEOUT,
             ..connect::Settings::default()
         }),
         peers: Peers::new(seeds, shared.settings.listen.peers, first),
@@ -108,150 +115,163 @@
         events,
         event,
     };
-    // An instance that starts asks a peer before it reads the log.
-    if visits && !due(&asker.shared, &mut lost, visits).await {
+    // A seed polls peers only after it has lost the log. Any other instance
+    // polls them before it first reads the log.
+    if is_seed && !wait_for_next_round(&poller.shared, &mut log_unavailable, is_seed).await {
         return;
     }
     loop {
-        let turn = asker.turn(visits).await;
-        direct(&asker.mode, true);
-        let goes_on = due(&asker.shared, &mut lost, visits);
-        if matches!(turn, Turn::Closed) || !goes_on.await {
+        let end = poller.poll_round(is_seed).await;
+        set_direct(&poller.mode, true);
+        let running = wait_for_next_round(&poller.shared, &mut log_unavailable, is_seed);
+        if matches!(end, RoundEnd::Closed) || !running.await {
             return;
         }
     }
 }
 
-impl<E> Asker<E> {
-    // Asks one peer after the other. Where the one that was followed fails, the
-    // next one is asked before anybody goes to the log, as long as what is known
-    // here doesn't get too old by it.
-    async fn turn(&mut self, visits: bool) -> Turn {
-        let mut turn = VecDeque::from(self.peers.next_round(rand::rng().random()));
+impl<E> Poller<E> {
+    // Polls one peer after another. When the followed peer fails, the next one
+    // is polled before the log is read, as long as the state known here doesn't
+    // become too old.
+    async fn poll_round(&mut self, is_seed: bool) -> RoundEnd {
+        let mut round = VecDeque::from(self.peers.next_round(rand::rng().random()));
         loop {
-            let Some(address) = turn.pop_front() else {
-                // Others that start at the same time may not listen yet.
-                if self.knows() || self.allowed() < PATIENCE {
-                    return Turn::Over;
+            let Some(address) = round.pop_front() else {
+                // Peers that start at the same time may not be listening yet.
+                if self.has_state() || self.time_left() < ANSWER_TIMEOUT {
+                    return RoundEnd::ReadLog;
                 }
-                tokio::time::sleep(AGAIN).await;
-                turn = self.peers.next_round(rand::rng().random()).into();
+                tokio::time::sleep(STARTUP_RETRY_PAUSE).await;
+                round = self.peers.next_round(rand::rng().random()).into();
                 continue;
             };
-            let allowed = self.allowed();
-            if allowed < PATIENCE {
-                log::info!(left_ms = allowed.as_millis(); "no time to ask another peer; the log is read");
-                return Turn::Over;
+            let time_left = self.time_left();
+            if time_left < ANSWER_TIMEOUT {
+                log::info!(left_ms = time_left.as_millis(); "no time left to poll another peer; reading the log");
+                return RoundEnd::ReadLog;
             }
-            let began = Instant::now();
-            let longest = if visits { VISIT } else { Duration::MAX };
-            let following = timeout(longest, self.follow(address, allowed)).await;
+            let started_at = Instant::now();
+            let max_time = if is_seed {
+                MAX_SEED_POLL_TIME
+            } else {
+                Duration::MAX
+            };
+            let following = timeout(max_time, self.follow(address, time_left)).await;
             match following {
-                Ok(None) => return Turn::Closed,
-                Ok(Some(refusal)) => {
-                    log::info!(peer:% = address, cause:% = refusal; "peer not followed");
+                Ok(None) => return RoundEnd::Closed,
+                Ok(Some(error)) => {
+                    log::info!(peer:% = address, cause:% = error; "peer not followed");
                 }
                 Err(_elapsed) => {
-                    log::info!(peer:% = address; "the log is tried again");
-                    return Turn::Over;
+                    log::info!(peer:% = address; "trying the log again");
+                    return RoundEnd::ReadLog;
                 }
             }
-            // One that was followed for a while is asked again only after all others.
-            if began.elapsed() > allowed {
-                turn = self.peers.next_round(rand::rng().random()).into();
-                turn.retain(|other| *other != address);
+            // A peer that was followed for a while is polled again only after
+            // all others.
+            if started_at.elapsed() > time_left {
+                round = self.peers.next_round(rand::rng().random()).into();
+                round.retain(|other| *other != address);
             }
         }
     }
 
-    // Whether anything of the log is known here.
-    fn knows(&self) -> bool {
-        self.mode.borrow().direct || self.known().is_some()
+    // Returns whether any state of the log is known here.
+    fn has_state(&self) -> bool {
+        self.mode.borrow().direct || self.confirmed_at().is_some()
     }
 
-    // When the older of both topics was confirmed last.
-    fn known(&self) -> Option<Moment> {
+    // Returns when the less recently confirmed of the two topics was confirmed.
+    fn confirmed_at(&self) -> Option<Moment> {
         self.shared
             .update_replica(false, |replica| replica.confirmed_at())
     }
 
-    // How long asking a peer may take before the log has to be read.
-    fn allowed(&self) -> Duration {
+    // Returns how long polling may take before the log has to be read.
+    fn time_left(&self) -> Duration {
         if self.mode.borrow().direct {
-            return LONGEST_WAIT;
+            return MAX_POLL_WAIT;
         }
-        match self.known() {
-            Some(read) => left(
+        match self.confirmed_at() {
+            Some(read) => remaining_time(
                 self.shared.settings.max_update_delay(),
                 since(boot_time(), read),
             ),
-            None => ASKS_FIRST.saturating_sub(self.shared.uptime()),
+            None => STARTUP_POLL_TIME.saturating_sub(self.shared.uptime()),
         }
     }
 
-    // Follows a peer until it is no use any more; `None` if nobody listens.
-    async fn follow(&mut self, address: SocketAddr, allowed: Duration) -> Option<Refusal> {
+    // Follows a peer until it is no longer useful and returns why; returns
+    // `None` if the receiver of events is closed.
+    async fn follow(&mut self, address: SocketAddr, time_left: Duration) -> Option<PeerError> {
         let shared = Arc::clone(&self.shared);
         let connector = self.connector.clone();
         let mut peer = Peer::new(&connector, address, &shared);
-        let patience = if self.knows() {
+        let first_wait = if self.has_state() {
             Duration::ZERO
         } else {
-            allowed.saturating_sub(PATIENCE)
+            time_left.saturating_sub(ANSWER_TIMEOUT)
         };
-        let begun = timeout(allowed, peer.begin(patience)).await;
-        let mut told = match begun.unwrap_or(Err(Refusal::Silent)) {
-            Ok(told) => told,
-            Err(refusal) => return Some(refusal),
+        let first = timeout(time_left, peer.first_poll(first_wait)).await;
+        let mut answer = match first.unwrap_or(Err(PeerError::Timeout)) {
+            Ok(answer) => answer,
+            Err(error) => return Some(error),
         };
-        log::info!(peer:% = address; "peer followed in place of the log");
-        direct(&self.mode, false);
+        log::info!(peer:% = address; "following the peer instead of the log");
+        set_direct(&self.mode, false);
         loop {
-            self.peers.set_standbys(address, told.standbys);
-            if self.events.send((self.event)(told.news)).await.is_err() {
+            self.peers.set_standbys(address, answer.standbys);
+            if self.events.send((self.event)(answer.update)).await.is_err() {
                 return None;
             }
-            let wait = wait(shared.settings.max_update_delay()).min(longest(&shared));
-            told = match peer.question(wait).await {
-                Ok(told) => told,
-                Err(refusal) => return Some(refusal),
+            let wait = poll_wait(shared.settings.max_update_delay()).min(max_poll_wait(&shared));
+            answer = match peer.poll(wait).await {
+                Ok(answer) => answer,
+                Err(error) => return Some(error),
             };
         }
     }
 }
 
-// How long a question may wait by what loads are worth now.
-fn longest(shared: &Shared) -> Duration {
+// Returns how long a poll may wait, given how quickly loads go out of date now.
+fn max_poll_wait(shared: &Shared) -> Duration {
     let now = boot_time();
     let instances = shared.instance_count(now);
-    let partial = shared.view().has_reduced_service(now);
-    let oftener = instances.filter(|_| partial).map(wait_while_partial);
-    oftener.unwrap_or(LONGEST_WAIT)
+    let has_reduced_service = shared.view().has_reduced_service(now);
+    let reduced = instances
+        .filter(|_| has_reduced_service)
+        .map(poll_wait_at_reduced_service);
+    reduced.unwrap_or(MAX_POLL_WAIT)
 }
 
-// Waits until a peer is to be asked: after a pause, or soon while the log is
-// lost or the process has just started. An instance that is to read the log waits
-// until it is lost. Returns whether the process goes on.
-async fn due(shared: &Shared, lost: &mut watch::Receiver<bool>, visits: bool) -> bool {
+// Waits until the next round of polling: for a pause, which is short while the
+// log is unavailable or the process has just started. A seed waits until the
+// log is unavailable. Returns whether the process goes on.
+async fn wait_for_next_round(
+    shared: &Shared,
+    log_unavailable: &mut watch::Receiver<bool>,
+    is_seed: bool,
+) -> bool {
     let jitter = rand::rng().random_range(0.5..1.5);
-    let pause = if visits {
+    let pause = if is_seed {
         Duration::MAX
-    } else if shared.uptime() < STARTS {
-        HASTE.mul_f64(jitter)
+    } else if shared.uptime() < STARTUP_PERIOD {
+        FAST_RETRY_PAUSE.mul_f64(jitter)
     } else {
-        PAUSE.mul_f64(jitter)
+        RETRY_PAUSE.mul_f64(jitter)
     };
     tokio::select! {
         () = tokio::time::sleep(pause) => true,
-        goes_on = async { lost.wait_for(|lost| *lost).await.is_ok() } => {
-            tokio::time::sleep(HASTE.mul_f64(jitter)).await;
-            goes_on
+        running = async { log_unavailable.wait_for(|unavailable| *unavailable).await.is_ok() } => {
+            tokio::time::sleep(FAST_RETRY_PAUSE.mul_f64(jitter)).await;
+            running
         }
     }
 }
 
-// Says whether the log itself is read from now on.
-fn direct(mode: &watch::Sender<Mode>, direct: bool) {
+// Sets whether the log itself is read from now on.
+fn set_direct(mode: &watch::Sender<Mode>, direct: bool) {
     mode.send_if_modified(|mode| {
         let changed = mode.direct != direct;
         if changed {
@@ -262,13 +282,13 @@
     });
 }
 
-fn status(status: StatusCode) -> Response<Body> {
-    let mut response = Response::new(whole(Vec::new()));
+fn status_response(status: StatusCode) -> Response<Body> {
+    let mut response = Response::new(full_body(Vec::new()));
     *response.status_mut() = status;
     response
 }
 
-fn whole(bytes: Vec<u8>) -> Body {
+fn full_body(bytes: Vec<u8>) -> Body {
     Full::new(Bytes::from(bytes))
         .map_err(|never: Infallible| match never {})
         .boxed_unsync()
--- a/crates/direct/src/control/peers/age.rs
+++ b/crates/direct/src/control/peers/age.rs
@@ -1,74 +1,78 @@
-//! How old what a peer tells may be.
+//! Bounds on the age of the state received from peers.
 //!
-//! What an instance knows has to be acted on within a bound, which covers the age of
-//! what it was told, the wait for the next answer, the time in which that may fail to
-//! come, and reading the log after it.
+//! An instance must act on an update within a bound. The bound covers the age
+//! of the update at the peer, the wait for the next answer, the time in which
+//! that answer may fail to arrive, and a read of the log after it.
 
 use std::time::Duration;
 
-/// The longest that a question waits for news: what is known only by asking, such as
-/// loads, is told no later.
-pub(super) const LONGEST_WAIT: Duration = Duration::from_millis(1_400);
+/// The longest time that a poll waits for changes. State that is only sent in
+/// answers to polls, such as loads, is sent at least this often.
+pub(super) const MAX_POLL_WAIT: Duration = Duration::from_millis(1_400);
 
-/// The shortest that it waits while loads are told oftener.
-const SHORTEST_WAIT: Duration = Duration::from_millis(400);
+/// The shortest time that a poll waits while loads are exchanged more often.
+const MIN_POLL_WAIT: Duration = Duration::from_millis(400);
 
-/// The time between two questions that those that are asked bear then, all together.
-const BETWEEN: Duration = Duration::from_millis(5);
+/// The shortest time between two polls, of all instances together, that the
+/// polled instances can bear while loads are exchanged more often.
+const MIN_POLL_SPACING: Duration = Duration::from_millis(5);
 
-/// What is kept back of the time within which news has to be acted on, for
-/// reading the log anew and a moment without the processor.
-pub(super) const SPARE: Duration = Duration::from_millis(150);
+/// The part of the bound reserved for reading the log again and for a moment
+/// without the processor.
+pub(super) const RESERVED_TIME: Duration = Duration::from_millis(150);
 
-/// How long an answer may take beyond that: machines are 2 ms apart, and a
+/// How long an answer may take beyond the wait. Machines are 2 ms apart, and a
 /// small one may be without the processor for a tenth of a second.
-pub(super) const PATIENCE: Duration = Duration::from_millis(250);
+pub(super) const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The least age of its news from which on a peer counts as having lost the log.
-/// One that reads for others is confirmed every half second, by a read sent as
-/// long ago.
-pub(super) const LEAST_AGE: Duration = Duration::from_millis(1_200);
+/// The lowest limit on the age of a peer's state, above which the peer counts
+/// as having lost the log. A peer that is a seed is confirmed every half
+/// second, by a read sent as long ago.
+pub(super) const MIN_STALE_AGE: Duration = Duration::from_millis(1_200);
 
-/// Returns how long a question waits for news that has to be acted on within
+/// Returns how long a poll waits for updates that have to be acted on within
 /// `bound`.
 ///
-/// It bounds how old what is known here can get while the one that is asked
-/// loses the log or goes dark: an answer at the limit of its age, this wait,
-/// and the patience.
-pub(super) fn wait(bound: Duration) -> Duration {
+/// The wait limits how old the state known here can get while the polled peer
+/// loses the log or stops answering: that age is the sum of an answer at its
+/// age limit, this wait and the timeout.
+pub(super) fn poll_wait(bound: Duration) -> Duration {
     bound
-        .saturating_sub(SPARE)
-        .saturating_sub(LEAST_AGE)
-        .saturating_sub(PATIENCE)
-        .min(LONGEST_WAIT)
+        .saturating_sub(RESERVED_TIME)
+        .saturating_sub(MIN_STALE_AGE)
+        .saturating_sub(ANSWER_TIMEOUT)
+        .min(MAX_POLL_WAIT)
 }
 
-/// Returns how long a question waits at most while a part of a service takes nothing,
-/// where this many instances ask.
+/// Returns how long a poll waits at most while a part of a service is evacuated
+/// or warming up, given the number of polling instances.
 ///
-/// What is left of the service has more than the mean then, and so less room for what an
-/// instance doesn't know of it. With the loads told no oftener than else, endpoints that
-/// many prompts have for their home pass the bound before anybody hears.
-pub(super) fn wait_while_partial(instances: u32) -> Duration {
-    (BETWEEN * instances).clamp(SHORTEST_WAIT, LONGEST_WAIT)
+/// The rest of the service then has a load above the mean, and so less room for
+/// load that an instance doesn't know of. With loads exchanged only as often as
+/// usual, endpoints that are the home of many prefixes exceed the load bound
+/// before any instance learns of it.
+pub(super) fn poll_wait_at_reduced_service(instances: u32) -> Duration {
+    (MIN_POLL_SPACING * instances).clamp(MIN_POLL_WAIT, MAX_POLL_WAIT)
 }
 
-/// Returns the age of its news from which on a peer counts as having lost the log,
-/// where news has to be acted on within `bound`: all that the wait leaves of it.
+/// Returns the age of a peer's state above which the peer counts as having lost
+/// the log, where updates have to be acted on within `bound`. This is the whole
+/// time that the wait leaves of the bound.
 ///
-/// A log whose answers are slow or get lost makes what is known older, but not
-/// wrong. Left at the least age by all that ask it, a peer would be of no use just
-/// when the log is in trouble, and hundreds of instances would go there themselves.
-pub(super) fn oldest(bound: Duration) -> Duration {
+/// A log whose answers are slow or get lost makes the known state older, but
+/// not wrong. If the limit were always the minimum, all instances would leave
+/// their peers just when the log is in trouble, and hundreds of them would turn
+/// to the log.
+pub(super) fn max_age(bound: Duration) -> Duration {
     bound
-        .saturating_sub(SPARE)
-        .saturating_sub(wait(bound))
-        .saturating_sub(PATIENCE)
-        .max(LEAST_AGE)
+        .saturating_sub(RESERVED_TIME)
+        .saturating_sub(poll_wait(bound))
+        .saturating_sub(ANSWER_TIMEOUT)
+        .max(MIN_STALE_AGE)
 }
 
-/// Returns how long asking another peer may take with news of this age, which has to
-/// be acted on within `bound`: until the log has to be read anew.
-pub(super) fn left(bound: Duration, age: Duration) -> Duration {
-    bound.saturating_sub(SPARE).saturating_sub(age)
+/// Returns how long polling another peer may take with state of this age, which
+/// has to be acted on within `bound`, before the log has to be read.
+pub(super) fn remaining_time(bound: Duration, age: Duration) -> Duration {
+    bound.saturating_sub(RESERVED_TIME).saturating_sub(age)
 }
--- a/crates/direct/src/control/peers/answer.rs
+++ b/crates/direct/src/control/peers/answer.rs
@@ -1,4 +1,4 @@
-//! Answering peers that ask what the log says.
+//! Answers the requests of other instances.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,87 +12,96 @@
 use rand::RngExt;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-use super::age::LONGEST_WAIT;
-use super::passing::{EVIDENCE_PATH, HEARD_PATH, heard, learn, take};
-use super::{MESSAGE_BYTES, PATH, status, whole};
+use super::age::MAX_POLL_WAIT;
+use super::passing::{
+    EVIDENCE_PATH, EXCHANGE_PATH, handle_evidence, handle_exchange, record_loads,
+};
+use super::{MAX_MESSAGE_BYTES, STATE_PATH, full_body, status_response};
 use crate::board::{Update, UpdateRequest, Urgency};
 use crate::shared::Shared;
 
-/// How long news waits for more before it is told: a release or a scale-out
-/// brings a change a few times a second, and each would be an answer to all.
-const SETTLE: Duration = Duration::from_millis(100);
+/// How long an update waits for further changes before it is sent. A release or
+/// a scale-out brings a few changes a second, and each would otherwise cause an
+/// answer to every polling instance.
+const UPDATE_BATCH_DELAY: Duration = Duration::from_millis(100);
 
-/// Answers a peer's question, at once if there is news.
-pub(in crate::control) async fn answer(
+/// Answers a request of another instance; a poll at once if there are changes.
+pub(in crate::control) async fn handle_request(
     shared: Arc<Shared>,
     request: Request<Incoming>,
 ) -> Response<Body> {
-    let began = boot_time();
+    let received_at = boot_time();
     let path = request.uri().path().to_owned();
-    let Ok(body) = Limited::new(request.into_body(), MESSAGE_BYTES)
+    let Ok(body) = Limited::new(request.into_body(), MAX_MESSAGE_BYTES)
         .collect()
         .await
     else {
-        return status(StatusCode::BAD_REQUEST);
+        return status_response(StatusCode::BAD_REQUEST);
     };
     let body = body.to_bytes();
     match path.as_str() {
-        PATH => state(&shared, &body, began).await,
-        EVIDENCE_PATH => learn(&shared, &body, began),
-        HEARD_PATH => heard(&shared, &body, began),
-        _ => status(StatusCode::NOT_FOUND),
+        STATE_PATH => handle_poll(&shared, &body, received_at).await,
+        EVIDENCE_PATH => handle_evidence(&shared, &body, received_at),
+        EXCHANGE_PATH => handle_exchange(&shared, &body, received_at),
+        _ => status_response(StatusCode::NOT_FOUND),
     }
 }
 
-async fn state(shared: &Shared, body: &[u8], began: Moment) -> Response<Body> {
-    let Ok(question) = rmp_serde::from_slice::<UpdateRequest>(body) else {
-        return status(StatusCode::BAD_REQUEST);
+async fn handle_poll(shared: &Shared, body: &[u8], received_at: Moment) -> Response<Body> {
+    let Ok(update_request) = rmp_serde::from_slice::<UpdateRequest>(body) else {
+        return status_response(StatusCode::BAD_REQUEST);
     };
-    let until = Instant::now() + question.wait.min(LONGEST_WAIT);
-    shared.pollers().record_poll(question.peer_address, began);
-    take(shared, &question.loads, began);
-    for holding in &question.holders {
-        shared.directory().apply_and_forward(holding, began);
+    let deadline = Instant::now() + update_request.wait.min(MAX_POLL_WAIT);
+    shared
+        .pollers()
+        .record_poll(update_request.peer_address, received_at);
+    record_loads(shared, &update_request.loads, received_at);
+    for holder in &update_request.holders {
+        shared.directory().apply_and_forward(holder, received_at);
     }
-    let mut news = shared.replica_changes();
+    let mut changes = shared.replica_changes();
     loop {
-        news.mark_unchanged();
-        match shared.update_replica(false, |replica| replica.urgency(&question)) {
+        changes.mark_unchanged();
+        match shared.update_replica(false, |replica| replica.urgency(&update_request)) {
             Urgency::Full => break,
             Urgency::Incremental => {
-                sleep_until(until.min(Instant::now() + SETTLE)).await;
+                sleep_until(deadline.min(Instant::now() + UPDATE_BATCH_DELAY)).await;
                 break;
             }
-            // One that starts itself has nothing to tell yet. Hundreds that start with
-            // it wait for it, rather than that each reads the log.
+            // A starting instance has nothing to send yet. Hundreds that start
+            // at the same time wait for it, so that not each of them reads the
+            // log.
             Urgency::None | Urgency::NotReady => {}
         }
-        if timeout_at(until, news.changed()).await.is_err() {
+        if timeout_at(deadline, changes.changed()).await.is_err() {
             break;
         }
     }
-    // The ages are those of now, also if nothing came in the time allowed.
+    // Ages are those at the time of the answer, even if nothing changed during
+    // the wait.
     let now = boot_time();
-    let mut told = shared.update_replica(false, |replica| {
-        replica.build_update(&question, since(now, began), now)
+    let mut update = shared.update_replica(false, |replica| {
+        replica.build_update(&update_request, since(now, received_at), now)
     });
-    told.loads = shared
+    update.loads = shared
         .endpoint_stats()
         .recent_loads(now, rand::rng().random());
-    name_instances(shared, &mut told, now);
-    match rmp_serde::to_vec(&told) {
-        Ok(bytes) => Response::new(whole(bytes)),
+    add_instances(shared, &mut update, now);
+    match rmp_serde::to_vec(&update) {
+        Ok(bytes) => Response::new(full_body(bytes)),
         Err(error) => {
-            log::error!(error:% = error; "state can't be told to peers");
-            status(StatusCode::INTERNAL_SERVER_ERROR)
+            log::error!(error:% = error; "can't encode the update for peers");
+            status_response(StatusCode::INTERNAL_SERVER_ERROR)
         }
     }
 }
 
-// A standby's own askers are no better informed than it is, so only seeds name any.
-fn name_instances(shared: &Shared, told: &mut Update, now: Moment) {
+// Adds standbys and the number of instances to an update. Only seeds name
+// standbys: the instances that poll a standby are no better informed than it
+// is.
+fn add_instances(shared: &Shared, update: &mut Update, now: Moment) {
     if shared.settings.is_seed() {
-        told.standbys = shared.pollers().standbys(told.incarnation, now);
+        update.standbys = shared.pollers().standbys(update.incarnation, now);
     }
-    told.instances = shared.instance_count(now);
+    update.instances = shared.instance_count(now);
 }
--- a/crates/direct/src/control/peers/passing.rs
+++ b/crates/direct/src/control/peers/passing.rs
@@ -1,8 +1,8 @@
-//! What instances tell others of their own accord, without being asked.
+//! Messages that instances send to seeds without being polled.
 //!
-//! Evidence on requests that crash endpoints goes to those that are asked, at
-//! once. Holders of prompts come to each of them from those that ask it, and once a
-//! second they tell each other of them.
+//! Evidence on requests that crash endpoints is sent to the seeds at once. Each
+//! seed receives holders of prompts from the instances that poll it, and seeds
+//! exchange them once a second.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,122 +14,133 @@
 use http::{Request, Response, StatusCode};
 use serde::{Deserialize, Serialize};
 
-use super::age::PATIENCE;
-use super::{Refusal, STARTS, status, whole};
+use super::age::ANSWER_TIMEOUT;
+use super::{PeerError, STARTUP_PERIOD, full_body, status_response};
 use crate::book::Load;
 use crate::holders::PrefixHolder;
 use crate::shared::Shared;
 use crate::suspects::{Evidence, ForwardedEvidence};
 
 pub(super) const EVIDENCE_PATH: &str = "/peer/v2/evidence";
-pub(super) const HEARD_PATH: &str = "/peer/v3/heard";
+pub(super) const EXCHANGE_PATH: &str = "/peer/v3/heard";
 
-/// How long evidence waits for more before it is passed on: an endpoint that
-/// ends breaks all its requests within a few milliseconds.
-const GATHER: Duration = Duration::from_millis(30);
+/// How long evidence waits for more before it is forwarded. An endpoint that
+/// terminates breaks all its requests within a few milliseconds.
+const EVIDENCE_BATCH_DELAY: Duration = Duration::from_millis(30);
 
-/// How often instances that are asked tell each other which holders they heard of:
-/// as often as they are asked themselves.
-const EXCHANGE: Duration = Duration::from_secs(1);
+/// The interval at which seeds exchange prompt holders: about as often as they
+/// are polled.
+const EXCHANGE_INTERVAL: Duration = Duration::from_secs(1);
 
-// Takes in what another instance that is asked heard.
-pub(super) fn heard(shared: &Shared, body: &[u8], now: Moment) -> Response<Body> {
-    let Ok(heard) = rmp_serde::from_slice::<Heard>(body) else {
-        return status(StatusCode::BAD_REQUEST);
+// Applies a message that another seed sent.
+pub(super) fn handle_exchange(shared: &Shared, body: &[u8], now: Moment) -> Response<Body> {
+    let Ok(exchange) = rmp_serde::from_slice::<Exchange>(body) else {
+        return status_response(StatusCode::BAD_REQUEST);
     };
-    if let Some(own) = heard.own {
-        shared.pollers().record_peer_count(own, heard.count, now);
+    if let Some(address) = exchange.peer_address {
+        shared
+            .pollers()
+            .record_peer_count(address, exchange.count, now);
     }
-    for holding in heard.held {
-        if shared.directory().apply_remote(&holding, now) {
-            shared.update_replica(false, |replica| replica.add_holder(holding, now));
+    for holder in exchange.holders {
+        if shared.directory().apply_remote(&holder, now) {
+            shared.update_replica(false, |replica| replica.add_holder(holder, now));
         }
     }
-    status(StatusCode::OK)
+    status_response(StatusCode::OK)
 }
 
-/// What one instance that is asked heard from its askers.
+/// What a seed has received from the instances that poll it.
 #[derive(Debug, Serialize, Deserialize)]
-struct Heard {
-    /// Where it is asked.
-    own: Option<SocketAddr>,
-    /// How many ask it, and itself.
+struct Exchange {
+    /// Where the seed can be polled.
+    #[serde(rename = "own")]
+    peer_address: Option<SocketAddr>,
+    /// The number of instances that poll the seed, plus the seed itself.
     count: u32,
     /// Holders of prompts.
-    held: Vec<PrefixHolder>,
+    #[serde(rename = "held")]
+    holders: Vec<PrefixHolder>,
 }
 
-/// Tells the other instances that are asked how many ask this one and which holders of
-/// prompts it heard of, for as long as the process runs. Each instance asks one of them, so without
-/// this it would hear only of those that ask the same one.
+/// Sends the other seeds, for as long as the process runs, the number of
+/// instances that poll this one and the prompt holders received from them. Each
+/// instance polls only one seed, so without this exchange it would learn only
+/// from instances that poll the same one.
 ///
-/// Loads don't go this way: over two instances they are two seconds old, count as
-/// known all the same, and were not shown to be worth anything.
-pub(in crate::control) async fn exchange(shared: Arc<Shared>) {
+/// Loads are not exchanged this way. After two hops they are two seconds old
+/// but would count as known all the same, and sending them showed no benefit.
+pub(in crate::control) async fn run_exchange(shared: Arc<Shared>) {
     loop {
-        tokio::time::sleep(EXCHANGE).await;
+        tokio::time::sleep(EXCHANGE_INTERVAL).await;
         let now = boot_time();
-        let heard = Heard {
-            own: shared.settings.listen.peers,
+        let exchange = Exchange {
+            peer_address: shared.settings.listen.peers,
             count: shared.pollers().own_count(now),
-            held: shared.directory().take_unsent(now),
+            holders: shared.directory().take_unsent(now),
         };
-        for holding in &heard.held {
-            shared.update_replica(false, |replica| replica.add_holder(*holding, now));
+        for holder in &exchange.holders {
+            shared.update_replica(false, |replica| replica.add_holder(*holder, now));
         }
-        if shared.uptime() >= STARTS {
+        if shared.uptime() >= STARTUP_PERIOD {
             let count = shared.pollers().count(now);
             shared.set_instance_count(count, now);
         }
         for peer in shared.settings.other_seeds() {
-            if let Err(refusal) = post(&shared, peer, HEARD_PATH, &heard).await {
-                log::debug!(peer:% = peer, cause:% = refusal; "what was heard is not passed on");
+            if let Err(error) = post(&shared, peer, EXCHANGE_PATH, &exchange).await {
+                log::debug!(peer:% = peer, cause:% = error; "prompt holders not sent to the seed");
             }
         }
     }
 }
 
-// Takes in what another instance saw, for all that ask this one.
-pub(super) fn learn(shared: &Shared, body: &[u8], now: Moment) -> Response<Body> {
-    let Ok(sightings) = rmp_serde::from_slice::<Vec<ForwardedEvidence>>(body) else {
-        return status(StatusCode::BAD_REQUEST);
+// Applies evidence from another instance and publishes it to all instances that
+// poll this one.
+pub(super) fn handle_evidence(shared: &Shared, body: &[u8], now: Moment) -> Response<Body> {
+    let Ok(messages) = rmp_serde::from_slice::<Vec<ForwardedEvidence>>(body) else {
+        return status_response(StatusCode::BAD_REQUEST);
     };
-    for sighting in sightings {
-        let evidence = sighting.to_evidence(now);
+    for message in messages {
+        let evidence = message.to_evidence(now);
         if shared.crash_tracker().record(evidence) {
             shared.update_replica(true, |replica| replica.add_evidence(evidence));
         }
     }
-    status(StatusCode::OK)
+    status_response(StatusCode::OK)
 }
 
-/// Passes on what this instance saw of requests that may crash endpoints: to
-/// those that are asked, of which each tells it to whoever asks.
+/// Forwards the evidence that this instance has collected on requests that may
+/// crash endpoints to the seeds, each of which sends it to the instances that
+/// poll it.
 pub(crate) fn forward_evidence(shared: &Arc<Shared>) {
     if shared.crash_tracker().begin_forwarding() {
         let shared = Arc::clone(shared);
         tokio::spawn(async move {
-            tokio::time::sleep(GATHER).await;
-            let seen = shared.crash_tracker().take_unforwarded();
-            for evidence in &seen {
-                shared.update_replica(true, |replica| replica.add_evidence(*evidence));
+            tokio::time::sleep(EVIDENCE_BATCH_DELAY).await;
+            let evidence = shared.crash_tracker().take_unforwarded();
+            for one in &evidence {
+                shared.update_replica(true, |replica| replica.add_evidence(*one));
             }
             for peer in shared.settings.other_seeds() {
-                if let Err(refusal) = hand(&shared, peer, &seen).await {
-                    log::info!(peer:% = peer, cause:% = refusal; "evidence not passed on");
+                if let Err(error) = send_evidence(&shared, peer, &evidence).await {
+                    log::info!(peer:% = peer, cause:% = error; "evidence not forwarded");
                 }
             }
         });
     }
 }
 
-async fn hand(shared: &Shared, peer: SocketAddr, seen: &[Evidence]) -> Result<(), Refusal> {
+async fn send_evidence(
+    shared: &Shared,
+    peer: SocketAddr,
+    evidence: &[Evidence],
+) -> Result<(), PeerError> {
     let now = boot_time();
-    let sightings: Vec<ForwardedEvidence> = seen
+    let messages: Vec<ForwardedEvidence> = evidence
         .iter()
         .map(|one| ForwardedEvidence::from_evidence(one, now))
         .collect();
-    post(shared, peer, EVIDENCE_PATH, &sightings).await
+    post(shared, peer, EVIDENCE_PATH, &messages).await
 }
 
 async fn post<T: Serialize>(
@@ -137,26 +148,27 @@
     peer: SocketAddr,
     path: &str,
     message: &T,
-) -> Result<(), Refusal> {
-    let body = rmp_serde::to_vec(message).map_err(|error| Refusal::Garbled(error.to_string()))?;
+) -> Result<(), PeerError> {
+    let body =
+        rmp_serde::to_vec(message).map_err(|error| PeerError::Malformed(error.to_string()))?;
     let request = Request::post(path)
-        .body(whole(body))
-        .map_err(|error| Refusal::Garbled(error.to_string()))?;
+        .body(full_body(body))
+        .map_err(|error| PeerError::Malformed(error.to_string()))?;
     let response = shared
         .connector
-        .send(peer, request, PATIENCE)
+        .send(peer, request, ANSWER_TIMEOUT)
         .await
-        .map_err(|error| Refusal::Unreachable(error.to_string()))?;
+        .map_err(|error| PeerError::Unreachable(error.to_string()))?;
     match response.status() {
         StatusCode::OK => Ok(()),
-        status => Err(Refusal::Status(status)),
+        status => Err(PeerError::Status(status)),
     }
 }
 
-// Takes in loads that another instance passed on at `then`.
-pub(super) fn take(shared: &Shared, loads: &[Load], then: Moment) {
-    let mut book = shared.endpoint_stats();
+// Records loads that another instance sent at `sent_at`.
+pub(super) fn record_loads(shared: &Shared, loads: &[Load], sent_at: Moment) {
+    let mut stats = shared.endpoint_stats();
     for load in loads {
-        book.record_peer_load(load.endpoint, load.requests, since(then, load.age));
+        stats.record_peer_load(load.endpoint, load.requests, since(sent_at, load.age));
     }
 }
--- a/crates/direct/src/control/peers/peer.rs
+++ b/crates/direct/src/control/peers/peer.rs
@@ -1,4 +1,4 @@
-//! One peer that is asked: questions, answers, and why it is not followed.
+//! Polls a single peer: requests, answers and errors.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,9 +11,9 @@
 use http_body_util::{BodyExt, Limited};
 use tokio::time::timeout;
 
-use super::age::{PATIENCE, oldest};
-use super::passing::take;
-use super::{MESSAGE_BYTES, PATH, whole};
+use super::age::{ANSWER_TIMEOUT, max_age};
+use super::passing::record_loads;
+use super::{MAX_MESSAGE_BYTES, STATE_PATH, full_body};
 use crate::board::{Update, UpdateRequest};
 use crate::evacuation::Evacuation;
 use crate::policy::Content;
@@ -22,128 +22,131 @@
 use crate::source::Position;
 use crate::suspects::Evidence;
 
-/// How often one instance is asked until it tells something that is not older
-/// than what is known here. Both read the log at moments of their own.
-const TRIES: u32 = 4;
+/// How many times an instance is polled until its state is not older than the
+/// state known here. Both read the log at times of their own.
+const MAX_FIRST_POLLS: u32 = 4;
 
-/// What a peer told, in this instance's time.
-pub(in crate::control) struct News {
-    /// The peer's life.
-    pub(in crate::control) life: u64,
+/// An update from a peer, with ages converted to this instance's clock.
+pub(in crate::control) struct PeerUpdate {
+    /// The peer's incarnation.
+    pub(in crate::control) incarnation: u64,
     /// The log's era, as far as the peer knows.
     pub(in crate::control) era: Era,
-    /// When it was heard that the log came back from a copy, if it was.
-    pub(in crate::control) restored: Option<Moment>,
+    /// When the peer learned that the log was restored from a copy, if it was.
+    pub(in crate::control) restored_at: Option<Moment>,
     /// The version that the peer has confirmed.
     pub(in crate::control) version: Version,
     pub(in crate::control) policy: Option<Content>,
     pub(in crate::control) evacuation: Option<Evacuation>,
-    /// When the read was sent that confirmed the configuration.
-    pub(in crate::control) policy_read: Moment,
-    /// When the read was sent that confirmed the list of endpoints.
-    pub(in crate::control) endpoints_read: Moment,
-    /// When the peer made its answer, at the earliest.
-    pub(in crate::control) made: Moment,
-    pub(in crate::control) whole: bool,
+    /// When the read that confirmed the configuration was sent.
+    pub(in crate::control) policy_confirmed_at: Moment,
+    /// When the read that confirmed the list of endpoints was sent.
+    pub(in crate::control) endpoints_confirmed_at: Moment,
+    /// The earliest time at which the peer can have built its answer.
+    pub(in crate::control) built_at: Moment,
+    pub(in crate::control) full: bool,
     pub(in crate::control) set: Vec<Registration>,
-    pub(in crate::control) lapsed: Vec<String>,
-    pub(in crate::control) gone: Vec<String>,
+    pub(in crate::control) expired: Vec<String>,
+    pub(in crate::control) removed: Vec<String>,
     pub(in crate::control) evidence: Vec<Evidence>,
 }
 
 /// Why a peer is not followed.
 #[derive(Debug, displaydoc::Display)]
-pub(super) enum Refusal {
-    /// it can't be asked ({0})
+pub(super) enum PeerError {
+    /// the peer can't be reached ({0})
     Unreachable(String),
-    /// it answered nothing in time
-    Silent,
-    /// it has status {0}
+    /// the peer did not answer in time
+    Timeout,
+    /// the peer answered with status {0}
     Status(StatusCode),
-    /// its answer makes no sense ({0})
-    Garbled(String),
-    /// it has not read the log for a while
+    /// a message to or from the peer is malformed ({0}); check that both run the same version
+    Malformed(String),
+    /// the peer has not read the log recently
     Stale,
-    /// it knows less than is known here
-    Older,
+    /// the peer's list of endpoints is older than the one known here
+    Behind,
 }
 
-/// An instance that is asked.
+/// An instance that is polled.
 pub(super) struct Peer<'a> {
     connector: &'a Connector,
     address: SocketAddr,
     shared: &'a Shared,
-    told: Known,
+    known: KnownState,
 }
 
-/// What a peer has told so far, so that it tells only what came since.
+/// The state that a peer has already sent, so that it sends only later changes.
 #[derive(Debug, Default)]
-pub(super) struct Known {
-    pub(super) life: u64,
-    pub(super) stamp: u64,
+pub(super) struct KnownState {
+    pub(super) incarnation: u64,
+    pub(super) revision: u64,
     version: Version,
     evacuation: Position,
 }
 
-impl Known {
-    pub(super) fn take(&mut self, told: &Update) {
-        (self.life, self.stamp) = (told.incarnation, told.revision);
-        if let Some(evacuation) = &told.evacuation {
+impl KnownState {
+    pub(super) fn record(&mut self, update: &Update) {
+        (self.incarnation, self.revision) = (update.incarnation, update.revision);
+        if let Some(evacuation) = &update.evacuation {
             self.evacuation = evacuation.as_of;
         }
-        if let Some(policy) = &told.policy {
+        if let Some(policy) = &update.policy {
             self.version = policy.version;
         }
     }
 
-    // The version to ask with, where this one is in force. What was just told may not
-    // be yet. Asked for by what is, the next answer held a long configuration once
-    // more, from an instance that a hundred others ask at the same time.
+    // Returns the version to poll with, given the one in force. The version
+    // last received may not be in force yet. If polls named the one in force,
+    // the peer would send a long configuration again, to each of a hundred
+    // instances that poll it at the same time.
     pub(super) fn version(&self, in_force: Version) -> Version {
         in_force.max(self.version)
     }
 }
 
-/// An answer, and whom else to ask.
-pub(super) struct Answered {
-    pub(super) news: News,
+/// A peer's update, and the standbys it names.
+pub(super) struct PeerAnswer {
+    pub(super) update: PeerUpdate,
     pub(super) standbys: Vec<SocketAddr>,
 }
 
 impl<'a> Peer<'a> {
-    /// Returns one that has told nothing yet.
+    /// Returns a peer that has sent nothing yet.
     pub(super) fn new(connector: &'a Connector, address: SocketAddr, shared: &'a Shared) -> Self {
         Self {
             connector,
             address,
             shared,
-            told: Known::default(),
+            known: KnownState::default(),
         }
     }
 
-    /// Asks until the peer tells something that is not older than what is
-    /// known here; one that knows nothing yet itself may wait this long for it.
-    pub(super) async fn begin(&mut self, wait: Duration) -> Result<Answered, Refusal> {
-        for _ in 0..TRIES {
-            let told = self.question(wait).await?;
+    /// Polls until the peer's state is not older than the state known here. A
+    /// peer that has no state yet itself may wait up to `wait` for it.
+    pub(super) async fn first_poll(&mut self, wait: Duration) -> Result<PeerAnswer, PeerError> {
+        for _ in 0..MAX_FIRST_POLLS {
+            let answer = self.poll(wait).await?;
             let known = self
                 .shared
                 .update_replica(false, |replica| replica.endpoints_confirmed_at());
-            if Some(told.news.endpoints_read) >= known {
-                return Ok(told);
+            if Some(answer.update.endpoints_confirmed_at) >= known {
+                return Ok(answer);
             }
-            // It has to tell all again: this was not taken.
-            self.told = Known::default();
-            tokio::time::sleep(PATIENCE).await;
+            // The answer was not accepted, so the peer has to send everything
+            // again.
+            self.known = KnownState::default();
+            tokio::time::sleep(ANSWER_TIMEOUT).await;
         }
-        Err(Refusal::Older)
+        Err(PeerError::Behind)
     }
 
-    /// Asks what came since; waits this long for it.
-    pub(super) async fn question(&mut self, wait: Duration) -> Result<Answered, Refusal> {
+    /// Requests the changes since the last answer; the peer waits up to `wait`
+    /// for any.
+    pub(super) async fn poll(&mut self, wait: Duration) -> Result<PeerAnswer, PeerError> {
         let view = self.shared.view();
         let in_force = view.policy.as_ref().map_or(0, |policy| policy.version());
-        let digest = if self.told.life == 0 {
+        let digest = if self.known.incarnation == 0 {
             self.shared
                 .update_replica(false, |replica| replica.endpoint_digest())
         } else {
@@ -152,93 +155,102 @@
         let evacuation = self
             .shared
             .update_replica(false, |replica| replica.evacuation_position());
-        let question = UpdateRequest {
-            incarnation: self.told.life,
-            revision: self.told.stamp,
+        let request = UpdateRequest {
+            incarnation: self.known.incarnation,
+            revision: self.known.revision,
             digest,
             peer_address: self.shared.settings.listen.peers,
-            version: self.told.version(in_force),
-            evacuation: evacuation.max(self.told.evacuation),
+            version: self.known.version(in_force),
+            evacuation: evacuation.max(self.known.evacuation),
             wait,
             loads: self.shared.endpoint_stats().take_new_loads(boot_time()),
             holders: self.shared.directory().take_unsent(boot_time()),
         };
-        let asked = boot_time();
-        let mut told = timeout(wait + PATIENCE, self.send(&question))
+        let sent_at = boot_time();
+        let mut update = timeout(wait + ANSWER_TIMEOUT, self.send(&request))
             .await
-            .map_err(|_elapsed| Refusal::Silent)??;
-        self.told.take(&told);
-        let made = asked + told.waited;
-        take(self.shared, &told.loads, made);
-        if let Some(instances) = told.instances {
-            self.shared.set_instance_count(instances, made);
+            .map_err(|_elapsed| PeerError::Timeout)??;
+        self.known.record(&update);
+        let built_at = sent_at + update.waited;
+        record_loads(self.shared, &update.loads, built_at);
+        if let Some(instances) = update.instances {
+            self.shared.set_instance_count(instances, built_at);
         }
-        for holding in &told.holders {
-            self.shared.directory().apply_remote(holding, made);
+        for holder in &update.holders {
+            self.shared.directory().apply_remote(holder, built_at);
         }
-        Ok(Answered {
-            standbys: std::mem::take(&mut told.standbys),
-            news: news(told, asked, oldest(self.shared.settings.max_update_delay()))?,
+        Ok(PeerAnswer {
+            standbys: std::mem::take(&mut update.standbys),
+            update: peer_update(
+                update,
+                sent_at,
+                max_age(self.shared.settings.max_update_delay()),
+            )?,
         })
     }
 
-    async fn send(&self, question: &UpdateRequest) -> Result<Update, Refusal> {
+    async fn send(&self, request: &UpdateRequest) -> Result<Update, PeerError> {
         let body =
-            rmp_serde::to_vec(question).map_err(|error| Refusal::Garbled(error.to_string()))?;
-        let request = Request::post(PATH)
-            .body(whole(body))
-            .map_err(|error| Refusal::Garbled(error.to_string()))?;
-        let wait = question.wait + PATIENCE;
+            rmp_serde::to_vec(request).map_err(|error| PeerError::Malformed(error.to_string()))?;
+        let http_request = Request::post(STATE_PATH)
+            .body(full_body(body))
+            .map_err(|error| PeerError::Malformed(error.to_string()))?;
+        let wait = request.wait + ANSWER_TIMEOUT;
         let response = self
             .connector
-            .send(self.address, request, wait)
+            .send(self.address, http_request, wait)
             .await
-            .map_err(|error| Refusal::Unreachable(error.to_string()))?;
+            .map_err(|error| PeerError::Unreachable(error.to_string()))?;
         if response.status() != StatusCode::OK {
-            return Err(Refusal::Status(response.status()));
+            return Err(PeerError::Status(response.status()));
         }
-        let bytes = Limited::new(response.into_body(), MESSAGE_BYTES)
+        let bytes = Limited::new(response.into_body(), MAX_MESSAGE_BYTES)
             .collect()
             .await
-            .map_err(|error| Refusal::Unreachable(error.to_string()))?
+            .map_err(|error| PeerError::Unreachable(error.to_string()))?
             .to_bytes();
-        rmp_serde::from_slice(&bytes).map_err(|error| Refusal::Garbled(error.to_string()))
+        rmp_serde::from_slice(&bytes).map_err(|error| PeerError::Malformed(error.to_string()))
     }
 }
 
-/// Returns what an answer says, in this instance's time.
+/// Converts an update to this instance's clock.
 ///
 /// # Errors
 ///
-/// Returns [`Refusal::Stale`] if it is older than `oldest`.
-pub(super) fn news(told: Update, asked: Moment, oldest: Duration) -> Result<News, Refusal> {
-    // The peer made its answer no sooner than it had waited after it was
-    // asked. Counted from there, its ages never make anything look younger.
-    let made = asked + told.waited;
-    let (Some(policy_age), Some(endpoints_age)) = (told.policy_age, told.endpoints_age) else {
-        return Err(Refusal::Stale);
+/// Returns [`PeerError::Stale`] if the update is older than `age_limit`.
+pub(super) fn peer_update(
+    update: Update,
+    sent_at: Moment,
+    age_limit: Duration,
+) -> Result<PeerUpdate, PeerError> {
+    // The peer built its answer no earlier than `waited` after the request was
+    // sent. With ages counted from then, no state ever looks younger than it
+    // is.
+    let built_at = sent_at + update.waited;
+    let (Some(policy_age), Some(endpoints_age)) = (update.policy_age, update.endpoints_age) else {
+        return Err(PeerError::Stale);
     };
-    if policy_age.max(endpoints_age) > oldest {
-        return Err(Refusal::Stale);
+    if policy_age.max(endpoints_age) > age_limit {
+        return Err(PeerError::Stale);
     }
-    Ok(News {
-        life: told.incarnation,
-        era: told.era,
-        restored: told.restored.map(|age| since(made, age)),
-        made,
-        version: told.version,
-        policy: told.policy,
-        evacuation: told.evacuation,
-        policy_read: since(made, policy_age),
-        endpoints_read: since(made, endpoints_age),
-        whole: told.full,
-        set: told.set,
-        lapsed: told.expired,
-        gone: told.removed,
-        evidence: told
+    Ok(PeerUpdate {
+        incarnation: update.incarnation,
+        era: update.era,
+        restored_at: update.restored.map(|age| since(built_at, age)),
+        built_at,
+        version: update.version,
+        policy: update.policy,
+        evacuation: update.evacuation,
+        policy_confirmed_at: since(built_at, policy_age),
+        endpoints_confirmed_at: since(built_at, endpoints_age),
+        full: update.full,
+        set: update.set,
+        expired: update.expired,
+        removed: update.removed,
+        evidence: update
             .evidence
             .iter()
-            .map(|sighting| sighting.to_evidence(made))
+            .map(|evidence| evidence.to_evidence(built_at))
             .collect(),
     })
 }
