--- a/crates/direct/src/cli.rs
+++ b/crates/direct/src/cli.rs
@@ -5,25 +5,27 @@
 
 use clap::{Arg, ArgAction, Command, value_parser};
 
-/// What the command line asks for.
+/// The action that the command line requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Run an instance with these settings.
     Run(PathBuf),
-    /// Check these settings and end.
+    /// Check these settings and exit.
     Check(PathBuf),
-    /// Print this text and end with this exit code.
+    /// Print this text and exit with this code.
     Print(String, u8),
 }
 
-/// Exit code after a graceful shutdown, or a check without mistakes.
+/// Exit code after a graceful shutdown, or after a check that found no
+/// mistakes.
 pub const EXIT_DONE: u8 = 0;
-/// Exit code when the instance can't start: a port is taken, say.
+/// Exit code when the instance can't start, for instance because a port is in
+/// use.
 pub const EXIT_START: u8 = 1;
-/// Exit code for a wrong command line or settings with mistakes.
+/// Exit code for a wrong command line, or for settings with mistakes.
 pub const EXIT_USAGE: u8 = 2;
 
-const AFTER: &str = "\
+const AFTER_HELP: &str = "\
 Exit codes:
   0  ended by a graceful shutdown; or --check found no mistake
   1  could not start: a port is taken, say
@@ -58,8 +60,8 @@
   threads: 1                       # that carry traffic
   log_level: info";
 
-/// Reads the command line of the program called `name`. The settings file is
-/// that of `--settings`, else the one that the environment names.
+/// Parses the command line of the program called `name`. The settings file is
+/// the one given with `--settings`, or else the one that the environment names.
 #[must_use]
 pub fn parse(
     name: &'static str,
@@ -77,8 +79,8 @@
             return Action::Print(error.render().to_string(), code);
         }
     };
-    let named = matches.get_one::<PathBuf>("settings").cloned();
-    let Some(settings) = named.or(from_environment) else {
+    let from_flag = matches.get_one::<PathBuf>("settings").cloned();
+    let Some(settings) = from_flag.or(from_environment) else {
         let text = format!("{name}: no settings; name a file with --settings\n");
         return Action::Print(text, EXIT_USAGE);
     };
@@ -93,7 +95,7 @@
     Command::new(name)
         .version(env!("CARGO_PKG_VERSION"))
         .about("Routes callers' requests to endpoints under a configuration followed from a log")
-        .after_long_help(AFTER)
+        .after_long_help(AFTER_HELP)
         .arg(
             Arg::new("settings")
                 .long("settings")
--- a/crates/direct/src/cli/tests.rs
+++ b/crates/direct/src/cli/tests.rs
@@ -3,7 +3,7 @@
 
 use super::{Action, EXIT_DONE, EXIT_USAGE, parse};
 
-fn next(args: &[&str], from_environment: Option<&str>) -> Action {
+fn action(args: &[&str], from_environment: Option<&str>) -> Action {
     let args = std::iter::once("instance").chain(args.iter().copied());
     parse(
         "instance",
@@ -13,20 +13,20 @@
 }
 
 #[test]
-fn the_flag_goes_before_the_environment() {
+fn the_flag_overrides_the_environment() {
     assert_eq!(
-        next(&["--settings", "a.yaml"], Some("b.yaml")),
+        action(&["--settings", "a.yaml"], Some("b.yaml")),
         Action::Run("a.yaml".into())
     );
     assert_eq!(
-        next(&["--check"], Some("b.yaml")),
+        action(&["--check"], Some("b.yaml")),
         Action::Check("b.yaml".into())
     );
 }
 
 #[test]
-fn without_settings_the_remedy_is_told() {
-    let Action::Print(text, code) = next(&[], None) else {
+fn missing_settings_are_reported_with_a_remedy() {
+    let Action::Print(text, code) = action(&[], None) else {
         panic!("a text was expected");
     };
     assert_eq!(code, EXIT_USAGE);
@@ -34,8 +34,8 @@
 }
 
 #[test]
-fn help_tells_the_settings() {
-    let Action::Print(text, code) = next(&["--help"], None) else {
+fn help_lists_the_settings() {
+    let Action::Print(text, code) = action(&["--help"], None) else {
         panic!("a text was expected");
     };
     assert_eq!(code, EXIT_DONE);
--- a/crates/direct/src/feed.rs
+++ b/crates/direct/src/feed.rs
@@ -1,19 +1,20 @@
-//! Follows one topic of the log: what to ask next, and what an answer changes.
+//! Follows one topic of the log: determines the next call and applies its
+//! answer.
 //!
-//! A topic is listed first and then read on from the end that the *first* page
-//! named, since pages are no snapshot: what changed while they were read comes
-//! again as records. If the records to read on from have been deleted, the
-//! topic is listed anew, and a key that is missing from the whole list is
-//! gone: the record that removed it may be among the deleted ones.
+//! A topic is listed first and then read from the end offset named by the
+//! *first* page. Pages are not a snapshot, so changes made while they were read
+//! arrive again as records. If the records to read have been deleted, the topic
+//! is listed again, and a key that is missing from the complete list counts as
+//! removed: the record that removed it may be among the deleted ones.
 //!
-//! A record never undoes a newer one of the same key, whatever order pages and
-//! records come in.
+//! A record never overrides a newer one of the same key, in whatever order
+//! pages and records arrive.
 //!
-//! Offsets say which record is the newer one within an era of the log alone. A log
-//! that comes back from a copy gives them out again, so in another era the topic is
-//! listed anew, and no offset of an earlier one is compared with what it says. What
-//! the copy holds may be older than what was known: that has to be told by what
-//! records say, not by where they are.
+//! Offsets order records only within one era of the log. A log restored from a
+//! copy assigns the same offsets again, so the topic is listed again in a later
+//! era, without comparing any offset of an earlier one. The copy may hold older
+//! state than was known before. That has to be detected from the content of the
+//! records, not from their offsets.
 
 use std::collections::BTreeMap;
 
@@ -21,46 +22,48 @@
 
 use crate::source::{Page, Record, Reply, Tail, Value};
 
-/// What to ask the log.
+/// The next call to the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Query {
-    /// List the keys after the given one.
+    /// Lists the keys after the given one.
     List(Option<String>),
-    /// Read on from an offset.
+    /// Reads from an offset.
     Read(Offset),
 }
 
-/// What an answer changed.
+/// A change caused by an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change<T> {
-    /// A key has a new value.
+    /// The key has a new value.
     Set(String, T),
-    /// A key is gone, or its value can't be used.
+    /// The key was removed, or its value can't be used.
     Removed(String),
-    /// A key's value can't be read, and why; [`Change::Removed`] follows.
+    /// The key's value can't be read, for the given reason; [`Change::Removed`]
+    /// follows.
     Unreadable(String, String),
 }
 
-/// How far one topic has been followed.
+/// The state of following one topic.
 #[derive(Debug)]
 pub struct Feed {
     // The offset of the record that each key's value came from; `None` for a
-    // key that somebody else told of, or that was read in an earlier era.
-    known: BTreeMap<String, Option<Offset>>,
+    // key learned from elsewhere or read in an earlier era.
+    known_offsets: BTreeMap<String, Option<Offset>>,
     state: State,
-    // 0 until an answer names one: a log that names none has not come back yet.
+    // 0 until an answer names an era. A log that names none has never been
+    // restored.
     era: Era,
-    // The offset up to which the topic was read.
-    reached: Offset,
-    // Records that were not taken since somebody asked.
-    ignored: u64,
+    // The offset up to which the topic was read in this era.
+    read_offset: Offset,
+    // The records ignored since `take_ignored_count` was last called.
+    ignored_count: u64,
 }
 
 #[derive(Debug)]
 enum State {
     Listing {
         after: Option<String>,
-        // The end that the first page named.
+        // The end offset that the first page named.
         end: Option<Offset>,
         seen: BTreeMap<String, Offset>,
     },
@@ -86,20 +89,20 @@
 }
 
 impl Feed {
-    /// Returns a feed of a topic of which these keys are known from elsewhere.
-    /// Those that the list doesn't hold any more are said to be removed.
+    /// Returns a feed of a topic whose keys `keys` are known from elsewhere.
+    /// Those that the list doesn't contain are reported as removed.
     #[must_use]
     pub fn with_known_keys(keys: impl IntoIterator<Item = String>) -> Self {
         Self {
-            known: keys.into_iter().map(|key| (key, None)).collect(),
+            known_offsets: keys.into_iter().map(|key| (key, None)).collect(),
             state: State::listing(),
             era: 0,
-            reached: 0,
-            ignored: 0,
+            read_offset: 0,
+            ignored_count: 0,
         }
     }
 
-    /// Returns what to ask.
+    /// Returns the next call to make.
     #[must_use]
     pub fn next_query(&self) -> Query {
         match &self.state {
@@ -108,14 +111,14 @@
         }
     }
 
-    /// Returns whether the topic has been listed whole.
+    /// Returns whether the topic has been listed completely.
     #[must_use]
     pub const fn is_listed(&self) -> bool {
         matches!(self.state, State::Reading { .. })
     }
 
-    /// Returns the offset up to which all records are taken in; `None` while the
-    /// topic is listed.
+    /// Returns the offset up to which all records were applied, or `None` while
+    /// the topic is being listed.
     #[must_use]
     pub const fn position(&self) -> Option<Offset> {
         match self.state {
@@ -124,65 +127,66 @@
         }
     }
 
-    /// Returns the era of the log, as last named; 0 if it never was.
+    /// Returns the last era that the log named, or 0 if it named none.
     #[must_use]
     pub const fn era(&self) -> Era {
         self.era
     }
 
-    /// Returns the offset up to which the topic was read in this era, if it was.
+    /// Returns the offset up to which the topic was read in this era, or 0.
     #[must_use]
     pub const fn read_offset(&self) -> Offset {
-        self.reached
+        self.read_offset
     }
 
-    /// Returns whether an answer comes from an earlier era than one that was taken in.
+    /// Returns whether an answer comes from an earlier era than one that was
+    /// applied.
     #[must_use]
     pub fn is_outdated(&self, era: Option<Era>) -> bool {
         era.is_some_and(|era| era < self.era)
     }
 
-    /// Returns how many records were not taken, as older than what is known of their
-    /// key, since this was last asked.
+    /// Returns how many records were ignored, as older than the known state of
+    /// their key, since the last call.
     pub const fn take_ignored_count(&mut self) -> u64 {
-        std::mem::replace(&mut self.ignored, 0)
+        std::mem::replace(&mut self.ignored_count, 0)
     }
 
-    /// Takes in a page. One that was not asked for is ignored, and so is one of an
-    /// earlier era or, in a later one, any but the first.
+    /// Applies a page of the list. An unexpected page is ignored, and so is a
+    /// page of an earlier era or, in a later era, any page but the first.
     pub fn apply_page<T>(&mut self, reply: Reply<Page<T>>) -> Vec<Change<T>> {
-        let began = matches!(self.state, State::Listing { after: Some(_), .. });
-        if self.is_outdated(reply.era) || (self.enter(reply.era) && began) {
+        let continues = matches!(self.state, State::Listing { after: Some(_), .. });
+        if self.is_outdated(reply.era) || (self.enter_era(reply.era) && continues) {
             return Vec::new();
         }
         let page = reply.body;
-        if !began && page.end < self.reached {
-            self.begin_anew();
+        if !continues && page.end < self.read_offset {
+            self.restart_listing();
         }
         let State::Listing { after, end, seen } = &mut self.state else {
             return Vec::new();
         };
-        let first = *end.get_or_insert(page.end);
+        let list_start = *end.get_or_insert(page.end);
         seen.extend(
             page.records
                 .iter()
                 .map(|record| (record.key.clone(), record.offset)),
         );
-        let whole = page.next.is_none();
+        let complete = page.next.is_none();
         *after = page.next;
-        let mut changes = self.fold(page.records);
-        if whole {
-            changes.extend(self.missing(first));
-            self.reached = first;
-            self.state = State::Reading { from: first };
+        let mut changes = self.apply_records(page.records);
+        if complete {
+            changes.extend(self.remove_missing(list_start));
+            self.read_offset = list_start;
+            self.state = State::Reading { from: list_start };
         }
         changes
     }
 
-    /// Takes in what followed an offset. An answer of another era says nothing: what
-    /// was asked for had its place in this one.
+    /// Applies the records that follow an offset. An answer of another era is
+    /// not applied, because the requested offset belongs to this era.
     pub fn apply_tail<T>(&mut self, reply: Reply<Tail<T>>) -> Vec<Change<T>> {
-        if self.is_outdated(reply.era) || self.enter(reply.era) {
+        if self.is_outdated(reply.era) || self.enter_era(reply.era) {
             return Vec::new();
         }
         let State::Reading { from } = &mut self.state else {
@@ -193,77 +197,82 @@
                 self.state = State::listing();
                 Vec::new()
             }
-            // Also a log that names no era shows so that it lost what was read.
+            // A log that names no era reveals in this way that it lost records.
             Tail::Records { end, .. } if end < *from => {
-                self.begin_anew();
+                self.restart_listing();
                 Vec::new()
             }
             Tail::Records { records, next, .. } => {
                 *from = next.max(*from);
-                self.reached = *from;
-                self.fold(records)
+                self.read_offset = *from;
+                self.apply_records(records)
             }
         }
     }
 
-    // Takes in the era of an answer; returns whether it is a later one, in which the
-    // topic has to be listed anew.
-    fn enter(&mut self, era: Option<Era>) -> bool {
+    // Records the era of an answer. Returns whether it is a later one, in which
+    // the topic has to be listed again.
+    fn enter_era(&mut self, era: Option<Era>) -> bool {
         let Some(era) = era.filter(|era| *era > self.era) else {
             return false;
         };
         self.era = era;
-        self.begin_anew();
+        self.restart_listing();
         true
     }
 
-    // Begins with a list, against which no offset known so far counts.
-    fn begin_anew(&mut self) {
-        self.known.values_mut().for_each(|offset| *offset = None);
-        self.reached = 0;
+    // Starts listing again and invalidates all known offsets.
+    fn restart_listing(&mut self) {
+        self.known_offsets
+            .values_mut()
+            .for_each(|offset| *offset = None);
+        self.read_offset = 0;
         self.state = State::listing();
     }
 
-    // Keys that the whole list didn't hold. One whose record is newer than the
-    // list's beginning was set while the list was read.
-    fn missing<T>(&mut self, first: Offset) -> Vec<Change<T>> {
+    // Removes the keys that the complete list didn't contain. A key whose
+    // record is newer than the start of the list was set while the list was
+    // read.
+    fn remove_missing<T>(&mut self, list_start: Offset) -> Vec<Change<T>> {
         let State::Listing { seen, .. } = &self.state else {
             return Vec::new();
         };
-        let gone: Vec<String> = self
-            .known
+        let removed: Vec<String> = self
+            .known_offsets
             .iter()
-            .filter(|(key, offset)| !seen.contains_key(*key) && **offset < Some(first))
+            .filter(|(key, offset)| !seen.contains_key(*key) && **offset < Some(list_start))
             .map(|(key, _)| key.clone())
             .collect();
-        for key in &gone {
-            self.known.remove(key);
+        for key in &removed {
+            self.known_offsets.remove(key);
         }
-        gone.into_iter().map(Change::Removed).collect()
+        removed.into_iter().map(Change::Removed).collect()
     }
 
-    fn fold<T>(&mut self, records: Vec<Record<T>>) -> Vec<Change<T>> {
+    fn apply_records<T>(&mut self, records: Vec<Record<T>>) -> Vec<Change<T>> {
         let mut changes = Vec::new();
         for record in records {
-            let older = self
-                .known
+            let is_older = self
+                .known_offsets
                 .get(&record.key)
-                .is_some_and(|known| *known >= Some(record.offset));
-            if older {
-                self.ignored += 1;
+                .is_some_and(|offset| *offset >= Some(record.offset));
+            if is_older {
+                self.ignored_count += 1;
                 continue;
             }
             match record.value {
                 Value::Set(value) => {
-                    self.known.insert(record.key.clone(), Some(record.offset));
+                    self.known_offsets
+                        .insert(record.key.clone(), Some(record.offset));
                     changes.push(Change::Set(record.key, value));
                 }
                 Value::Removed => {
-                    self.known.remove(&record.key);
+                    self.known_offsets.remove(&record.key);
                     changes.push(Change::Removed(record.key));
                 }
                 Value::Unreadable(cause) => {
-                    self.known.insert(record.key.clone(), Some(record.offset));
+                    self.known_offsets
+                        .insert(record.key.clone(), Some(record.offset));
                     changes.push(Change::Unreadable(record.key.clone(), cause));
                     changes.push(Change::Removed(record.key));
                 }
--- a/crates/direct/src/feed/tests.rs
+++ b/crates/direct/src/feed/tests.rs
@@ -41,11 +41,11 @@
     Change::Removed(key.to_owned())
 }
 
-/// The list came in two pages, and a key of the first changed before the
-/// second was read. Reading on from the second page's end would miss it for
-/// ever, and callers would meet an endpoint that had long left.
+/// The list has two pages, and a key of the first one changes before the second
+/// is read. Reading from the end that the second page names would miss this
+/// change for good, and callers would be sent to an endpoint that has left.
 #[test]
-fn reading_goes_on_from_the_end_of_the_first_page() {
+fn reading_continues_from_the_end_of_the_first_page() {
     let mut feed = Feed::default();
     feed.apply_page(page(vec![set("a", 3)], true, 5));
     assert_eq!(feed.next_query(), Query::List(Some("a".to_owned())));
@@ -55,10 +55,10 @@
     assert_eq!(changes, [gone("a")]);
 }
 
-/// The log forgot its history while an endpoint left; the record that removed
-/// it was among what was forgotten. Only the whole list shows that it is gone.
+/// The log deletes old records while an endpoint leaves, among them the one
+/// that removed it. Only the complete list shows that the endpoint is gone.
 #[test]
-fn a_key_missing_after_lost_history_is_gone() {
+fn a_key_missing_after_expired_records_is_removed() {
     let mut feed = Feed::default();
     feed.apply_page(page(vec![set("a", 1), set("b", 2)], false, 3));
     assert_eq!(feed.apply_tail(EXPIRED), []);
@@ -69,8 +69,8 @@
     assert_eq!(feed.next_query(), Query::Read(40));
 }
 
-/// Listing anew gives an older record of a key than the one already read.
-/// Taking it back in would bring a draining endpoint back to life.
+/// Listing again returns an older record of a key than the one already read.
+/// Applying it would make a draining endpoint live again.
 #[test]
 fn an_older_record_does_not_undo_a_newer_one() {
     let mut feed = Feed::default();
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn an_unreadable_value_names_nothing_and_leaves_the_others() {
+fn an_unreadable_value_removes_only_its_own_key() {
     let mut feed = Feed::default();
     feed.apply_page(page(vec![set("a", 1), set("b", 2)], false, 3));
     let bad = Record {
@@ -100,10 +100,10 @@
     );
 }
 
-/// The first page held only keys that say nothing to us. Taken for the end of
-/// the list, it would hide every endpoint that follows.
+/// The first page holds only keys that don't concern this crate. Treated as the
+/// end of the list, it would hide all endpoints that follow.
 #[test]
-fn a_page_without_a_record_of_ours_is_not_the_end() {
+fn an_empty_page_is_not_the_end_of_the_list() {
     let mut feed = Feed::default();
     feed.apply_page::<String>(first_era(Page {
         records: Vec::new(),
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn keys_known_from_elsewhere_are_gone_if_the_list_does_not_hold_them() {
+fn keys_known_beforehand_are_removed_if_the_list_lacks_them() {
     let mut feed = Feed::with_known_keys(["a".to_owned(), "b".to_owned()]);
     let changes = feed.apply_page(page(vec![set("b", 0)], false, 3));
     assert_eq!(
@@ -125,74 +125,75 @@
     );
 }
 
-fn later<A>(reply: Reply<A>) -> Reply<A> {
+fn second_era<A>(reply: Reply<A>) -> Reply<A> {
     Reply {
         era: Some(2),
         ..reply
     }
 }
 
-/// Guards against records that are dropped since their offsets are below those of lost
-/// ones.
+/// Guards against dropping the records of a restored log because their offsets
+/// are lower than those of the lost records.
 #[test]
 fn in_a_later_era_smaller_offsets_are_newer() {
     let mut feed = Feed::default();
     feed.apply_page(page(vec![set("a", 8), set("b", 2)], false, 9));
-    assert_eq!(feed.apply_tail(later(EXPIRED)), []);
+    assert_eq!(feed.apply_tail(second_era(EXPIRED)), []);
     assert_eq!(feed.next_query(), Query::List(None));
-    let changes = feed.apply_page(later(page(vec![set("a", 3)], false, 4)));
+    let changes = feed.apply_page(second_era(page(vec![set("a", 3)], false, 4)));
     let again = Change::Set("a".to_owned(), "a@3".to_owned());
     assert_eq!(changes, [again, gone("b")]);
-    let changes = feed.apply_tail(later(tail(vec![set("a", 4)], 5)));
+    let changes = feed.apply_tail(second_era(tail(vec![set("a", 4)], 5)));
     assert_eq!(changes, [Change::Set("a".to_owned(), "a@4".to_owned())]);
 }
 
-/// Guards against records that are passed over since the offset read before is there
-/// again.
+/// Guards against skipping records of a restored log because the old offset
+/// exists in it again.
 #[test]
-fn in_a_later_era_nothing_is_read_on_from_the_old_offset() {
+fn reading_does_not_continue_from_an_offset_of_an_earlier_era() {
     let mut feed = Feed::default();
     feed.apply_page(page(vec![set("a", 3)], false, 4));
-    assert_eq!(feed.apply_tail(later(tail(vec![set("b", 4)], 5))), []);
+    assert_eq!(feed.apply_tail(second_era(tail(vec![set("b", 4)], 5))), []);
     assert_eq!(feed.next_query(), Query::List(None));
     assert_eq!(feed.position(), None);
 }
 
-/// Guards against a list of which one page is older than the other.
+/// Guards against a list whose pages come from different eras.
 #[test]
-fn a_list_is_begun_anew_if_the_era_changes_between_its_pages() {
+fn listing_restarts_if_the_era_changes_between_pages() {
     let mut feed = Feed::default();
     feed.apply_page(page(vec![set("a", 8)], true, 9));
     assert_eq!(
-        feed.apply_page(later(page(vec![set("b", 1)], false, 2))),
+        feed.apply_page(second_era(page(vec![set("b", 1)], false, 2))),
         []
     );
     assert_eq!(feed.next_query(), Query::List(None));
-    feed.apply_page(later(page(vec![set("b", 1)], false, 2)));
+    feed.apply_page(second_era(page(vec![set("b", 1)], false, 2)));
     assert_eq!(feed.next_query(), Query::Read(2));
 }
 
-/// Guards against an answer that was on its way while the log came back.
+/// Guards against an answer that was in transit while the log was restored.
 #[test]
 fn an_answer_of_an_earlier_era_changes_nothing() {
     let mut feed = Feed::default();
-    feed.apply_page(later(page(vec![set("a", 1)], false, 2)));
+    feed.apply_page(second_era(page(vec![set("a", 1)], false, 2)));
     assert!(feed.is_outdated(Some(1)) && !feed.is_outdated(None));
     assert_eq!(feed.apply_tail(tail(vec![set("a", 9)], 10)), []);
     assert_eq!(feed.next_query(), Query::Read(2));
 }
 
-/// Guards against dropped and passed-over records with a log that names no era.
+/// Guards against dropped and skipped records with a restored log that names no
+/// era.
 #[test]
-fn a_log_that_ends_before_what_was_read_is_listed_anew() {
-    let nameless = |reply: Reply<Tail<String>>| Reply { era: None, ..reply };
+fn a_log_that_ends_before_the_read_offset_is_listed_again() {
+    let without_era = |reply: Reply<Tail<String>>| Reply { era: None, ..reply };
     let mut feed = Feed::default();
     feed.apply_page(page(vec![set("a", 8)], false, 9));
-    assert_eq!(feed.apply_tail(nameless(tail(Vec::new(), 4))), []);
+    assert_eq!(feed.apply_tail(without_era(tail(Vec::new(), 4))), []);
     assert_eq!(feed.next_query(), Query::List(None));
     let mut feed = Feed::default();
     feed.apply_page(page(vec![set("a", 8)], false, 9));
-    feed.apply_tail(nameless(EXPIRED));
+    feed.apply_tail(without_era(EXPIRED));
     let listed = page(vec![set("a", 3)], false, 4);
     let changes = feed.apply_page(Reply {
         era: None,
@@ -201,12 +202,12 @@
     assert_eq!(changes, [Change::Set("a".to_owned(), "a@3".to_owned())]);
 }
 
-/// Guards against records that are passed over in the first era that a log names.
+/// Guards against skipped records in the first era that a log names.
 #[test]
-fn a_log_that_names_its_first_era_is_listed_anew() {
-    let nameless = |reply: Reply<Page<String>>| Reply { era: None, ..reply };
+fn a_log_that_names_its_first_era_is_listed_again() {
+    let without_era = |reply: Reply<Page<String>>| Reply { era: None, ..reply };
     let mut feed = Feed::default();
-    feed.apply_page(nameless(page(vec![set("a", 3)], false, 4)));
+    feed.apply_page(without_era(page(vec![set("a", 3)], false, 4)));
     assert_eq!(feed.apply_tail(tail(vec![set("b", 4)], 5)), []);
     assert_eq!(feed.next_query(), Query::List(None));
 }
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -1,18 +1,18 @@
-//! Serves callers by sending their requests to endpoints directly.
+//! Serves callers by sending their requests directly to endpoints.
 //!
-//! One instance takes a request, decides alone which endpoint runs it, and
-//! relays the answer. Its configuration and the list of endpoints are followed
-//! from a log that somebody else writes; [`source`] is where they come from.
-//! How requests and answers are spelled is a [`dialect`]. Both are structs of
-//! functions that a thin binary fills in, so nothing here knows the names that
-//! are used on the wire.
+//! An instance takes a request, decides on its own which endpoint runs it, and
+//! relays the response. It follows its configuration and the list of endpoints
+//! from a log written by others; [`source`] describes that log. A [`dialect`]
+//! defines how requests and responses are encoded. Both are structs of
+//! functions that a thin binary supplies, so nothing here depends on the names
+//! used on the wire.
 //!
-//! Decisions take no clock, socket or randomness of their own: [`policy`],
-//! [`feed`], [`roster`], [`lease`], [`evacuation`], [`place`], [`ramp`], [`book`],
-//! [`budget`], [`attempt`], [`notices`], [`holders`], [`fetch`], [`board`], [`standby`] and [`startup`]. The rest
-//! carries bytes and time to them. What was weighed
-//! against sending through an endpoint's owner is in
-//! `docs/design/platform.md`.
+//! The modules that make decisions use no clock, socket or randomness of their
+//! own: [`policy`], [`feed`], [`roster`], [`lease`], [`evacuation`], [`place`],
+//! [`ramp`], [`book`], [`budget`], [`attempt`], [`notices`], [`holders`],
+//! [`fetch`], [`board`], [`standby`] and [`startup`]. The others pass them the
+//! time and carry the bytes. `docs/design/platform.md` compares this design
+//! with sending requests through an endpoint's owner.
 
 pub mod attempt;
 pub mod board;
--- a/crates/direct/src/policy.rs
+++ b/crates/direct/src/policy.rs
@@ -1,8 +1,8 @@
 //! The configuration in force: routes, services, workspaces and limits.
 //!
-//! A version is replaced as a whole and never changed. Routes are found by
-//! host and by the longest prefix of the path; a path has few slashes, so
-//! hundreds of routes cost no more than one.
+//! A version is replaced as a whole and never modified. Routes are looked up by
+//! host and by the longest prefix of the path. A path has few slashes, so a
+//! lookup among hundreds of routes costs no more than among a few.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,35 +11,35 @@
 use godwitpost_types::id::{RegionId, ServiceId, Version};
 use serde::{Deserialize, Serialize};
 
-/// What may be repeated of a route's requests.
+/// How a route's requests may be repeated, and the form of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Kind {
-    /// They may run more than once.
+    /// Requests may run more than once.
     Safe,
-    /// Each runs once at most.
+    /// Each request runs at most once.
     Unsafe,
-    /// The answer is an event stream. The request runs once at most, unless
-    /// the stream may be resumed.
+    /// The response is an event stream. A request runs at most once, unless the
+    /// stream may be resumed.
     Stream {
-        /// Whether another endpoint may go on after a given event.
+        /// Whether another endpoint may continue after a given event.
         resumable: bool,
     },
 }
 
 impl Kind {
-    /// Returns whether running a request twice does no harm.
+    /// Returns whether a request may safely run more than once.
     #[must_use]
     pub const fn idempotent(self) -> bool {
         matches!(self, Self::Safe | Self::Stream { resumable: true })
     }
 
-    /// Returns whether the answer is an event stream.
+    /// Returns whether the response is an event stream.
     #[must_use]
     pub const fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
 
-    /// Returns its name in logs and metrics.
+    /// Returns the kind's name in logs and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -51,104 +51,105 @@
     }
 }
 
-/// A service that a route sends to, and its share of the route's requests.
+/// A service that a route sends to, with its share of the route's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
     /// The service.
     pub service: ServiceId,
-    /// Its weight among the route's targets.
+    /// The weight among the route's targets.
     pub weight: u32,
 }
 
-/// One route.
+/// A route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// Its name, for logs.
+    /// The name used in logs.
     pub name: String,
-    /// The host that it belongs to, in lower case and without a port.
+    /// The host that the route applies to, in lower case and without a port.
     pub host: String,
-    /// The beginning of its paths; begins and ends with a slash.
+    /// The prefix of the route's paths; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be repeated.
     pub kind: Kind,
-    /// How long a request may be kept waiting in all.
+    /// The longest total time that a request may be kept waiting.
     pub timeout: Duration,
-    /// Within what time an answer is of full value.
+    /// The time within which a response is of full value.
     pub objective: Duration,
-    /// How many endpoints one request may be sent to.
+    /// The maximum number of endpoints that one request may be sent to.
     pub attempts: u32,
-    /// Its urgency; 0 goes first.
+    /// The urgency; 0 is the most urgent.
     pub rank: u8,
-    /// Whether it is served without a workspace's key.
+    /// Whether requests without a workspace's key are served.
     pub open: bool,
-    /// Whether requests carry the parts of their prompt, and do best where
-    /// those were read before.
+    /// Whether requests carry the parts of their prompt, and run best at
+    /// endpoints that have processed these parts before.
     pub affinity: bool,
-    /// Where its requests go; never empty.
+    /// The services that requests are sent to; never empty.
     pub targets: Vec<Target>,
-    /// The regions whose endpoints may run its requests; empty if all may.
+    /// The regions whose endpoints may run the requests; empty if all may.
     pub homes: BTreeSet<RegionId>,
 }
 
 /// A workspace.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Workspace {
-    /// Its name.
+    /// The workspace's name.
     pub name: String,
-    /// Its urgency; goes before the route's.
+    /// The urgency, which takes precedence over the route's.
     pub rank: Option<u8>,
-    /// The regions whose endpoints may run its requests; empty if all may.
+    /// The regions whose endpoints may run the workspace's requests; empty if
+    /// all may.
     pub homes: BTreeSet<RegionId>,
 }
 
 /// A service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its name.
+    /// The service's name.
     pub name: String,
-    /// Connections that each of its endpoints accepts from all instances.
+    /// The number of connections that each endpoint accepts from all instances.
     pub connections: u32,
-    /// What its endpoints bear while they are warming up, if that is less than
-    /// later on.
+    /// The load that endpoints can take while warming up, if lower than later
+    /// on.
     pub ramp: Option<Ramp>,
 }
 
-/// What an endpoint bears while it is warming up.
+/// The load that an endpoint can take while it is warming up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ramp {
-    /// How long it takes to warm up.
+    /// The duration of the warm-up.
     pub time: Duration,
-    /// The time between requests, of all instances together, that it bears.
+    /// The shortest time between requests, from all instances together.
     pub spacing: Duration,
 }
 
-/// Bounds on what callers may send.
+/// Limits on requests from callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Bytes of a head.
+    /// The largest head in bytes.
     pub head_bytes: usize,
-    /// Bytes of a body.
+    /// The largest body in bytes.
     pub body_bytes: usize,
-    /// How long a head may take from its first byte on.
+    /// The longest time that a head may take from its first byte on.
     pub head_time: Duration,
 }
 
-/// All that a version says.
+/// The content of a version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Content {
-    /// Its number; greater is newer.
+    /// The version number; higher is newer.
     pub version: Version,
-    /// Its routes.
+    /// The routes.
     pub routes: Vec<Route>,
-    /// Its services by id.
+    /// The services by id.
     pub services: BTreeMap<ServiceId, Service>,
-    /// Its workspaces by key; `None` if nobody needs a key.
+    /// The workspaces by key; `None` if no key is required.
     pub keys: Option<BTreeMap<String, Arc<Workspace>>>,
-    /// Bounds on what callers may send.
+    /// Limits on requests from callers.
     pub limits: Option<Limits>,
 }
 
-/// One version of the configuration, ready to be asked.
+/// A version of the configuration, indexed for lookups.
 #[derive(Clone, Debug)]
 pub struct Policy {
     content: Content,
@@ -158,7 +159,7 @@
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            // What common servers allow.
+            // Values that common servers allow.
             head_bytes: 16 << 10,
             body_bytes: 4 << 20,
             head_time: Duration::from_secs(10),
@@ -166,19 +167,20 @@
     }
 }
 
-/// Who sends a request, by its key.
+/// The sender of a request, identified by its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Caller {
     /// A workspace.
     Known(Arc<Workspace>),
-    /// Nobody in particular; the route asks for no key.
+    /// An unidentified sender; the route requires no key.
     Anonymous,
-    /// Somebody who should have a key and has none that is known.
+    /// A sender without a known key on a route that requires one.
     Unknown,
 }
 
-/// Returns whether endpoints in `region` may run a request of this route and workspace:
-/// where both name regions, both bind. An unknown region is nobody's.
+/// Returns whether endpoints in `region` may run a request of this route and
+/// workspace. Where both name regions, both restrictions apply. An unknown
+/// region is in no such list.
 #[must_use]
 pub fn may_run(route: &Route, workspace: Option<&Workspace>, region: Option<RegionId>) -> bool {
     let allows = |homes: &BTreeSet<RegionId>| {
@@ -188,7 +190,7 @@
 }
 
 impl Policy {
-    /// Arranges a version's content.
+    /// Indexes the content of a version.
     #[must_use]
     pub fn new(content: Content) -> Self {
         let mut routes = BTreeMap::<String, BTreeMap<String, Arc<Route>>>::new();
@@ -201,25 +203,25 @@
         Self { content, routes }
     }
 
-    /// Returns its number.
+    /// Returns the version number.
     #[must_use]
     pub const fn version(&self) -> Version {
         self.content.version
     }
 
-    /// Returns all that it says.
+    /// Returns the whole content.
     #[must_use]
     pub const fn content(&self) -> &Content {
         &self.content
     }
 
-    /// Returns how many routes it has.
+    /// Returns the number of routes.
     #[must_use]
     pub fn routes(&self) -> usize {
         self.routes.values().map(BTreeMap::len).sum()
     }
 
-    /// Returns the bounds on what callers may send.
+    /// Returns the limits on requests from callers.
     #[must_use]
     pub fn limits(&self) -> Limits {
         self.content.limits.unwrap_or_default()
@@ -231,24 +233,24 @@
         self.content.services.get(&id)
     }
 
-    /// Returns the route of a host and path: among the host's, the one with
-    /// the longest prefix that begins the path.
+    /// Returns the route for a host and path: among the host's routes, the one
+    /// with the longest prefix of the path.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
-        let host = bare(host).to_ascii_lowercase();
+        let host = strip_port(host).to_ascii_lowercase();
         let routes = self.routes.get(&host)?;
         path.rmatch_indices('/')
-            .find_map(|(at, _)| routes.get(&path[..=at]))
+            .find_map(|(slash, _)| routes.get(&path[..=slash]))
     }
 
-    /// Returns who sends a request with this key on this route.
+    /// Returns the sender of a request with this key on this route.
     #[must_use]
     pub fn caller(&self, route: &Route, key: Option<&str>) -> Caller {
         let Some(keys) = &self.content.keys else {
             return Caller::Anonymous;
         };
-        let known = key.and_then(|key| keys.get(key));
-        match known {
+        let workspace = key.and_then(|key| keys.get(key));
+        match workspace {
             Some(workspace) => Caller::Known(Arc::clone(workspace)),
             None if route.open => Caller::Anonymous,
             None => Caller::Unknown,
@@ -256,8 +258,8 @@
     }
 }
 
-// A host without its port. An IPv6 address keeps its brackets.
-fn bare(host: &str) -> &str {
+// Returns a host without its port. An IPv6 address keeps its brackets.
+fn strip_port(host: &str) -> &str {
     match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
         _ => host,
--- a/crates/direct/src/policy/tests.rs
+++ b/crates/direct/src/policy/tests.rs
@@ -42,28 +42,34 @@
     })
 }
 
-fn found(host: &str, path: &str) -> Option<String> {
+fn route_name(host: &str, path: &str) -> Option<String> {
     policy().route(host, path).map(|route| route.name.clone())
 }
 
 #[test]
 fn the_longest_prefix_wins() {
-    assert_eq!(found("shop.example", "/desk/a/b"), Some("deep".to_owned()));
-    assert_eq!(found("shop.example", "/desk/ab"), Some("desk".to_owned()));
-    assert_eq!(found("shop.example", "/desk"), Some("all".to_owned()));
-    assert_eq!(found("other.example", "/desk/"), None);
+    assert_eq!(
+        route_name("shop.example", "/desk/a/b"),
+        Some("deep".to_owned())
+    );
+    assert_eq!(
+        route_name("shop.example", "/desk/ab"),
+        Some("desk".to_owned())
+    );
+    assert_eq!(route_name("shop.example", "/desk"), Some("all".to_owned()));
+    assert_eq!(route_name("other.example", "/desk/"), None);
 }
 
 #[test]
 fn a_host_is_compared_without_its_port_and_case() {
     assert_eq!(
-        found("Shop.Example:8080", "/desk/"),
+        route_name("Shop.Example:8080", "/desk/"),
         Some("desk".to_owned())
     );
 }
 
 #[test]
-fn a_key_is_asked_for_unless_the_route_is_open() {
+fn a_key_is_required_unless_the_route_is_open() {
     let policy = policy();
     let closed = route("desk", "/desk/", false);
     let open = route("deep", "/desk/a/", true);
@@ -76,10 +82,10 @@
     assert_eq!(policy.caller(&open, Some("k2")), Caller::Anonymous);
 }
 
-/// Guards against a request that leaves the regions of either its route or its
-/// workspace.
+/// Guards against a request that runs outside the regions of either its route
+/// or its workspace.
 #[test]
-fn homes_of_route_and_workspace_both_bind() {
+fn homes_of_route_and_workspace_both_apply() {
     let homes = |ids: &[u64]| ids.iter().copied().collect::<BTreeSet<_>>();
     let route = |ids| Route {
         homes: homes(ids),
--- a/crates/direct/src/revoked.rs
+++ b/crates/direct/src/revoked.rs
@@ -1,8 +1,8 @@
-//! Keys that were taken away, and by which version.
+//! Keys that were revoked, and the version that revoked each.
 //!
-//! A request with a key that isn't known is refused alike, whether its caller
-//! mistyped it or lost it. Whoever is asked why must be able to tell these
-//! apart, so the instance remembers digests of the keys that it saw go.
+//! A request with an unknown key gets the same refusal whether its caller
+//! mistyped the key or lost it. To let support staff tell these cases apart,
+//! the instance remembers digests of the keys that it saw being revoked.
 
 use std::collections::BTreeMap;
 
@@ -10,57 +10,58 @@
 
 use crate::policy::Policy;
 
-/// Keys that are remembered, some 50 bytes each: all of the letter's 8,900
-/// workspaces could change theirs.
-const REMEMBERED: usize = 10_000;
+/// The number of keys remembered, at some 50 bytes each. All workspaces of a
+/// deployment with 8,900 of them could change their keys.
+const MAX_REVOKED_KEYS: usize = 10_000;
 
-/// The keys that went.
+/// The revoked keys.
 #[derive(Clone, Debug, Default)]
 pub struct RevokedKeys {
     versions: BTreeMap<u64, Version>,
 }
 
-/// How many keys came and went with a version.
+/// How many keys a version added and removed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct KeyChanges {
-    /// Keys that are new.
+    /// The number of new keys.
     pub added: usize,
-    /// Keys that are gone.
+    /// The number of revoked keys.
     pub removed: usize,
 }
 
 impl RevokedKeys {
-    /// Takes in that `new` replaces `old`.
+    /// Records that the version `new` replaces `old`.
     pub fn record_replacement(&mut self, old: &Policy, new: &Policy) -> KeyChanges {
-        let none = BTreeMap::new();
-        let old = old.content().keys.as_ref().unwrap_or(&none);
-        let newer = new.content().keys.as_ref().unwrap_or(&none);
-        let added = newer.keys().filter(|key| !old.contains_key(*key));
+        let no_keys = BTreeMap::new();
+        let old_keys = old.content().keys.as_ref().unwrap_or(&no_keys);
+        let new_keys = new.content().keys.as_ref().unwrap_or(&no_keys);
+        let added_keys = new_keys.keys().filter(|key| !old_keys.contains_key(*key));
         let mut changes = KeyChanges {
             added: 0,
             removed: 0,
         };
-        for key in added {
+        for key in added_keys {
             self.versions.remove(&id::of(key));
             changes.added += 1;
         }
-        for key in old.keys().filter(|key| !newer.contains_key(*key)) {
+        for key in old_keys.keys().filter(|key| !new_keys.contains_key(*key)) {
             self.versions.insert(id::of(key), new.version());
             changes.removed += 1;
         }
-        self.forget();
+        self.drop_oldest();
         changes
     }
 
-    /// Returns the version that took a key away, if one is remembered to have.
+    /// Returns the version that revoked a key, if that is remembered.
     #[must_use]
     pub fn revoking_version(&self, key: &str) -> Option<Version> {
         self.versions.get(&id::of(key)).copied()
     }
 
-    // Those that went longest ago are the least likely to be asked for.
-    fn forget(&mut self) {
-        while self.versions.len() > REMEMBERED {
+    // Drops the keys revoked longest ago, which are the least likely to be
+    // looked up.
+    fn drop_oldest(&mut self) {
+        while self.versions.len() > MAX_REVOKED_KEYS {
             let oldest = self.versions.values().min().copied();
             self.versions.retain(|_, version| Some(*version) != oldest);
         }
--- a/crates/direct/src/revoked/tests.rs
+++ b/crates/direct/src/revoked/tests.rs
@@ -1,7 +1,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use super::{KeyChanges, REMEMBERED, RevokedKeys};
+use super::{KeyChanges, MAX_REVOKED_KEYS, RevokedKeys};
 use crate::policy::{Content, Policy, Workspace};
 
 fn policy(version: u64, keys: impl Iterator<Item = String>) -> Policy {
@@ -18,14 +18,15 @@
     })
 }
 
-fn of(version: u64, keys: &[&str]) -> Policy {
+fn policy_with(version: u64, keys: &[&str]) -> Policy {
     policy(version, keys.iter().map(|key| (*key).to_owned()))
 }
 
 #[test]
-fn a_key_that_went_is_known_with_the_version_until_it_returns() {
+fn a_revoked_key_is_known_with_its_version_until_it_returns() {
     let mut revoked = RevokedKeys::default();
-    let changes = revoked.record_replacement(&of(3, &["a", "b"]), &of(7, &["b", "c"]));
+    let changes =
+        revoked.record_replacement(&policy_with(3, &["a", "b"]), &policy_with(7, &["b", "c"]));
     assert_eq!(
         changes,
         KeyChanges {
@@ -38,16 +39,19 @@
         (Some(7), None)
     );
     assert_eq!(revoked.revoking_version("mistyped"), None);
-    revoked.record_replacement(&of(7, &["b", "c"]), &of(9, &["a", "b", "c"]));
+    revoked.record_replacement(
+        &policy_with(7, &["b", "c"]),
+        &policy_with(9, &["a", "b", "c"]),
+    );
     assert_eq!(revoked.revoking_version("a"), None);
 }
 
 #[test]
-fn what_went_longest_ago_is_forgotten_first() {
+fn the_oldest_revoked_keys_are_dropped_first() {
     let mut revoked = RevokedKeys::default();
-    revoked.record_replacement(&of(1, &["first"]), &of(2, &[]));
-    let many = policy(3, (0..REMEMBERED).map(|n| n.to_string()));
-    revoked.record_replacement(&many, &of(4, &[]));
+    revoked.record_replacement(&policy_with(1, &["first"]), &policy_with(2, &[]));
+    let many = policy(3, (0..MAX_REVOKED_KEYS).map(|n| n.to_string()));
+    revoked.record_replacement(&many, &policy_with(4, &[]));
     assert_eq!(
         (
             revoked.revoking_version("first"),
--- a/crates/direct/src/settings.rs
+++ b/crates/direct/src/settings.rs
@@ -1,9 +1,9 @@
-//! What one instance is told at its start, in YAML.
+//! The settings that an instance reads at its start, in YAML.
 //!
-//! Settings say where the instance is, whom it talks to and within what bounds
-//! it has to act. What it does with requests is the configuration's to say.
-//! The file is checked as a whole: each mistake is reported with its line, key
-//! and remedy, and a [`Settings`] can't be invalid.
+//! Settings define where an instance runs, whom it communicates with and within
+//! what bounds it must act. The configuration defines what it does with
+//! requests. The file is checked as a whole: each mistake is reported with its
+//! line, key and remedy, and a [`Settings`] value is always valid.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 
 use crate::budget::Rate;
 
-/// The settings of one instance, checked.
+/// The checked settings of an instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The instance's name.
@@ -27,62 +27,63 @@
     pub zone: String,
     /// The region of each availability zone.
     pub regions: BTreeMap<ZoneId, RegionId>,
-    /// Where it listens.
+    /// The addresses that the instance listens on.
     pub listen: Listen,
-    /// The path on which it says whether it is ready.
+    /// The path that reports readiness.
     pub ready_path: String,
-    /// Where the log is that the configuration is followed from.
+    /// The address of the log that the configuration is followed from.
     pub log: SocketAddr,
-    /// Instances that read the log and may be asked instead of it. One that
-    /// finds itself among them reads the log, and asks the others only while it
-    /// can't.
+    /// Instances that read the log and may be polled instead of it. An instance
+    /// that finds its own address among them reads the log, and polls the
+    /// others only while it can't.
     pub seeds: Vec<SocketAddr>,
-    /// Within what time a key that is taken away stops working; `None` if
-    /// that has no bound.
+    /// The time within which a revoked key stops working; `None` if unbounded.
     pub revocation: Option<Duration>,
-    /// Within what time a version has to be in force after it was accepted.
+    /// The time within which an accepted version has to be in force.
     pub versions: Duration,
-    /// Within what time an endpoint that says it is leaving gets no more.
+    /// The time within which an endpoint that announces it is leaving gets no
+    /// more requests.
     pub leaving: Duration,
-    /// Within what time a zone that is evacuated gets no more.
+    /// The time within which an evacuated zone gets no more requests.
     pub evacuation: Duration,
-    /// How often endpoints renew their entries.
+    /// The interval at which endpoints renew their entries.
     pub heartbeat: Duration,
-    /// How often the list of endpoints is read. A leaving endpoint gets new
-    /// work for as long at most.
+    /// The interval at which the list of endpoints is read. A leaving endpoint
+    /// gets new requests for at most this long.
     pub refresh: Duration,
-    /// How long the balancer may go on sending callers to an instance that
-    /// says it is not ready.
+    /// How long the balancer may continue to send callers to an instance that
+    /// reports that it is not ready.
     pub balancer_lag: Duration,
-    /// How long a graceful shutdown may take in all.
+    /// The longest total time of a graceful shutdown.
     pub grace: Duration,
-    /// How much may be repeated.
+    /// The limit on retries.
     pub retries: Rate,
-    /// The greatest load that an endpoint may have, as a multiple of the mean
-    /// of its service.
+    /// The highest load that an endpoint may have, as a multiple of the mean of
+    /// its service.
     pub load_bound: f64,
-    /// Bytes of memory that the process may use.
+    /// The memory that the process may use.
     pub memory_bytes: usize,
-    /// Threads that carry traffic, beside the one of control state.
+    /// The number of threads that handle requests, in addition to the control
+    /// thread.
     pub threads: usize,
-    /// How much is logged.
+    /// The level of the log messages that are written.
     pub log_level: LevelFilter,
 }
 
-/// Where an instance listens.
+/// The addresses that an instance listens on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Listen {
     /// For callers, behind the balancer.
     pub callers: SocketAddr,
-    /// For the balancer's question whether it is ready.
+    /// For the balancer's readiness probe.
     pub ready: SocketAddr,
-    /// For whoever collects metrics.
+    /// For the collector of metrics.
     pub metrics: SocketAddr,
-    /// For other instances that ask what the log says; `None` if nobody does.
+    /// For other instances that poll this one; `None` if none do.
     pub peers: Option<SocketAddr>,
 }
 
-const TOP: [&str; 20] = [
+const TOP_LEVEL_KEYS: [&str; 20] = [
     "name",
     "zone",
     "regions",
@@ -104,42 +105,41 @@
     "threads",
     "log_level",
 ];
-const LISTEN: [&str; 4] = ["callers", "ready", "metrics", "peers"];
-const RETRIES: [&str; 3] = ["ratio", "allowance", "window"];
+const LISTEN_KEYS: [&str; 4] = ["callers", "ready", "metrics", "peers"];
+const RETRIES_KEYS: [&str; 3] = ["ratio", "allowance", "window"];
 
-const NAME: &str = "a name, such as otaru-1";
-const ADDRESS: &str = "an IP number and a port, such as 10.0.0.5:8080";
-const DURATION: &str = "a number with ms, s, m or h, such as 90s";
-const PATH: &str = "a path that begins with a slash, such as /readyz";
-const RATIO: &str = "a number of 0 or more, such as 0.2";
-const MULTIPLE: &str = "a number above 1, such as 2";
-const COUNT: &str = "a whole number above 0";
-const LEVEL: &str = "one of error, warn, info, debug, trace, off";
+const NAME_HINT: &str = "a name, such as otaru-1";
+const ADDRESS_HINT: &str = "an IP number and a port, such as 10.0.0.5:8080";
+const DURATION_HINT: &str = "a number with ms, s, m or h, such as 90s";
+const PATH_HINT: &str = "a path that begins with a slash, such as /readyz";
+const RATIO_HINT: &str = "a number of 0 or more, such as 0.2";
+const MULTIPLE_HINT: &str = "a number above 1, such as 2";
+const COUNT_HINT: &str = "a whole number above 0";
+const LEVEL_HINT: &str = "one of error, warn, info, debug, trace, off";
 
-/// How often the list of endpoints is read unless the settings say otherwise:
-/// half of the two seconds within which a leaving endpoint must get no more.
-const REFRESH: Duration = Duration::from_secs(1);
+/// The default of `refresh`: half of the two seconds within which a leaving
+/// endpoint must get no more requests.
+const DEFAULT_REFRESH: Duration = Duration::from_secs(1);
 
-/// Within what time news of the log is acted on unless the settings say
-/// otherwise: what the smallest of the users' deployments ask for.
-const NEWS: Duration = Duration::from_secs(2);
+/// The default of `versions`, `leaving` and `evacuation`, as the smallest
+/// deployments require.
+const DEFAULT_MAX_UPDATE_DELAY: Duration = Duration::from_secs(2);
 
-/// The balancer's lag unless the settings say otherwise: two missed probes, a
-/// second apart, and the answer to the second.
-const BALANCER_LAG: Duration = Duration::from_millis(2_500);
+/// The default of `balancer_lag`: two missed probes, a second apart, and the
+/// answer to the second.
+const DEFAULT_BALANCER_LAG: Duration = Duration::from_millis(2_500);
 
-/// The greatest load as a multiple of the mean unless the settings say
-/// otherwise: a step of an engine with twice the requests takes about a third
-/// longer, which callers don't notice.
-const LOAD_BOUND: f64 = 2.0;
+/// The default of `load_bound`. A step of an engine with twice the requests
+/// takes about a third longer, which callers don't notice.
+const DEFAULT_LOAD_BOUND: f64 = 2.0;
 
 impl Settings {
     /// Reads and checks a settings file.
     ///
     /// # Errors
     ///
-    /// Returns an error if the file can't be read, is no YAML, or has
-    /// mistakes; all of them are listed.
+    /// Returns an error if the file can't be read, is not valid YAML, or has
+    /// mistakes, all of which are listed.
     pub fn load(path: &Path) -> Result<Self, Error> {
         Self::parse(&settings::load(path)?)
     }
@@ -153,8 +153,8 @@
         settings::parse(text, read)
     }
 
-    /// Returns whether others ask this instance instead of the log, so that it
-    /// reads the log for as long as it can.
+    /// Returns whether this instance is one of the seeds, which read the log
+    /// for as long as they can.
     #[must_use]
     pub fn is_seed(&self) -> bool {
         self.listen
@@ -162,19 +162,19 @@
             .is_some_and(|own| self.seeds.contains(&own))
     }
 
-    /// Returns whether this instance asks others in place of the log.
+    /// Returns whether this instance polls others instead of reading the log.
     #[must_use]
     pub fn polls_peers(&self) -> bool {
         !self.is_seed() && !self.other_seeds().is_empty()
     }
 
-    /// Returns within what time all news of the log has to be acted on.
+    /// Returns the time within which any update in the log has to be acted on.
     #[must_use]
     pub fn max_update_delay(&self) -> Duration {
         self.versions.min(self.leaving)
     }
 
-    /// Returns the instances that can be asked instead of the log.
+    /// Returns the seeds other than this instance.
     #[must_use]
     pub fn other_seeds(&self) -> Vec<SocketAddr> {
         let own = self.listen.peers;
@@ -191,27 +191,32 @@
 }
 
 fn read(mut top: Level, mistakes: &mut Vec<Mistake>) -> Option<Settings> {
-    let name = top.required("name", NAME, text, mistakes);
-    let zone = top.required("zone", NAME, text, mistakes);
+    let name = top.required("name", NAME_HINT, non_empty, mistakes);
+    let zone = top.required("zone", NAME_HINT, non_empty, mistakes);
     let regions = regions(top.level("regions", mistakes), mistakes);
     let listen = listen(top.level("listen", mistakes), mistakes);
-    let ready_path = top.required("ready_path", PATH, path, mistakes);
-    let log = top.required("log", ADDRESS, parsed::<SocketAddr>, mistakes);
-    let seeds = top.list("seeds", ADDRESS, parsed::<SocketAddr>, mistakes);
-    let revocation = top.optional("revocation", DURATION, duration, mistakes);
-    let versions = top.optional("versions", DURATION, duration, mistakes);
-    let leaving = top.optional("leaving", DURATION, duration, mistakes);
-    let evacuation = top.optional("evacuation", DURATION, duration, mistakes);
-    let heartbeat = top.required("heartbeat", DURATION, duration, mistakes);
-    let refresh = top.optional("refresh", DURATION, period, mistakes);
-    let balancer_lag = top.optional("balancer_lag", DURATION, duration, mistakes);
-    let grace = top.required("grace", DURATION, duration, mistakes);
+    let ready_path = top.required("ready_path", PATH_HINT, absolute_path, mistakes);
+    let log = top.required("log", ADDRESS_HINT, parse_value::<SocketAddr>, mistakes);
+    let seeds = top.list("seeds", ADDRESS_HINT, parse_value::<SocketAddr>, mistakes);
+    let revocation = top.optional("revocation", DURATION_HINT, duration, mistakes);
+    let versions = top.optional("versions", DURATION_HINT, duration, mistakes);
+    let leaving = top.optional("leaving", DURATION_HINT, duration, mistakes);
+    let evacuation = top.optional("evacuation", DURATION_HINT, duration, mistakes);
+    let heartbeat = top.required("heartbeat", DURATION_HINT, duration, mistakes);
+    let refresh = top.optional("refresh", DURATION_HINT, positive_duration, mistakes);
+    let balancer_lag = top.optional("balancer_lag", DURATION_HINT, duration, mistakes);
+    let grace = top.required("grace", DURATION_HINT, duration, mistakes);
     let retries = retries(top.level("retries", mistakes), mistakes);
-    let load_bound = top.optional("load_bound", MULTIPLE, multiple, mistakes);
-    let memory = top.required("memory_mb", COUNT, positive, mistakes);
-    let threads = top.optional("threads", COUNT, positive, mistakes);
-    let log_level = top.optional("log_level", LEVEL, parsed::<LevelFilter>, mistakes);
-    top.finish(&TOP, mistakes);
+    let load_bound = top.optional("load_bound", MULTIPLE_HINT, above_one, mistakes);
+    let memory = top.required("memory_mb", COUNT_HINT, positive_count, mistakes);
+    let threads = top.optional("threads", COUNT_HINT, positive_count, mistakes);
+    let log_level = top.optional(
+        "log_level",
+        LEVEL_HINT,
+        parse_value::<LevelFilter>,
+        mistakes,
+    );
+    top.finish(&TOP_LEVEL_KEYS, mistakes);
     Some(Settings {
         name: name?.value,
         zone: zone?.value,
@@ -220,85 +225,85 @@
         ready_path: ready_path?.value,
         log: log?.value,
         seeds,
-        revocation: revocation.map(|taken| taken.value),
-        versions: versions.map_or(NEWS, |taken| taken.value),
-        leaving: leaving.map_or(NEWS, |taken| taken.value),
-        evacuation: evacuation.map_or(NEWS, |taken| taken.value),
+        revocation: revocation.map(|setting| setting.value),
+        versions: versions.map_or(DEFAULT_MAX_UPDATE_DELAY, |setting| setting.value),
+        leaving: leaving.map_or(DEFAULT_MAX_UPDATE_DELAY, |setting| setting.value),
+        evacuation: evacuation.map_or(DEFAULT_MAX_UPDATE_DELAY, |setting| setting.value),
         heartbeat: heartbeat?.value,
-        refresh: refresh.map_or(REFRESH, |taken| taken.value),
-        balancer_lag: balancer_lag.map_or(BALANCER_LAG, |taken| taken.value),
+        refresh: refresh.map_or(DEFAULT_REFRESH, |setting| setting.value),
+        balancer_lag: balancer_lag.map_or(DEFAULT_BALANCER_LAG, |setting| setting.value),
         grace: grace?.value,
         retries: retries?,
-        load_bound: load_bound.map_or(LOAD_BOUND, |taken| taken.value),
+        load_bound: load_bound.map_or(DEFAULT_LOAD_BOUND, |setting| setting.value),
         memory_bytes: memory?.value << 20,
-        threads: threads.map_or(1, |taken| taken.value),
-        log_level: log_level.map_or(LevelFilter::Info, |taken| taken.value),
+        threads: threads.map_or(1, |setting| setting.value),
+        log_level: log_level.map_or(LevelFilter::Info, |setting| setting.value),
     })
 }
 
-// The region of each zone, by the zone's name.
+// Returns the region of each zone, by the zone's id.
 fn regions(mut level: Level, mistakes: &mut Vec<Mistake>) -> BTreeMap<ZoneId, RegionId> {
     let zones = level.keys().into_iter();
     zones
         .filter_map(|zone| {
-            let region = level.required(&zone, NAME, text, mistakes)?;
+            let region = level.required(&zone, NAME_HINT, non_empty, mistakes)?;
             Some((id::of(&zone), id::of(&region.value)))
         })
         .collect()
 }
 
 fn listen(mut level: Level, mistakes: &mut Vec<Mistake>) -> Option<Listen> {
-    let callers = level.required("callers", ADDRESS, parsed::<SocketAddr>, mistakes);
-    let ready = level.required("ready", ADDRESS, parsed::<SocketAddr>, mistakes);
-    let metrics = level.required("metrics", ADDRESS, parsed::<SocketAddr>, mistakes);
-    let peers = level.optional("peers", ADDRESS, parsed::<SocketAddr>, mistakes);
-    level.finish(&LISTEN, mistakes);
+    let callers = level.required("callers", ADDRESS_HINT, parse_value::<SocketAddr>, mistakes);
+    let ready = level.required("ready", ADDRESS_HINT, parse_value::<SocketAddr>, mistakes);
+    let metrics = level.required("metrics", ADDRESS_HINT, parse_value::<SocketAddr>, mistakes);
+    let peers = level.optional("peers", ADDRESS_HINT, parse_value::<SocketAddr>, mistakes);
+    level.finish(&LISTEN_KEYS, mistakes);
     Some(Listen {
         callers: callers?.value,
         ready: ready?.value,
         metrics: metrics?.value,
-        peers: peers.map(|taken| taken.value),
+        peers: peers.map(|setting| setting.value),
     })
 }
 
 fn retries(mut level: Level, mistakes: &mut Vec<Mistake>) -> Option<Rate> {
-    let of_requests = level.required("ratio", RATIO, ratio, mistakes);
-    let allowance = level.required("allowance", RATIO, ratio, mistakes);
-    let window = level.required("window", DURATION, period, mistakes);
-    level.finish(&RETRIES, mistakes);
+    let retry_ratio = level.required("ratio", RATIO_HINT, non_negative, mistakes);
+    let allowance = level.required("allowance", RATIO_HINT, non_negative, mistakes);
+    let window = level.required("window", DURATION_HINT, positive_duration, mistakes);
+    level.finish(&RETRIES_KEYS, mistakes);
     Some(Rate {
-        ratio: of_requests?.value,
+        ratio: retry_ratio?.value,
         allowance: allowance?.value,
         window: window?.value,
     })
 }
 
-fn text(text: &str) -> Option<String> {
+fn non_empty(text: &str) -> Option<String> {
     (!text.is_empty()).then(|| text.to_owned())
 }
 
-fn path(text: &str) -> Option<String> {
+fn absolute_path(text: &str) -> Option<String> {
     text.starts_with('/').then(|| text.to_owned())
 }
 
-fn parsed<T: std::str::FromStr>(text: &str) -> Option<T> {
+fn parse_value<T: std::str::FromStr>(text: &str) -> Option<T> {
     text.parse().ok()
 }
 
-fn period(text: &str) -> Option<Duration> {
+fn positive_duration(text: &str) -> Option<Duration> {
     duration(text).filter(|period| !period.is_zero())
 }
 
-fn ratio(text: &str) -> Option<f64> {
-    parsed(text).filter(|value: &f64| value.is_finite() && *value >= 0.0)
+fn non_negative(text: &str) -> Option<f64> {
+    parse_value(text).filter(|value: &f64| value.is_finite() && *value >= 0.0)
 }
 
-fn multiple(text: &str) -> Option<f64> {
-    ratio(text).filter(|value| *value > 1.0)
+fn above_one(text: &str) -> Option<f64> {
+    non_negative(text).filter(|value| *value > 1.0)
 }
 
-fn positive(text: &str) -> Option<usize> {
-    parsed(text).filter(|value| *value > 0)
+fn positive_count(text: &str) -> Option<usize> {
+    parse_value(text).filter(|value| *value > 0)
 }
 
 #[cfg(test)]
--- a/crates/direct/src/settings/tests.rs
+++ b/crates/direct/src/settings/tests.rs
@@ -4,7 +4,7 @@
 
 use super::{Error, Settings};
 
-const WHOLE: &str = r#"
+const COMPLETE: &str = r#"
 name: "otaru-1"
 zone: otaru
 listen:
@@ -24,8 +24,8 @@
 "#;
 
 #[test]
-fn a_whole_file_is_read_and_defaults_are_filled_in() {
-    let settings = Settings::parse(WHOLE).expect("valid settings");
+fn a_complete_file_is_read_and_defaults_are_filled_in() {
+    let settings = Settings::parse(COMPLETE).expect("valid settings");
     assert_eq!(settings.revocation, Some(Duration::from_secs(5)));
     assert_eq!(settings.refresh, Duration::from_secs(1));
     assert_eq!(settings.memory_bytes, 260 << 20);
@@ -35,13 +35,13 @@
 
 #[test]
 fn zones_have_regions() {
-    let text = format!("{WHOLE}regions:\n  otaru: hokkaido\n  \"sendai\": honshu\n");
+    let text = format!("{COMPLETE}regions:\n  otaru: hokkaido\n  \"sendai\": honshu\n");
     let settings = Settings::parse(&text).expect("valid settings");
     assert_eq!(
         settings.regions.get(&id::of("sendai")),
         Some(&id::of("honshu"))
     );
-    let text = format!("{WHOLE}regions:\n  otaru: [1]\n");
+    let text = format!("{COMPLETE}regions:\n  otaru: [1]\n");
     let Err(Error::Mistakes(mistakes)) = Settings::parse(&text) else {
         panic!("mistakes were expected");
     };
@@ -52,17 +52,17 @@
 }
 
 #[test]
-fn all_mistakes_are_told_at_once_with_line_key_and_remedy() {
-    let text = WHOLE
+fn all_mistakes_are_reported_with_line_key_and_remedy() {
+    let text = COMPLETE
         .replace("8080", "80a")
         .replace("grace: 8s", "grace: 8")
         .replace("zone: otaru", "zon: otaru");
     let Err(Error::Mistakes(mistakes)) = Settings::parse(&text) else {
         panic!("mistakes were expected");
     };
-    let told: Vec<String> = mistakes.iter().map(ToString::to_string).collect();
+    let messages: Vec<String> = mistakes.iter().map(ToString::to_string).collect();
     assert_eq!(
-        told,
+        messages,
         [
             "`zone` is missing; add it with a name, such as otaru-1",
             "line 3: `zon` is unknown; the keys here are name, zone, regions, listen, ready_path, log, \
@@ -75,22 +75,22 @@
 }
 
 #[test]
-fn an_instance_that_others_ask_reads_the_log() {
+fn an_instance_among_the_seeds_is_a_seed() {
     let with = |own: &str| {
-        let text = WHOLE.replace("  metrics", &format!("  peers: {own}\n  metrics"));
+        let text = COMPLETE.replace("  metrics", &format!("  peers: {own}\n  metrics"));
         let text = format!("{text}seeds:\n  - 10.0.0.1:7\n  - 10.0.0.2:7\n");
         Settings::parse(&text).expect("valid settings")
     };
-    let asks = with("10.0.0.5:7");
-    assert!(!asks.is_seed());
-    assert_eq!(asks.other_seeds().len(), 2);
-    let reads = with("10.0.0.2:7");
-    assert!(reads.is_seed());
+    let other = with("10.0.0.5:7");
+    assert!(!other.is_seed());
+    assert_eq!(other.other_seeds().len(), 2);
+    let seed = with("10.0.0.2:7");
+    assert!(seed.is_seed());
     assert_eq!(
-        reads.other_seeds(),
+        seed.other_seeds(),
         ["10.0.0.1:7".parse().expect("an address")]
     );
-    let alone = Settings::parse(&format!("{WHOLE}seeds:\n")).expect("valid settings");
+    let alone = Settings::parse(&format!("{COMPLETE}seeds:\n")).expect("valid settings");
     assert!(!alone.is_seed());
     assert_eq!(alone.other_seeds(), []);
 }
--- a/crates/direct/src/source.rs
+++ b/crates/direct/src/source.rs
@@ -1,9 +1,11 @@
-//! Where the configuration and the list of endpoints come from.
+//! The interface to the log that holds the configuration and the list of
+//! endpoints.
 //!
 //! Both are topics of a log that keeps the newest record of each key. A topic
-//! can be listed, key by key and in pages, or read on from an offset. What is
-//! said of a record's value is decided by who fills in the functions; a value
-//! that can't be read is a [`Value::Unreadable`], never an error of the call.
+//! can be listed, in pages ordered by key, or read from an offset. The
+//! functions that implement the interface decode the values of records. A value
+//! that can't be decoded is a [`Value::Unreadable`], never an error of the
+//! call.
 
 use std::fmt;
 use std::pin::Pin;
@@ -14,7 +16,7 @@
 
 use crate::policy::Policy;
 
-/// Why a call has no answer.
+/// Why a call to the log failed.
 #[derive(Debug, displaydoc::Display)]
 pub enum ReadError {
     /// the log can't be reached ({0}); check that it is up and the address right
@@ -23,37 +25,37 @@
     Timeout,
     /// the log refused with status {0}; it may be overloaded or down
     Refused(u16),
-    /// the answer makes no sense ({0}); check the log's version
+    /// the log's answer is malformed ({0}); check the log's version
     Garbled(String),
-    /// the answer is of an earlier era of the log; check that one log alone is at its address
+    /// the answer is of an earlier era of the log; check that only one log is at its address
     Outdated,
 }
 
 impl std::error::Error for ReadError {}
 
-/// What a record says of its key.
+/// The value that a record gives its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Value<T> {
-    /// This.
+    /// A new value.
     Set(T),
-    /// The key is gone.
+    /// The key is removed.
     Removed,
-    /// Something that can't be read, and why.
+    /// A value that can't be decoded, and why.
     Unreadable(String),
 }
 
-/// A place in a topic. One of a later era comes after all of the earlier ones, whatever
-/// its offset.
+/// A position in a topic. One of a later era comes after all those of earlier
+/// eras, whatever their offsets.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Position {
-    /// The era.
+    /// The era of the log.
     pub era: Era,
     /// The offset within it.
     pub offset: Offset,
 }
 
 impl Position {
-    /// Where every topic begins.
+    /// The position at which every topic starts.
     pub const START: Self = Self { era: 0, offset: 0 };
 }
 
@@ -63,79 +65,80 @@
     }
 }
 
-/// One record.
+/// A record of a topic.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record<T> {
-    /// Its key.
+    /// The key.
     pub key: String,
-    /// Its place in the topic.
+    /// The record's offset in the topic.
     pub offset: Offset,
-    /// What it says.
+    /// The value of the key.
     pub value: Value<T>,
 }
 
-/// What the operator says in one record.
+/// The content of an operator's record.
 #[derive(Clone, Debug)]
 pub enum Directive {
-    /// This is the configuration.
+    /// The configuration.
     Policy(Policy),
-    /// The availability zone of this name is to be kept empty for as long as the
-    /// record is there.
+    /// The name of an availability zone that is to be kept empty for as long as
+    /// the record exists.
     Evacuate(String),
 }
 
-/// A page of the newest record of each key, in the order of keys.
+/// A page of the newest record of each key, ordered by key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Page<T> {
-    /// The records.
+    /// The records that concern this crate.
     pub records: Vec<Record<T>>,
-    /// The key after which the next page begins; `None` if this is the last.
-    /// Records that say nothing to us are left out above and still count here.
+    /// The key after which the next page begins; `None` on the last page.
+    /// Records left out of `records` count here too.
     pub next: Option<String>,
-    /// The topic's end when the page was made.
+    /// The end of the topic when the page was built.
     pub end: Offset,
 }
 
-/// What follows an offset.
+/// The records that follow an offset.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Tail<T> {
-    /// These records, up to `next`; nothing more is there if `next` is `end`.
+    /// Records up to the offset `next`. There are no more if `next` equals
+    /// `end`.
     Records {
         /// The records, oldest first.
         records: Vec<Record<T>>,
-        /// Where to read on.
+        /// The offset to read from next.
         next: Offset,
-        /// The topic's end.
+        /// The end of the topic.
         end: Offset,
     },
-    /// The records there have been deleted.
+    /// The records at the offset have been deleted.
     Expired,
 }
 
-/// An answer, and the era of the log that gave it.
+/// An answer with the era of the log that sent it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply<A> {
     /// The era; `None` if the log names none.
     pub era: Option<Era>,
-    /// What was asked for.
+    /// The requested content.
     pub body: A,
 }
 
-/// An answer to come.
+/// A pending call to the log.
 pub type Call<A> = Pin<Box<dyn Future<Output = Result<Reply<A>, ReadError>> + Send>>;
 
 /// Lists the keys after the given one.
 pub type ListFn<T> = Box<dyn Fn(Option<String>) -> Call<Page<T>> + Send + Sync>;
 
-/// Reads on from an offset. It answers when there is a record, or after the
-/// given wait; the call must end by itself soon after that.
+/// Reads from an offset. The call returns when there is a record, or after the
+/// given wait, and must return on its own soon after that.
 pub type ReadFn<T> = Box<dyn Fn(Offset, Duration) -> Call<Tail<T>> + Send + Sync>;
 
-/// One topic.
+/// The functions that read one topic.
 pub struct Source<T> {
-    /// Lists it.
+    /// Lists the topic.
     pub list: ListFn<T>,
-    /// Reads on in it.
+    /// Reads the records that follow an offset.
     pub read: ReadFn<T>,
 }
 
--- a/crates/direct/src/startup.rs
+++ b/crates/direct/src/startup.rs
@@ -1,48 +1,53 @@
-//! Whether an instance that has just started may rely on what the log says.
+//! Decides whether a newly started instance may rely on the log.
 //!
-//! A log that has come back from a copy may lack the newest version until the operator
-//! writes it again. Who ran before knows a newer one and sees that. Who starts doesn't,
-//! and would act on keys that were taken away. So it relies on a peer that is up to date,
-//! or on a second read, a moment after its first one. A log that never came back lacks
-//! nothing.
+//! A log restored from a copy may lack the newest version until the operator
+//! writes it again. An instance that was already running knows the newer
+//! version and notices that. A newly started one doesn't, and would accept keys
+//! that have been revoked. It therefore relies only on an up-to-date peer, or
+//! on a second read of the log a moment after the first. A log that was never
+//! restored lacks nothing.
 
 use std::time::Duration;
 
 use godwitpost_types::clock::{Moment, since};
 use godwitpost_types::id::Era;
 
-/// How long the operator has to write a version again: less than instances that start
-/// wait for one that starts as well.
-const REWRITTEN: Duration = Duration::from_millis(500);
+/// How long the operator may take to write a version again. This is shorter
+/// than the time for which starting instances wait for a peer that is starting
+/// as well.
+const OPERATOR_REWRITE_TIME: Duration = Duration::from_millis(500);
 
-/// What an instance has heard since its start.
+/// What an instance has learned since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StartupState {
-    /// Nothing yet.
+    /// Nothing.
     #[default]
     Unread,
-    /// What the log says in this era, since a read sent at this moment.
+    /// The content of the log in this era, first read by a call sent at this
+    /// moment.
     FirstRead(Era, Moment),
-    /// Enough to see what the log lacks.
+    /// Enough to detect that the log lacks a version.
     Verified,
 }
 
 impl StartupState {
-    /// Takes in that a peer told a version.
+    /// Records that a peer sent a version.
     pub const fn record_peer_answer(&mut self) {
         *self = Self::Verified;
     }
 
-    /// Takes in a read of the log's version, sent at `asked`; returns whether it may be
-    /// relied on.
-    pub fn record_read(&mut self, era: Era, asked: Moment) -> bool {
+    /// Records that a read of the log's version was sent at `sent_at`. Returns
+    /// whether the log may be relied on.
+    pub fn record_read(&mut self, era: Era, sent_at: Moment) -> bool {
         *self = match *self {
             Self::Unread | Self::FirstRead(..) if era == 0 => Self::Verified,
-            Self::FirstRead(before, first) if before == era && since(asked, first) >= REWRITTEN => {
+            Self::FirstRead(before, first)
+                if before == era && since(sent_at, first) >= OPERATOR_REWRITE_TIME =>
+            {
                 Self::Verified
             }
             Self::FirstRead(before, first) if before == era => Self::FirstRead(era, first),
-            Self::Unread | Self::FirstRead(..) => Self::FirstRead(era, asked),
+            Self::Unread | Self::FirstRead(..) => Self::FirstRead(era, sent_at),
             Self::Verified => Self::Verified,
         };
         *self == Self::Verified
--- a/crates/direct/src/startup/tests.rs
+++ b/crates/direct/src/startup/tests.rs
@@ -1,38 +1,39 @@
 use std::time::Duration;
 
-use super::{REWRITTEN, StartupState};
+use super::{OPERATOR_REWRITE_TIME, StartupState};
 
-const SOON: Duration = Duration::from_millis(30);
+const FIRST_READ_AT: Duration = Duration::from_millis(30);
 
 #[test]
-fn a_log_that_never_came_back_is_gone_by_at_once() {
-    assert!(StartupState::default().record_read(0, SOON));
+fn a_log_that_was_never_restored_is_reliable_at_once() {
+    assert!(StartupState::default().record_read(0, FIRST_READ_AT));
 }
 
-/// Guards against a version that the operator is about to write again.
+/// Guards against relying on a version just before the operator writes a newer
+/// one again.
 #[test]
-fn the_first_read_of_a_restored_log_is_not_gone_by() {
-    let mut start = StartupState::default();
-    assert!(!start.record_read(2, SOON));
-    assert!(!start.record_read(2, REWRITTEN));
-    assert!(start.record_read(2, SOON + REWRITTEN));
-    // It knows a version now, and sees what a later copy lacks.
-    assert!(start.record_read(3, SOON + REWRITTEN));
+fn the_first_read_of_a_restored_log_is_not_reliable() {
+    let mut state = StartupState::default();
+    assert!(!state.record_read(2, FIRST_READ_AT));
+    assert!(!state.record_read(2, OPERATOR_REWRITE_TIME));
+    assert!(state.record_read(2, FIRST_READ_AT + OPERATOR_REWRITE_TIME));
+    // The instance now knows a version and notices if a later copy lacks it.
+    assert!(state.record_read(3, FIRST_READ_AT + OPERATOR_REWRITE_TIME));
 }
 
-/// Guards against a log that came back once more meanwhile.
+/// Guards against a log that is restored again during the wait.
 #[test]
-fn each_era_begins_the_wait_anew() {
-    let mut start = StartupState::default();
-    assert!(!start.record_read(2, Duration::ZERO));
-    assert!(!start.record_read(3, REWRITTEN));
-    assert!(start.record_read(3, REWRITTEN * 2));
+fn each_era_restarts_the_wait() {
+    let mut state = StartupState::default();
+    assert!(!state.record_read(2, Duration::ZERO));
+    assert!(!state.record_read(3, OPERATOR_REWRITE_TIME));
+    assert!(state.record_read(3, OPERATOR_REWRITE_TIME * 2));
 }
 
 #[test]
-fn who_was_told_a_version_sees_what_the_log_lacks() {
-    let mut start = StartupState::default();
-    assert!(!start.record_read(2, Duration::ZERO));
-    start.record_peer_answer();
-    assert!(start.record_read(2, SOON));
+fn an_instance_informed_by_a_peer_relies_on_the_log() {
+    let mut state = StartupState::default();
+    assert!(!state.record_read(2, Duration::ZERO));
+    state.record_peer_answer();
+    assert!(state.record_read(2, FIRST_READ_AT));
 }
