--- a/crates/demo/src/fleet.rs
+++ b/crates/demo/src/fleet.rs
@@ -11,7 +11,7 @@
 
 use godwitpost_history::event::What;
 use godwitpost_history::recorder::Recorder;
-use godwitpost_router::{Running, Stopped};
+use godwitpost_router::{Running, ShutdownResult};
 use godwitpost_standin::{engine, list, log, plain};
 use tokio::time::{Instant, sleep};
 
@@ -240,7 +240,7 @@
     /// # Errors
     ///
     /// Returns [`Error::Unknown`] for an instance that doesn't run.
-    pub async fn stop(&mut self, name: &str) -> Result<Stopped, Error> {
+    pub async fn stop(&mut self, name: &str) -> Result<ShutdownResult, Error> {
         let instance = name.to_owned();
         let router = self.take(name)?;
         self.recorder.record(What::StopBegun {
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -40,11 +40,11 @@
 const VERDICT_BYTES: usize = 1 << 10;
 
 /// The path that kept answers are asked for on.
-pub(crate) const ANSWER_PATH: &str = "/peer/v1/answer";
+pub(crate) const RESPONSE_PATH: &str = "/peer/v1/answer";
 
 /// A finished answer kept for a caller that sends its key again.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Kept {
+pub(crate) struct CachedResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
@@ -60,7 +60,7 @@
 #[derive(Debug)]
 pub(crate) struct Inner {
     pub(crate) holder: Holder,
-    pub(crate) answers: ResponseCache<Kept>,
+    pub(crate) responses: ResponseCache<CachedResponse>,
 }
 
 impl Claims {
@@ -68,7 +68,7 @@
         Self {
             inner: Mutex::new(Inner {
                 holder: Holder::new(own, incarnation),
-                answers: ResponseCache::new(KEPT_BYTES, KEPT_FOR),
+                responses: ResponseCache::new(KEPT_BYTES, KEPT_FOR),
             }),
         }
     }
@@ -80,7 +80,7 @@
 }
 
 /// Asks for the verdict on a claim.
-pub(crate) async fn ask(shared: &Shared, record: Record) -> Verdict {
+pub(crate) async fn request_verdict(shared: &Shared, record: Record) -> Verdict {
     let item = Item::Claim(record);
     let verdict = async {
         match batcher(shared, &record.key) {
@@ -101,16 +101,16 @@
 ///
 /// A key that is sent again may come in anywhere and be placed elsewhere; only
 /// the first one's dispatcher saw the answer.
-pub(crate) async fn fetch(
+pub(crate) async fn fetch_response(
     shared: &Shared,
     holder: InstanceId,
     key: &KeyDigest,
     body: &BodyDigest,
-) -> Option<Kept> {
+) -> Option<CachedResponse> {
     let snapshot = shared.snapshot();
     let instance = snapshot.view.instance(holder)?;
     let bytes = Bytes::from(rmp_serde::to_vec(&(key, body)).ok()?);
-    let request = peer::sealed(shared, instance, Method::POST, ANSWER_PATH, &bytes);
+    let request = peer::sealed(shared, instance, Method::POST, RESPONSE_PATH, &bytes);
     let sent = shared.claiming.send(instance.peer_address, request, WAIT);
     let response = sent.await.ok()?;
     if response.status() != StatusCode::OK {
@@ -118,10 +118,10 @@
     }
     let read = body::collect(response.into_body(), KEPT_BYTES);
     let bytes = tokio::time::timeout(WAIT, read).await.ok()?.ok()?;
-    Kept::decode(&bytes)
+    CachedResponse::decode(&bytes)
 }
 
-impl Kept {
+impl CachedResponse {
     /// Returns its bytes, for another instance.
     pub(crate) fn encode(&self) -> Bytes {
         let head = (self.status.as_u16(), dispatch::pack(&self.headers));
@@ -141,7 +141,7 @@
 }
 
 /// Tells the batcher how a claimed request ended, as best effort.
-pub(crate) async fn tell(shared: &Shared, fate: Item) {
+pub(crate) async fn report_outcome(shared: &Shared, fate: Item) {
     match batcher(shared, fate.key()) {
         Some(instance) => {
             remote(shared, &instance, fate).await;
--- a/crates/router/src/cli.rs
+++ b/crates/router/src/cli.rs
@@ -7,27 +7,27 @@
 
 /// What the command line asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum Action {
     /// Run the router with these settings.
     Run(PathBuf),
     /// Check these settings and end.
     Check(PathBuf),
     /// Print these settings with all defaults and end.
-    Print(PathBuf),
+    PrintSettings(PathBuf),
     /// Print this text and end with this exit code.
-    Say(String, u8),
+    PrintText(String, u8),
 }
 
 /// Exit code after a graceful shutdown, or a check without mistakes.
 pub const EXIT_DONE: u8 = 0;
 /// Exit code when the router can't start: a port is taken, say.
-pub const EXIT_START: u8 = 1;
+pub const EXIT_START_FAILED: u8 = 1;
 /// Exit code for a wrong command line or settings with mistakes.
 pub const EXIT_USAGE: u8 = 2;
 /// Exit code when the drain limit passed with requests still in flight.
-pub const EXIT_DRAIN: u8 = 3;
+pub const EXIT_DRAIN_TIMEOUT: u8 = 3;
 /// Exit code when a second signal cut the graceful shutdown short.
-pub const EXIT_CUT: u8 = 4;
+pub const EXIT_ABORTED: u8 = 4;
 
 const ABOUT: &str = "Routes requests of many workspaces to model engines and plain services";
 
@@ -76,7 +76,7 @@
 
 /// Reads a command line.
 #[must_use]
-pub fn parse(args: impl IntoIterator<Item = OsString>) -> Next {
+pub fn parse(args: impl IntoIterator<Item = OsString>) -> Action {
     let matches = match command().try_get_matches_from(args) {
         Ok(matches) => matches,
         Err(error) => {
@@ -85,7 +85,7 @@
             } else {
                 EXIT_DONE
             };
-            return Next::Say(error.render().to_string(), code);
+            return Action::PrintText(error.render().to_string(), code);
         }
     };
     let settings = matches
@@ -93,11 +93,11 @@
         .cloned()
         .unwrap_or_default();
     if matches.get_flag("check") {
-        Next::Check(settings)
+        Action::Check(settings)
     } else if matches.get_flag("print") {
-        Next::Print(settings)
+        Action::PrintSettings(settings)
     } else {
-        Next::Run(settings)
+        Action::Run(settings)
     }
 }
 
--- a/crates/router/src/cli/tests.rs
+++ b/crates/router/src/cli/tests.rs
@@ -1,28 +1,28 @@
 use std::ffi::OsString;
 
-use super::{EXIT_DONE, EXIT_USAGE, Next, parse};
+use super::{Action, EXIT_DONE, EXIT_USAGE, parse};
 
-fn run(args: &[&str]) -> Next {
+fn run(args: &[&str]) -> Action {
     let program = ["godwitpost-router"];
     parse(program.iter().chain(args).map(OsString::from))
 }
 
 #[test]
 fn a_file_alone_runs_the_router() {
-    assert_eq!(run(&["--settings", "a.yaml"]), Next::Run("a.yaml".into()));
+    assert_eq!(run(&["--settings", "a.yaml"]), Action::Run("a.yaml".into()));
 }
 
 #[test]
 fn check_and_print_start_nothing() {
     let check = run(&["--check", "--settings", "a.yaml"]);
-    assert_eq!(check, Next::Check("a.yaml".into()));
+    assert_eq!(check, Action::Check("a.yaml".into()));
     let print = run(&["--print-settings", "--settings", "a.yaml"]);
-    assert_eq!(print, Next::Print("a.yaml".into()));
+    assert_eq!(print, Action::PrintSettings("a.yaml".into()));
 }
 
 #[test]
 fn help_documents_each_exit_code() {
-    let Next::Say(text, EXIT_DONE) = run(&["--help"]) else {
+    let Action::PrintText(text, EXIT_DONE) = run(&["--help"]) else {
         panic!("help is no error");
     };
     for code in 0..=4 {
@@ -38,6 +38,8 @@
         &["--setting", "a"],
         &["--check", "--print-settings"],
     ] {
-        assert!(matches!(run(args), Next::Say(text, EXIT_USAGE) if text.contains("--settings")));
+        assert!(
+            matches!(run(args), Action::PrintText(text, EXIT_USAGE) if text.contains("--settings"))
+        );
     }
 }
--- a/crates/router/src/control.rs
+++ b/crates/router/src/control.rs
@@ -45,7 +45,7 @@
 
 /// Events that may wait for the control thread. Far above what comes in a
 /// second; a full channel makes traffic wait rather than grow memory.
-pub(crate) const EVENTS: usize = 4096;
+pub(crate) const EVENT_QUEUE_CAPACITY: usize = 4096;
 
 /// How often time passes: waits in queues end, suspicions ripen.
 const TICK: Duration = Duration::from_millis(50);
@@ -67,33 +67,33 @@
     /// An answer of the platform's list.
     Listing(Listing),
     /// Records of the bundles' stream; none if there is nothing new.
-    Bundles(Vec<log::Record>),
+    BundleRecords(Vec<log::Record>),
     /// A checkpoint was appended, or could not be.
-    Renewed,
+    RenewalEnded,
     /// An instance said that it holds this bundle version.
-    Heard(InstanceId, Version),
+    PeerVersion(InstanceId, Version),
     /// What an instance answered when asked for its bundle.
-    Fetched(Option<Bytes>),
+    BundleFetched(Option<Bytes>),
     /// A peer asks for the bundle, given the version that it holds.
-    Bundle(Version, oneshot::Sender<Option<Bytes>>),
+    BundleRequest(Version, oneshot::Sender<Option<Bytes>>),
     /// A peer's gossip, answered by ours unless the budget forbids.
-    Gossip(Message, usize, oneshot::Sender<Option<Bytes>>),
+    GossipRequest(Message, usize, oneshot::Sender<Option<Bytes>>),
     /// What a peer answered to our gossip, with its size; `None` if it could
     /// not be reached.
-    Answered(InstanceId, Option<(Message, usize)>),
+    GossipResponse(InstanceId, Option<(Message, usize)>),
     /// An owned endpoint's report, with the models that it names.
     Report(EndpointId, Report, Option<Vec<String>>),
     /// What an engine that another instance owns answered when asked for its
     /// report, with the answer's size.
-    Swept(EndpointId, Option<probe::Told>),
+    SweepReport(EndpointId, Option<probe::Told>),
     /// The log's answer to a call about a service's lease.
-    Lease(ServiceId, orders::Call),
+    LeaseCall(ServiceId, orders::Call),
     /// What came of an order to an engine, by its fencing number.
-    Ordered(ServiceId, EndpointId, Offset, orders::Sent),
+    OrderResult(ServiceId, EndpointId, Offset, orders::Sent),
     /// An engine's cache events, with their size.
-    Cache(EndpointId, CachePage, usize),
+    CacheEvents(EndpointId, CachePage, usize),
     /// An endpoint's answer said that it is leaving.
-    Leaving(LeavingNotice),
+    EndpointLeaving(LeavingNotice),
     /// A claim or fate for the local batcher.
     Claim {
         /// What to append.
@@ -102,7 +102,7 @@
         reply: oneshot::Sender<Verdict>,
     },
     /// The log's answer to a batcher's call.
-    Batch(batchers::Result),
+    BatcherCall(batchers::Result),
     /// This instance begins to leave; answered when that is published.
     Leave(oneshot::Sender<()>),
 }
@@ -212,28 +212,28 @@
         let now = self.shared.now();
         match event {
             Event::Listing(listing) => self.listed(now, &listing),
-            Event::Bundles(records) => self.records(&records),
-            Event::Renewed => self.renewing = false,
-            Event::Heard(instance, version) => self.heard(instance, version),
-            Event::Fetched(bytes) => self.fetched(bytes),
-            Event::Bundle(version, reply) => answer(reply, self.bundle(version)),
-            Event::Gossip(message, bytes, reply) => {
+            Event::BundleRecords(records) => self.records(&records),
+            Event::RenewalEnded => self.renewing = false,
+            Event::PeerVersion(instance, version) => self.heard(instance, version),
+            Event::BundleFetched(bytes) => self.fetched(bytes),
+            Event::BundleRequest(version, reply) => answer(reply, self.bundle(version)),
+            Event::GossipRequest(message, bytes, reply) => {
                 let said = self.asked(now, &message, bytes);
                 answer(reply, said);
             }
-            Event::Answered(instance, said) => self.answered(now, instance, said),
+            Event::GossipResponse(instance, said) => self.answered(now, instance, said),
             Event::Report(endpoint, report, models) => {
                 self.reported(now, endpoint, &report, models);
             }
-            Event::Swept(endpoint, told) => self.swept(now, endpoint, told),
-            Event::Lease(service, call) => self.leased(now, service, call),
-            Event::Ordered(service, endpoint, fence, sent) => {
+            Event::SweepReport(endpoint, told) => self.swept(now, endpoint, told),
+            Event::LeaseCall(service, call) => self.leased(now, service, call),
+            Event::OrderResult(service, endpoint, fence, sent) => {
                 self.ordered(service, endpoint, fence, &sent);
             }
-            Event::Cache(endpoint, page, bytes) => self.cached(endpoint, &page, bytes),
-            Event::Leaving(leaving) => self.endpoints.apply_notice(leaving),
+            Event::CacheEvents(endpoint, page, bytes) => self.cached(endpoint, &page, bytes),
+            Event::EndpointLeaving(leaving) => self.endpoints.apply_notice(leaving),
             Event::Claim { item, reply } => self.claim(now, item, reply),
-            Event::Batch(result) => self.batched(now, result),
+            Event::BatcherCall(result) => self.batched(now, result),
             Event::Leave(done) => {
                 self.roster.leave();
                 self.publish();
@@ -247,9 +247,9 @@
         let now = self.shared.now();
         self.changes(now);
         self.shared.desk.tick(now);
-        if let Some(due) = handover::due(&self.shared) {
+        if let Some(due) = handover::next_batch(&self.shared) {
             let shared = Arc::clone(&self.shared);
-            tokio::spawn(async move { handover::send(&shared, due).await });
+            tokio::spawn(async move { handover::send_batch(&shared, due).await });
         }
         self.gossip(now);
         self.probe(now);
@@ -290,24 +290,32 @@
 ///
 /// Never waits: a note lost to a full channel comes again with the next
 /// message.
-pub(crate) fn heard(shared: &Shared, instance: InstanceId, version: Version) {
+pub(crate) fn report_peer_version(shared: &Shared, instance: InstanceId, version: Version) {
     if version > shared.version() {
-        drop(shared.control.try_send(Event::Heard(instance, version)));
+        drop(
+            shared
+                .control
+                .try_send(Event::PeerVersion(instance, version)),
+        );
     }
 }
 
 /// Notes that an instance could not be reached.
-pub(crate) fn unreachable(shared: &Shared, instance: InstanceId) {
-    drop(shared.control.try_send(Event::Answered(instance, None)));
+pub(crate) fn report_unreachable(shared: &Shared, instance: InstanceId) {
+    drop(
+        shared
+            .control
+            .try_send(Event::GossipResponse(instance, None)),
+    );
 }
 
 /// Notes that an endpoint's answer said that it is leaving.
-pub(crate) fn leaving(shared: &Shared, endpoint: &Endpoint) {
+pub(crate) fn report_leaving(shared: &Shared, endpoint: &Endpoint) {
     let leaving = LeavingNotice {
         id: endpoint.id,
         incarnation: endpoint.incarnation,
     };
-    drop(shared.control.try_send(Event::Leaving(leaving)));
+    drop(shared.control.try_send(Event::EndpointLeaving(leaving)));
 }
 
 // Whoever asked may be gone; then nobody needs the answer.
--- a/crates/router/src/control/batchers.rs
+++ b/crates/router/src/control/batchers.rs
@@ -128,7 +128,7 @@
                     tokio::spawn(async move {
                         let call = append(&log, partition, ticket, body).await;
                         let result = Result { partition, call };
-                        drop(events.send(Event::Batch(result)).await);
+                        drop(events.send(Event::BatcherCall(result)).await);
                     });
                 }
                 Next::Read { from, limit } => {
@@ -136,7 +136,7 @@
                     tokio::spawn(async move {
                         let call = read(&log, partition, from, limit).await;
                         let result = Result { partition, call };
-                        drop(events.send(Event::Batch(result)).await);
+                        drop(events.send(Event::BatcherCall(result)).await);
                     });
                 }
                 Next::Reply { id, verdict } => {
--- a/crates/router/src/control/bundles.rs
+++ b/crates/router/src/control/bundles.rs
@@ -61,7 +61,7 @@
                 continue;
             }
         };
-        if io.events.send(Event::Bundles(records)).await.is_err() {
+        if io.events.send(Event::BundleRecords(records)).await.is_err() {
             return;
         }
     }
@@ -90,7 +90,7 @@
         let version = self.fold.version();
         tokio::spawn(async move {
             let bytes = fetch(&shared, &io.peers, &instance, version).await;
-            drop(io.events.send(Event::Fetched(bytes)).await);
+            drop(io.events.send(Event::BundleFetched(bytes)).await);
         });
     }
 
--- a/crates/router/src/control/gossip.rs
+++ b/crates/router/src/control/gossip.rs
@@ -62,7 +62,7 @@
                     Exchange::Deferred => return,
                     Exchange::Unreachable => None,
                 };
-                drop(io.events.send(Event::Answered(peer, said)).await);
+                drop(io.events.send(Event::GossipResponse(peer, said)).await);
             });
         }
     }
--- a/crates/router/src/control/orders/lease.rs
+++ b/crates/router/src/control/orders/lease.rs
@@ -25,13 +25,13 @@
 
 pub(super) async fn append(io: Io, service: ServiceId, ticket: u64, body: Vec<u8>) {
     let appended = io.log.append(STREAM_NAME, Bytes::from(body)).await;
-    let event = Event::Lease(service, Call::Appended(ticket, appended));
+    let event = Event::LeaseCall(service, Call::Appended(ticket, appended));
     drop(io.events.send(event).await);
 }
 
 pub(super) async fn read(io: Io, service: ServiceId, from: Offset, limit: u32) {
     let page = page(&io.log, from, limit).await;
-    let event = Event::Lease(service, Call::Read(limit, page));
+    let event = Event::LeaseCall(service, Call::Read(limit, page));
     drop(io.events.send(event).await);
 }
 
--- a/crates/router/src/control/orders/send.rs
+++ b/crates/router/src/control/orders/send.rs
@@ -49,7 +49,7 @@
     } else {
         send(&io, &endpoint, &body).await
     };
-    let event = Event::Ordered(service, endpoint.id, fence, sent);
+    let event = Event::OrderResult(service, endpoint.id, fence, sent);
     drop(io.events.send(event).await);
 }
 
--- a/crates/router/src/control/probe.rs
+++ b/crates/router/src/control/probe.rs
@@ -248,7 +248,7 @@
     let Some(from) = from else { return };
     let path = format!("/v1/cache-events?from={from}");
     if let Some((page, bytes)) = get::<CachePage>(&io, &endpoint, &path).await {
-        let event = Event::Cache(endpoint.id, page, bytes);
+        let event = Event::CacheEvents(endpoint.id, page, bytes);
         drop(io.events.send(event).await);
     }
 }
@@ -256,7 +256,7 @@
 /// Asks an endpoint that another instance owns for its report.
 pub(super) async fn sweep(io: Io, endpoint: Endpoint) {
     let told = report(&io, &endpoint).await;
-    drop(io.events.send(Event::Swept(endpoint.id, told)).await);
+    drop(io.events.send(Event::SweepReport(endpoint.id, told)).await);
 }
 
 async fn report(io: &Io, endpoint: &Endpoint) -> Option<Told> {
--- a/crates/router/src/control/renew.rs
+++ b/crates/router/src/control/renew.rs
@@ -33,7 +33,7 @@
                     break;
                 }
             }
-            drop(io.events.send(Event::Renewed).await);
+            drop(io.events.send(Event::RenewalEnded).await);
         });
     }
 
--- a/crates/router/src/handover.rs
+++ b/crates/router/src/handover.rs
@@ -28,30 +28,30 @@
 ///
 /// The owner bounds how many, so that a change of the list costs each instance
 /// a trickle and no burst.
-pub(crate) fn due(shared: &Shared) -> Option<Vec<(InstanceId, Location)>> {
+pub(crate) fn next_batch(shared: &Shared) -> Option<Vec<(InstanceId, Location)>> {
     shared.desk.with(Owner::next_handover_batch)
 }
 
 /// Sends locations to the owners that they belong to.
-pub(crate) async fn send(shared: &Shared, due: Vec<(InstanceId, Location)>) {
+pub(crate) async fn send_batch(shared: &Shared, due: Vec<(InstanceId, Location)>) {
     let mut moves: BTreeMap<InstanceId, Vec<Location>> = BTreeMap::new();
     for (instance, location) in due {
         moves.entry(instance).or_default().push(location);
     }
     for (instance, locations) in moves {
-        tell(shared, instance, &locations).await;
+        send_locations(shared, instance, &locations).await;
     }
 }
 
 /// Hands over all, as on a graceful stop.
-pub(crate) async fn all(shared: &Shared) {
-    while let Some(due) = due(shared) {
-        send(shared, due).await;
+pub(crate) async fn send_all(shared: &Shared) {
+    while let Some(due) = next_batch(shared) {
+        send_batch(shared, due).await;
     }
 }
 
 /// Tells an owner where chats have their context.
-pub(crate) async fn tell(shared: &Shared, owner: InstanceId, locations: &[Location]) {
+pub(crate) async fn send_locations(shared: &Shared, owner: InstanceId, locations: &[Location]) {
     let snapshot = shared.snapshot();
     let instance = snapshot.view.instance(owner);
     let Some(instance) = instance.filter(|instance| instance.id != shared.local()) else {
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -20,4 +20,4 @@
 mod shutdown;
 
 pub use running::{Error, Hurry, Running, start};
-pub use shutdown::Stopped;
+pub use shutdown::ShutdownResult;
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -5,10 +5,10 @@
 
 use godwitpost_process::logging;
 use godwitpost_router::cli::{
-    EXIT_CUT, EXIT_DONE, EXIT_DRAIN, EXIT_START, EXIT_USAGE, Next, parse,
+    Action, EXIT_ABORTED, EXIT_DONE, EXIT_DRAIN_TIMEOUT, EXIT_START_FAILED, EXIT_USAGE, parse,
 };
 use godwitpost_router::settings::Settings;
-use godwitpost_router::{Stopped, start};
+use godwitpost_router::{ShutdownResult, start};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
 #[global_allocator]
@@ -16,17 +16,17 @@
 
 fn main() -> ExitCode {
     let code = match parse(std::env::args_os()) {
-        Next::Run(path) => with(&path, run),
-        Next::Check(path) => with(&path, |_| EXIT_DONE),
-        Next::Print(path) => with(&path, |settings| {
+        Action::Run(path) => with(&path, run),
+        Action::Check(path) => with(&path, |_| EXIT_DONE),
+        Action::PrintSettings(path) => with(&path, |settings| {
             print!("{}", settings.print());
             EXIT_DONE
         }),
-        Next::Say(text, EXIT_DONE) => {
+        Action::PrintText(text, EXIT_DONE) => {
             print!("{text}");
             EXIT_DONE
         }
-        Next::Say(text, code) => {
+        Action::PrintText(text, code) => {
             eprint!("{text}");
             code
         }
@@ -54,7 +54,7 @@
     let result = runtime.and_then(|runtime| runtime.block_on(until_signal(settings)));
     result.unwrap_or_else(|error| {
         eprintln!("can't start: {error}");
-        EXIT_START
+        EXIT_START_FAILED
     })
 }
 
@@ -81,10 +81,14 @@
         }
     };
     Ok(match stopped {
-        Stopped::Whole => EXIT_DONE,
-        Stopped::Cut { requests } => {
+        ShutdownResult::Drained => EXIT_DONE,
+        ShutdownResult::Aborted { requests } => {
             log::warn!(requests = requests; "requests in flight were cut");
-            if hurried { EXIT_CUT } else { EXIT_DRAIN }
+            if hurried {
+                EXIT_ABORTED
+            } else {
+                EXIT_DRAIN_TIMEOUT
+            }
         }
     })
 }
--- a/crates/router/src/relay/endpoint.rs
+++ b/crates/router/src/relay/endpoint.rs
@@ -30,7 +30,7 @@
     };
     if let Some((home, location)) = leave.grant().notify_home {
         let shared = Arc::clone(shared);
-        tokio::spawn(async move { handover::tell(&shared, home, &[location]).await });
+        tokio::spawn(async move { handover::send_locations(&shared, home, &[location]).await });
     }
     // Dropped while the engine works, this cancels there.
     let mut cancel = Cancel::armed(shared, &target, job);
@@ -173,7 +173,7 @@
     if response.status() == StatusCode::SERVICE_UNAVAILABLE
         && leaving.is_some_and(|value| value == "leaving")
     {
-        control::leaving(shared, &target.endpoint);
+        control::report_leaving(shared, &target.endpoint);
         return Some(Ending::Leaving);
     }
     // An engine answers these before it starts; a plain service may mean
--- a/crates/router/src/relay/entry.rs
+++ b/crates/router/src/relay/entry.rs
@@ -201,7 +201,7 @@
     fn avoid(&self, instance: InstanceId) {
         let now = self.shared.now();
         self.shared.gate().avoid(now, instance);
-        control::unreachable(self.shared, instance);
+        control::report_unreachable(self.shared, instance);
     }
 
     fn remote(&self, instance: InstanceId) -> Option<&Instance> {
--- a/crates/router/src/relay/once.rs
+++ b/crates/router/src/relay/once.rs
@@ -22,7 +22,7 @@
 use super::endpoint::{self, Target};
 use super::{Attempt, Job};
 use crate::body;
-use crate::claims::{self, Kept};
+use crate::claims::{self, CachedResponse};
 use crate::problem::Problem;
 use crate::shared::Shared;
 
@@ -40,7 +40,7 @@
 pub(crate) async fn run(shared: &Arc<Shared>, leave: Leave, job: &Job) -> Attempt {
     match claimed(shared, job).await {
         Claimed::Here(id) => started(shared, leave, job, id).await,
-        Claimed::Kept(kept) => answered(kept, true),
+        Claimed::CachedResponse(kept) => answered(kept, true),
         Claimed::Not(problem) => told(problem),
     }
 }
@@ -56,7 +56,7 @@
         return Ok(None);
     };
     let mut claims = shared.claims.lock();
-    match claims.answers.get(shared.now(), key, &request.digest) {
+    match claims.responses.get(shared.now(), key, &request.digest) {
         Lookup::Hit(kept) => Ok(Some(answered(kept.clone(), true))),
         Lookup::OtherBody => Err(problem(Refusal::OtherBody)),
         Lookup::Miss => Ok(None),
@@ -77,7 +77,7 @@
     /// This instance holds it.
     Here(Id),
     /// Another one holds it, and has this answer.
-    Kept(Kept),
+    CachedResponse(CachedResponse),
     /// The request is refused.
     Not(Problem),
 }
@@ -93,17 +93,18 @@
         .lock()
         .holder
         .open(&key, request.digest, request.deadline);
-    let verdict = claims::ask(shared, record).await;
+    let verdict = claims::request_verdict(shared, record).await;
     if let Verdict::Taken { by, .. } = verdict
         && by.holder != shared.local()
-        && let Some(kept) = claims::fetch(shared, by.holder, &digest, &request.digest).await
+        && let Some(kept) =
+            claims::fetch_response(shared, by.holder, &digest, &request.digest).await
     {
         shared
             .claims
             .lock()
             .holder
             .apply_verdict(shared.now(), record.id, verdict);
-        return Claimed::Kept(kept);
+        return Claimed::CachedResponse(kept);
     }
     let now = shared.now();
     let step = shared
@@ -169,7 +170,7 @@
     target: &Target,
     leave: &Leave,
     job: &Job,
-) -> Result<Kept, Ending> {
+) -> Result<CachedResponse, Ending> {
     let response = endpoint::send(shared, target, leave.grant(), job).await?;
     if let Some(ending) = endpoint::refused(shared, target, &response) {
         return Err(ending);
@@ -177,7 +178,7 @@
     whole(response).await.ok_or(Ending::Broken)
 }
 
-async fn whole(response: Response<Received>) -> Option<Kept> {
+async fn whole(response: Response<Received>) -> Option<CachedResponse> {
     let (mut parts, received) = response.into_parts();
     endpoint::clean(&mut parts.headers);
     // An answer that ends with its connection may be half of one.
@@ -186,14 +187,14 @@
     }
     let read = body::collect(received, ANSWER_BYTES);
     let body = tokio::time::timeout(ANSWER_WAIT, read).await.ok()?.ok()?;
-    Some(Kept {
+    Some(CachedResponse {
         status: parts.status,
         headers: parts.headers,
         body,
     })
 }
 
-fn ran(shared: &Arc<Shared>, id: Id, job: &Job, kept: Kept) -> Attempt {
+fn ran(shared: &Arc<Shared>, id: Id, job: &Job, kept: CachedResponse) -> Attempt {
     // A service that failed may have done half of it or nothing. Its answer is
     // passed on, but says nothing to a caller that comes again.
     if kept.status.is_server_error() {
@@ -207,7 +208,7 @@
         let now = shared.now();
         let mut claims = shared.claims.lock();
         claims
-            .answers
+            .responses
             .insert(now, key, request.digest, kept.clone(), size);
     }
     answered(kept, false)
@@ -216,7 +217,7 @@
 /// Bytes that the head of a kept answer is counted as.
 const KEPT_HEAD: usize = 512;
 
-fn answered(kept: Kept, replayed: bool) -> Attempt {
+fn answered(kept: CachedResponse, replayed: bool) -> Attempt {
     let mut response = Response::new(body::full(kept.body));
     *response.status_mut() = kept.status;
     *response.headers_mut() = kept.headers;
@@ -254,7 +255,7 @@
 // Best effort, so the caller does not wait for it.
 fn tell(shared: &Arc<Shared>, fate: Item) {
     let shared = Arc::clone(shared);
-    tokio::spawn(async move { claims::tell(&shared, fate).await });
+    tokio::spawn(async move { claims::report_outcome(&shared, fate).await });
 }
 
 fn told(problem: Problem) -> Attempt {
--- a/crates/router/src/relay/peer.rs
+++ b/crates/router/src/relay/peer.rs
@@ -112,7 +112,7 @@
         .get(header::BUNDLE)
         .and_then(|value| value.to_str().ok()?.parse().ok());
     if let Some(version) = version {
-        crate::control::heard(shared, instance.id, version);
+        crate::control::report_peer_version(shared, instance.id, version);
     }
 }
 
--- a/crates/router/src/running.rs
+++ b/crates/router/src/running.rs
@@ -23,7 +23,7 @@
 use crate::serve::{self, callers, operators, peers};
 use crate::settings::Settings;
 use crate::shared::{Shared, Snapshot};
-use crate::shutdown::{self, Stopped};
+use crate::shutdown::{self, ShutdownResult};
 use godwitpost_process::serve::{Port, run};
 
 /// Why a router could not start.
@@ -78,7 +78,7 @@
     };
     let traffic = traffic(&settings).map_err(Error::Threads)?;
     let own = own(&settings, addresses);
-    let (sender, events) = mpsc::channel(control::EVENTS);
+    let (sender, events) = mpsc::channel(control::EVENT_QUEUE_CAPACITY);
     let shared = Arc::new(shared(settings, &own, sender));
     let control = control(Arc::clone(&shared), own, events).map_err(Error::Threads)?;
     let (closing, _) = watch::channel(false);
@@ -214,7 +214,7 @@
 
     /// Shuts down gracefully: serves until the balancer knows, finishes what
     /// is in flight, hands chats over, and ends.
-    pub async fn stop_gracefully(mut self) -> Stopped {
+    pub async fn stop_gracefully(mut self) -> ShutdownResult {
         let shutdown = shutdown::run(
             Arc::clone(&self.shared),
             self.closing.clone(),
@@ -223,11 +223,11 @@
         // On the router's own threads, since its connections live there.
         let stopped = match &self.traffic {
             Some(traffic) => traffic.spawn(shutdown).await,
-            None => Ok(Stopped::Whole),
+            None => Ok(ShutdownResult::Drained),
         };
         self.close().await;
         self.end();
-        stopped.unwrap_or(Stopped::Cut { requests: 0 })
+        stopped.unwrap_or(ShutdownResult::Aborted { requests: 0 })
     }
 
     // Nothing is in flight, but a peer may be sending: connections are closed
--- a/crates/router/src/serve/peers.rs
+++ b/crates/router/src/serve/peers.rs
@@ -75,7 +75,7 @@
     let version = parts.headers.get(header::BUNDLE);
     let version = version.and_then(|value| value.to_str().ok()?.parse().ok());
     if let Some(version) = version {
-        crate::control::heard(shared, id::of(sender), version);
+        crate::control::report_peer_version(shared, id::of(sender), version);
     }
 }
 
@@ -83,7 +83,7 @@
     match (&parts.method, parts.uri.path()) {
         (&Method::POST, dispatch::PATH) => dispatched(shared, &bytes).await,
         (&Method::POST, claims::PATH) => claim(shared, &bytes).await,
-        (&Method::POST, claims::ANSWER_PATH) => kept(shared, &bytes),
+        (&Method::POST, claims::RESPONSE_PATH) => kept(shared, &bytes),
         (&Method::POST, peer::EVIDENCE) => testified(shared, &bytes),
         (&Method::POST, gossip::PATH) => gossiped(shared, &bytes).await,
         (&Method::POST, handover::PATH) => taken_over(shared, &bytes),
@@ -148,7 +148,7 @@
         return status(StatusCode::BAD_REQUEST);
     };
     let mut claims = shared.claims.lock();
-    match claims.answers.get(shared.now(), &key, &digest) {
+    match claims.responses.get(shared.now(), &key, &digest) {
         Lookup::Hit(kept) => Response::new(body::full(kept.encode())),
         Lookup::OtherBody | Lookup::Miss => status(StatusCode::NOT_FOUND),
     }
@@ -159,7 +159,7 @@
         return status(StatusCode::BAD_REQUEST);
     };
     let (reply, answer) = oneshot::channel();
-    let event = Event::Gossip(message, bytes.len(), reply);
+    let event = Event::GossipRequest(message, bytes.len(), reply);
     if shared.control.send(event).await.is_err() {
         return status(StatusCode::SERVICE_UNAVAILABLE);
     }
@@ -193,7 +193,7 @@
         .and_then(|query| query.strip_prefix("since=")?.parse().ok())
         .unwrap_or(0);
     let (reply, answer) = oneshot::channel();
-    let event = Event::Bundle(since, reply);
+    let event = Event::BundleRequest(since, reply);
     if shared.control.send(event).await.is_err() {
         return status(StatusCode::SERVICE_UNAVAILABLE);
     }
--- a/crates/router/src/shutdown.rs
+++ b/crates/router/src/shutdown.rs
@@ -17,11 +17,11 @@
 
 /// How a graceful shutdown ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stopped {
+pub enum ShutdownResult {
     /// Nothing was in flight any more.
-    Whole,
+    Drained,
     /// The limit passed, or a second signal came, with requests in flight.
-    Cut {
+    Aborted {
         /// How many were cut.
         requests: usize,
     },
@@ -32,7 +32,7 @@
     shared: Arc<Shared>,
     closing: watch::Sender<bool>,
     hurry: watch::Receiver<bool>,
-) -> Stopped {
+) -> ShutdownResult {
     let mut drain = Drain::new(Limits {
         balancer_lag: shared.settings.balancer_lag,
         hard_limit: shared.settings.drain,
@@ -58,12 +58,12 @@
             Next::Close { .. } => {
                 closed = true;
                 closing.send_replace(true);
-                handover::all(&shared).await;
+                handover::send_all(&shared).await;
                 drain.record_handover();
             }
             Next::Serve | Next::Wait { .. } => {}
-            Next::Exit { aborted: 0 } => return Stopped::Whole,
-            Next::Exit { aborted } => return Stopped::Cut { requests: aborted },
+            Next::Exit { aborted: 0 } => return ShutdownResult::Drained,
+            Next::Exit { aborted } => return ShutdownResult::Aborted { requests: aborted },
         }
         tokio::time::sleep(TICK).await;
     }
--- a/crates/router/tests/router/chats.rs
+++ b/crates/router/tests/router/chats.rs
@@ -4,7 +4,7 @@
 use godwitpost_standin::engine::{self, End};
 use http_body_util::BodyExt as _;
 
-use crate::fleet::{Fleet, Size, chat, outcome, until, words};
+use crate::fleet::{Fleet, Size, chat, outcome, wait_until, words};
 
 const SIZE: Size = Size {
     routers: 3,
@@ -77,7 +77,7 @@
         response.frame().await.unwrap().unwrap();
         drop(response);
     }
-    until("each run is cancelled", async || {
+    wait_until("each run is cancelled", async || {
         let runs = fleet.engines.iter().flat_map(engine::Running::runs);
         let ends: Vec<Option<End>> = runs.map(|run| run.end).collect();
         ends.len() == SIZE.routers && ends.iter().all(|end| *end == Some(End::Cancelled))
--- a/crates/router/tests/router/engine_orders.rs
+++ b/crates/router/tests/router/engine_orders.rs
@@ -9,7 +9,7 @@
 use godwitpost_types::id::{self, Offset};
 use http::Request;
 
-use crate::fleet::{Fleet, Size, chat, full, outcome, until, until_within};
+use crate::fleet::{Fleet, Size, chat, full, outcome, wait_until, wait_until_within};
 
 const SIZE: Size = Size {
     routers: 3,
@@ -33,7 +33,7 @@
 
 async fn held(fleet: &Fleet, but: Option<u64>) -> (u64, Offset) {
     let wanted = || holder(fleet).filter(|(holder, _)| Some(*holder) != but);
-    until_within(TERMS, "a router holds the lease", async || {
+    wait_until_within(TERMS, "a router holds the lease", async || {
         wanted().is_some()
     })
     .await;
@@ -50,7 +50,7 @@
         let known = records.any(|r| Record::decode(&r.body).as_ref().is_some_and(renews));
         known.then_some((holder, fence))
     };
-    until_within(TERMS, "a router renews the lease", async || {
+    wait_until_within(TERMS, "a router renews the lease", async || {
         renewed().is_some()
     })
     .await;
@@ -104,7 +104,7 @@
     let fleet = Fleet::start(SIZE).await;
     fleet.roll_weights("8");
     let mut drafts = 0;
-    until_within(TERMS, "every engine has the new weights", async || {
+    wait_until_within(TERMS, "every engine has the new weights", async || {
         draft(&fleet, drafts).await;
         drafts += 1;
         have(&fleet, "writer@8") == SIZE.engines
@@ -126,13 +126,13 @@
 async fn a_killed_holder_is_succeeded_and_its_fence_refused() {
     let mut fleet = Fleet::start(SIZE).await;
     fleet.roll_weights("8");
-    until_within(TERMS, "the roll has begun", async || {
+    wait_until_within(TERMS, "the roll has begun", async || {
         !orders(&fleet).is_empty()
     })
     .await;
     let (first, old) = held(&fleet, None).await;
     take(&mut fleet, first).kill();
-    until_within(TERMS, "the roll is finished", async || {
+    wait_until_within(TERMS, "the roll is finished", async || {
         have(&fleet, "writer@8") == SIZE.engines
     })
     .await;
@@ -172,8 +172,8 @@
     });
     assert!(released, "a graceful stop gives the lease back");
     assert_eq!(stale(&fleet, 0, old, "6").await, 202);
-    until("the engine obeys", async || have(&fleet, "writer@6") == 1).await;
-    until_within(TERMS, "the wanted weights are back", async || {
+    wait_until("the engine obeys", async || have(&fleet, "writer@6") == 1).await;
+    wait_until_within(TERMS, "the wanted weights are back", async || {
         have(&fleet, "writer@7") == SIZE.engines
     })
     .await;
@@ -201,7 +201,7 @@
     // Whoever holds the lease now has lost it after a term.
     tokio::time::sleep(LEASE_DURATION).await;
     assert_eq!(stale(&fleet, 0, fence, "6").await, 202);
-    until("the engine obeys", async || have(&fleet, "writer@6") == 1).await;
+    wait_until("the engine obeys", async || have(&fleet, "writer@6") == 1).await;
     // A holder would see it in the next reports, within seconds.
     let end = tokio::time::Instant::now() + LEASE_DURATION;
     let mut drafts = 0;
@@ -211,7 +211,7 @@
     }
     assert_eq!(orders(&fleet).len(), 1, "only the stale one");
     fleet.log.faults().change(|faults| faults.down = false);
-    until_within(TERMS, "the wanted weights are back", async || {
+    wait_until_within(TERMS, "the wanted weights are back", async || {
         have(&fleet, "writer@7") == SIZE.engines
     })
     .await;
--- a/crates/router/tests/router/faults.rs
+++ b/crates/router/tests/router/faults.rs
@@ -9,7 +9,7 @@
 use http_body_util::BodyExt as _;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 
-use crate::fleet::{Fleet, Size, chat, key, order, outcome, until, words};
+use crate::fleet::{Fleet, Size, chat, key, order, outcome, wait_until, words};
 
 const SIZE: Size = Size {
     routers: 3,
@@ -115,9 +115,9 @@
     let request = order(&key, "guides");
     let asking =
         tokio::spawn(async move { client.send(address, request, Duration::from_secs(20)).await });
-    until("the order runs", async || runs() == 1).await;
+    wait_until("the order runs", async || runs() == 1).await;
     asking.abort();
-    until("its answer is kept", async || {
+    wait_until("its answer is kept", async || {
         let (_, headers, _) = fleet.ask(1, order(&key, "guides")).await;
         outcome(&headers) == "ran" && headers.contains_key("godwitpost-replayed")
     })
@@ -133,7 +133,7 @@
     fleet.log.faults().change(|faults| faults.down = true);
     fleet.add_router(3, &Private::from_seed(&[3; 32]));
     let late = fleet.routers[3].callers_address();
-    until("the late router is ready", async || {
+    wait_until("the late router is ready", async || {
         fleet.get(late, "/readyz").await.0 == 200
     })
     .await;
@@ -148,7 +148,7 @@
     fleet.roll_after(1);
     for router in &fleet.routers {
         let operators = router.operators_address();
-        until("the second version is in force", async || {
+        wait_until("the second version is in force", async || {
             let (_, _, bundle) = fleet.get(operators, "/bundle").await;
             let bundle: serde_json::Value = serde_json::from_slice(&bundle).unwrap();
             bundle["version"] == 2
@@ -186,7 +186,7 @@
                 .iter()
                 .find(|engine| !engine.runs().is_empty())
         };
-        until("the draft runs", async || running().is_some()).await;
+        wait_until("the draft runs", async || running().is_some()).await;
         running().unwrap().crash(Duration::from_secs(1));
     };
     let ((status, headers, body), ()) = tokio::join!(asking, crashing);
@@ -254,7 +254,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_bundle_outlives_its_record_and_all_routers() {
     let mut fleet = Fleet::start_with(SIZE, Duration::from_secs(3)).await;
-    until("the bundle is appended again", async || {
+    wait_until("the bundle is appended again", async || {
         fleet.log.records("bundles").len() > 1
     })
     .await;
@@ -262,7 +262,7 @@
     fleet.routers.drain(..).for_each(Running::kill);
     fleet.add_router(4, &Private::from_seed(&[3; 32]));
     let late = fleet.routers[0].callers_address();
-    until("a router without memory is ready", async || {
+    wait_until("a router without memory is ready", async || {
         fleet.get(late, "/readyz").await.0 == 200
     })
     .await;
@@ -281,7 +281,7 @@
     fleet.log.faults().change(|faults| faults.slow = slow);
     fleet.add_router(0, &Private::from_seed(&[3; 32]));
     let operators = fleet.routers[0].operators_address();
-    until("the last version is in force", async || {
+    wait_until("the last version is in force", async || {
         let (_, _, bundle) = fleet.get(operators, "/bundle").await;
         let bundle: serde_json::Value = serde_json::from_slice(&bundle).unwrap();
         let version = bundle["version"].as_u64().unwrap();
@@ -313,7 +313,7 @@
             .body(crate::fleet::full(""))
             .unwrap()
     };
-    until(
+    wait_until(
         "the service is known and its answer breaks off",
         async || {
             let response = fleet.send(0, stock()).await.unwrap();
@@ -338,7 +338,7 @@
     fleet.add_router(9, &Private::from_seed(&[3; 32]));
     let late = fleet.routers.last().unwrap();
     let (callers, operators) = (late.callers_address(), late.operators_address());
-    until("the new router holds the bundle", async || {
+    wait_until("the new router holds the bundle", async || {
         let (_, _, bundle) = fleet.get(operators, "/bundle").await;
         let bundle: serde_json::Value = serde_json::from_slice(&bundle).unwrap();
         bundle["version"] == 1
@@ -350,7 +350,7 @@
         (503, b"no instance list yet\n".as_slice())
     );
     fleet.list.faults().change(|faults| faults.down = false);
-    until("the new router is ready", async || {
+    wait_until("the new router is ready", async || {
         fleet.get(callers, "/readyz").await.0 == 200
     })
     .await;
--- a/crates/router/tests/router/fleet.rs
+++ b/crates/router/tests/router/fleet.rs
@@ -188,7 +188,7 @@
     async fn ready(&self, size: Size) {
         let endpoints = size.engines + size.plains;
         for router in &self.routers {
-            until("a router is ready", async || {
+            wait_until("a router is ready", async || {
                 let (ready, _, _) = self.get(router.callers_address(), "/readyz").await;
                 let (_, _, known) = self.get(router.operators_address(), "/endpoints").await;
                 let known: Vec<serde_json::Value> = serde_json::from_slice(&known).unwrap();
@@ -216,7 +216,7 @@
         router: usize,
         request: Request<Body>,
     ) -> (StatusCode, HeaderMap, Bytes) {
-        whole(self.send(router, request).await.unwrap()).await
+        read_response(self.send(router, request).await.unwrap()).await
     }
 
     pub(crate) async fn get(
@@ -225,7 +225,7 @@
         path: &str,
     ) -> (StatusCode, HeaderMap, Bytes) {
         let request = Request::get(path).body(full("")).unwrap();
-        whole(self.client.send(address, request, LONG).await.unwrap()).await
+        read_response(self.client.send(address, request, LONG).await.unwrap()).await
     }
 }
 
@@ -292,19 +292,19 @@
         .collect()
 }
 
-pub(crate) async fn whole(response: Response<Received>) -> (StatusCode, HeaderMap, Bytes) {
+pub(crate) async fn read_response(response: Response<Received>) -> (StatusCode, HeaderMap, Bytes) {
     let (parts, body) = response.into_parts();
     let bytes = body.collect().await.unwrap().to_bytes();
     (parts.status, parts.headers, bytes)
 }
 
 /// Waits until something holds; the bound is far above what it takes.
-pub(crate) async fn until(what: &str, holds: impl AsyncFnMut() -> bool) {
-    until_within(LONG, what, holds).await;
+pub(crate) async fn wait_until(what: &str, holds: impl AsyncFnMut() -> bool) {
+    wait_until_within(LONG, what, holds).await;
 }
 
 /// Waits until something holds that takes the terms of leases.
-pub(crate) async fn until_within(
+pub(crate) async fn wait_until_within(
     bound: Duration,
     what: &str,
     mut holds: impl AsyncFnMut() -> bool,
--- a/crates/router/tests/router/orders.rs
+++ b/crates/router/tests/router/orders.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::fleet::{Fleet, Size, chat, key, order, outcome, until};
+use crate::fleet::{Fleet, Size, chat, key, order, outcome, wait_until};
 
 const SIZE: Size = Size {
     routers: 3,
@@ -108,7 +108,7 @@
     let text = String::from_utf8_lossy(&body).into_owned();
     assert_eq!(outcome(&headers), "not-run", "{text}");
     assert_eq!(headers["godwitpost-outcome-scope"], "key", "{text}");
-    until("the key's fate is known to other instances", async || {
+    wait_until("the key's fate is known to other instances", async || {
         let (status, headers, _) = fleet.ask(1, order(&key, "40 guides")).await;
         status == 409
             && outcome(&headers) == "not-run"
--- a/crates/router/tests/router/peers.rs
+++ b/crates/router/tests/router/peers.rs
@@ -5,7 +5,7 @@
 use godwitpost_wire::auth::{Key, Message};
 use http::Request;
 
-use crate::fleet::{Fleet, Size, full, whole};
+use crate::fleet::{Fleet, Size, full, read_response};
 
 const SIZE: Size = Size {
     routers: 1,
@@ -41,7 +41,7 @@
             .client
             .send(address, request, Duration::from_secs(5))
             .await;
-        let (status, _, body) = whole(answer.unwrap()).await;
+        let (status, _, body) = read_response(answer.unwrap()).await;
         assert_eq!((status.as_u16(), body.len()), (401, 0), "{path}");
     }
     let operators = fleet.routers[0].operators_address();
--- a/crates/router/tests/router/shutdown.rs
+++ b/crates/router/tests/router/shutdown.rs
@@ -1,6 +1,6 @@
 //! A graceful shutdown cuts nothing.
 
-use godwitpost_router::Stopped;
+use godwitpost_router::ShutdownResult;
 use http_body_util::BodyExt as _;
 
 use crate::fleet::{Fleet, Size, chat, words};
@@ -35,7 +35,7 @@
         assert_eq!(words(&whole).len(), 400);
     }
     for stopped in stopping {
-        assert_eq!(stopped.await.unwrap(), Stopped::Whole);
+        assert_eq!(stopped.await.unwrap(), ShutdownResult::Drained);
     }
 }
 
@@ -51,7 +51,7 @@
         fleet.client.send(address, request, wait).await.unwrap()
     };
     let stopping = tokio::spawn(leaving.stop_gracefully());
-    crate::fleet::until("readiness fails", async || {
+    crate::fleet::wait_until("readiness fails", async || {
         let (status, _, _) = fleet.get(address, "/readyz").await;
         status == 503
     })
@@ -72,5 +72,5 @@
         300
     );
     hold.unwrap().into_body().collect().await.unwrap();
-    assert_eq!(stopping.await.unwrap(), Stopped::Whole);
+    assert_eq!(stopping.await.unwrap(), ShutdownResult::Drained);
 }
