--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -27,17 +27,17 @@
 
 /// Bytes of kept answers. Confirmations of orders have about a kilobyte, so
 /// this holds some 8,000; a lost replay costs the caller no second run.
-const KEPT_BYTES: usize = 8 << 20;
+const MAX_CACHED_RESPONSE_BYTES: usize = 8 << 20;
 
 /// How long answers are kept: callers resend within minutes.
-const KEPT_FOR: Duration = Duration::from_mins(15);
+const CACHED_RESPONSE_LIFETIME: Duration = Duration::from_mins(15);
 
 /// How long a verdict is waited for: twice the batcher's patience, so that
 /// its own word comes first.
-const WAIT: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Bytes of an encoded verdict, by far.
-const VERDICT_BYTES: usize = 1 << 10;
+const MAX_VERDICT_BYTES: usize = 1 << 10;
 
 /// The path that kept answers are asked for on.
 pub(crate) const RESPONSE_PATH: &str = "/peer/v1/answer";
@@ -68,7 +68,7 @@
         Self {
             inner: Mutex::new(Inner {
                 holder: Holder::new(own, incarnation),
-                responses: ResponseCache::new(KEPT_BYTES, KEPT_FOR),
+                responses: ResponseCache::new(MAX_CACHED_RESPONSE_BYTES, CACHED_RESPONSE_LIFETIME),
             }),
         }
     }
@@ -83,16 +83,16 @@
 pub(crate) async fn request_verdict(shared: &Shared, record: Record) -> Verdict {
     let item = Item::Claim(record);
     let verdict = async {
-        match batcher(shared, &record.key) {
-            Some(instance) => match remote(shared, &instance, item).await {
+        match remote_batcher(shared, &record.key) {
+            Some(instance) => match request_remote(shared, &instance, item).await {
                 Some(verdict) => verdict,
-                None => local(shared, item).await,
+                None => request_local(shared, item).await,
             },
-            None => local(shared, item).await,
+            None => request_local(shared, item).await,
         }
     };
     // No verdict in time is none: the holder then gives the claim up.
-    tokio::time::timeout(WAIT, verdict)
+    tokio::time::timeout(CALL_TIMEOUT, verdict)
         .await
         .unwrap_or(Verdict::Unavailable)
 }
@@ -111,13 +111,15 @@
     let instance = snapshot.view.instance(holder)?;
     let bytes = Bytes::from(rmp_serde::to_vec(&(key, body)).ok()?);
     let request = peer::sealed(shared, instance, Method::POST, RESPONSE_PATH, &bytes);
-    let sent = shared.claiming.send(instance.peer_address, request, WAIT);
+    let sent = shared
+        .claiming
+        .send(instance.peer_address, request, CALL_TIMEOUT);
     let response = sent.await.ok()?;
     if response.status() != StatusCode::OK {
         return None;
     }
-    let read = body::collect(response.into_body(), KEPT_BYTES);
-    let bytes = tokio::time::timeout(WAIT, read).await.ok()?.ok()?;
+    let read = body::collect(response.into_body(), MAX_CACHED_RESPONSE_BYTES);
+    let bytes = tokio::time::timeout(CALL_TIMEOUT, read).await.ok()?.ok()?;
     CachedResponse::decode(&bytes)
 }
 
@@ -141,19 +143,19 @@
 }
 
 /// Tells the batcher how a claimed request ended, as best effort.
-pub(crate) async fn report_outcome(shared: &Shared, fate: Item) {
-    match batcher(shared, fate.key()) {
+pub(crate) async fn report_outcome(shared: &Shared, outcome: Item) {
+    match remote_batcher(shared, outcome.key()) {
         Some(instance) => {
-            remote(shared, &instance, fate).await;
+            request_remote(shared, &instance, outcome).await;
         }
         None => {
-            local(shared, fate).await;
+            request_local(shared, outcome).await;
         }
     }
 }
 
 // The batcher of a key's partition, if that is another instance.
-fn batcher(shared: &Shared, key: &KeyDigest) -> Option<Instance> {
+fn remote_batcher(shared: &Shared, key: &KeyDigest) -> Option<Instance> {
     let snapshot = shared.snapshot();
     let live = snapshot.view.instances();
     let live = live.filter(|instance| instance.standing == Standing::Live);
@@ -164,10 +166,12 @@
     snapshot.view.instance(id).cloned()
 }
 
-async fn remote(shared: &Shared, instance: &Instance, item: Item) -> Option<Verdict> {
+async fn request_remote(shared: &Shared, instance: &Instance, item: Item) -> Option<Verdict> {
     let bytes = Bytes::from(claim::batch::encode(&[item]));
     let request = peer::sealed(shared, instance, Method::POST, PATH, &bytes);
-    let sent = shared.claiming.send(instance.peer_address, request, WAIT);
+    let sent = shared
+        .claiming
+        .send(instance.peer_address, request, CALL_TIMEOUT);
     let response = match sent.await {
         Ok(response) if response.status() == StatusCode::OK => response,
         Ok(response) => {
@@ -179,11 +183,11 @@
             return None;
         }
     };
-    let bytes = body::collect(response.into_body(), VERDICT_BYTES).await;
+    let bytes = body::collect(response.into_body(), MAX_VERDICT_BYTES).await;
     rmp_serde::from_slice(&bytes.ok()?).ok()
 }
 
-async fn local(shared: &Shared, item: Item) -> Verdict {
+async fn request_local(shared: &Shared, item: Item) -> Verdict {
     let (reply, verdict) = oneshot::channel();
     let event = Event::Claim { item, reply };
     if shared.control.send(event).await.is_err() {
--- a/crates/router/src/control.rs
+++ b/crates/router/src/control.rs
@@ -48,18 +48,18 @@
 pub(crate) const EVENT_QUEUE_CAPACITY: usize = 4096;
 
 /// How often time passes: waits in queues end, suspicions ripen.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_PERIOD: Duration = Duration::from_millis(50);
 
 /// Time-out of one call to the platform.
-const PLATFORM: Duration = Duration::from_secs(2);
+const PLATFORM_CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Control bytes that an instance may spend on gossip each second. The letter
 /// allows 6 KB in all; the rest is for reports, the list and the log.
-const GOSSIP_RATE: u64 = 3_000;
+const GOSSIP_BYTES_PER_SECOND: u64 = 3_000;
 
 /// Bytes of a gossip message beside its body: its HTTP head with the seal is
 /// about 330 bytes, TCP/IP headers with the acknowledgement 120.
-const GOSSIP_HEADERS: u64 = 450;
+const GOSSIP_OVERHEAD_BYTES: u64 = 450;
 
 /// Something that control has to know.
 #[derive(Debug)]
@@ -85,11 +85,11 @@
     Report(EndpointId, Report, Option<Vec<String>>),
     /// What an engine that another instance owns answered when asked for its
     /// report, with the answer's size.
-    SweepReport(EndpointId, Option<probe::Told>),
+    SweepReport(EndpointId, Option<probe::ReportResponse>),
     /// The log's answer to a call about a service's lease.
     LeaseCall(ServiceId, orders::Call),
     /// What came of an order to an engine, by its fencing number.
-    OrderResult(ServiceId, EndpointId, Offset, orders::Sent),
+    OrderResult(ServiceId, EndpointId, Offset, orders::SendResult),
     /// An engine's cache events, with their size.
     CacheEvents(EndpointId, CachePage, usize),
     /// An endpoint's answer said that it is leaving.
@@ -102,7 +102,7 @@
         reply: oneshot::Sender<Verdict>,
     },
     /// The log's answer to a batcher's call.
-    BatcherCall(batchers::Result),
+    BatcherCall(batchers::CallResult),
     /// This instance begins to leave; answered when that is published.
     Leave(oneshot::Sender<()>),
 }
@@ -117,14 +117,14 @@
     endpoints: Endpoints,
     pump: Pump,
     batchers: Batchers,
-    fetching: bool,
-    renewing: bool,
-    renewed: Option<Moment>,
+    fetching_bundle: bool,
+    renewal_running: bool,
+    last_renewal: Option<Moment>,
     published: publish::Published,
     probes: probe::Probes,
     orders: orders::Orders,
     models: models::Models,
-    costs: cost::Costs,
+    byte_counts: cost::ByteCounts,
     rng: StdRng,
 }
 
@@ -136,8 +136,8 @@
     platform: Connector,
     log: log::Client,
     // The log as batchers use it; counted as claims.
-    claiming: Connector,
-    claims: log::Client,
+    claim_connector: Connector,
+    claim_log: log::Client,
     events: mpsc::Sender<Event>,
     timer: Timer,
     shared: Arc<Shared>,
@@ -155,7 +155,7 @@
         // One for each kind of control traffic, since each counts its bytes.
         let connector = || Connector::new(connect::Settings::default());
         let platform = connector();
-        let claiming = connector();
+        let claim_connector = connector();
         let now = shared.now();
         let roots = settings.root_keys.iter().copied().map(Digest);
         Self {
@@ -163,21 +163,33 @@
             fold: Fold::new(settings.fleet.clone(), roots),
             roster: Roster::new(own.clone()),
             endpoints: Endpoints::new(),
-            pump: Pump::new(Budget::new(now, GOSSIP_RATE, GOSSIP_HEADERS)),
+            pump: Pump::new(Budget::new(
+                now,
+                GOSSIP_BYTES_PER_SECOND,
+                GOSSIP_OVERHEAD_BYTES,
+            )),
             batchers: Batchers::default(),
-            fetching: false,
-            renewing: false,
-            renewed: None,
+            fetching_bundle: false,
+            renewal_running: false,
+            last_renewal: None,
             published: publish::Published::new(own),
             probes: probe::Probes::default(),
             orders: orders::Orders::default(),
             models: models::Models::default(),
-            costs: cost::Costs::default(),
+            byte_counts: cost::ByteCounts::default(),
             rng: random::generator(),
             io: Io {
-                log: log::Client::new(platform.clone(), settings.platform.log, PLATFORM),
-                claims: log::Client::new(claiming.clone(), settings.platform.log, PLATFORM),
-                claiming,
+                log: log::Client::new(
+                    platform.clone(),
+                    settings.platform.log,
+                    PLATFORM_CALL_TIMEOUT,
+                ),
+                claim_log: log::Client::new(
+                    claim_connector.clone(),
+                    settings.platform.log,
+                    PLATFORM_CALL_TIMEOUT,
+                ),
+                claim_connector,
                 events: shared.control.clone(),
                 timer: Timer::new(now),
                 peers: connector(),
@@ -193,10 +205,14 @@
     pub(crate) async fn run(mut self, mut events: mpsc::Receiver<Event>) {
         tokio::spawn(self.io.timer.clone().drive(self.shared.clock));
         let settings = &self.shared.settings;
-        let list = list::Client::new(self.io.platform.clone(), settings.platform.list, PLATFORM);
-        tokio::spawn(probe::list(self.io.clone(), list));
+        let list = list::Client::new(
+            self.io.platform.clone(),
+            settings.platform.list,
+            PLATFORM_CALL_TIMEOUT,
+        );
+        tokio::spawn(probe::follow_list(self.io.clone(), list));
         tokio::spawn(bundles::follow(self.io.clone()));
-        let mut ticks = self.io.timer.every(TICK);
+        let mut ticks = self.io.timer.every(TICK_PERIOD);
         loop {
             tokio::select! {
                 event = events.recv() => match event {
@@ -211,71 +227,79 @@
     fn handle(&mut self, event: Event) {
         let now = self.shared.now();
         match event {
-            Event::Listing(listing) => self.listed(now, &listing),
-            Event::BundleRecords(records) => self.records(&records),
-            Event::RenewalEnded => self.renewing = false,
-            Event::PeerVersion(instance, version) => self.heard(instance, version),
-            Event::BundleFetched(bytes) => self.fetched(bytes),
-            Event::BundleRequest(version, reply) => answer(reply, self.bundle(version)),
+            Event::Listing(listing) => self.apply_listing(now, &listing),
+            Event::BundleRecords(records) => self.apply_bundle_records(&records),
+            Event::RenewalEnded => self.renewal_running = false,
+            Event::PeerVersion(instance, version) => self.fetch_newer_bundle(instance, version),
+            Event::BundleFetched(bytes) => self.apply_fetched_bundle(bytes),
+            Event::BundleRequest(version, reply) => {
+                send_reply(reply, self.bundle_for_peer(version));
+            }
             Event::GossipRequest(message, bytes, reply) => {
-                let said = self.asked(now, &message, bytes);
-                answer(reply, said);
+                let response = self.handle_gossip_request(now, &message, bytes);
+                send_reply(reply, response);
+            }
+            Event::GossipResponse(instance, response) => {
+                self.handle_gossip_response(now, instance, response);
             }
-            Event::GossipResponse(instance, said) => self.answered(now, instance, said),
             Event::Report(endpoint, report, models) => {
-                self.reported(now, endpoint, &report, models);
+                self.apply_report(now, endpoint, &report, models);
             }
-            Event::SweepReport(endpoint, told) => self.swept(now, endpoint, told),
-            Event::LeaseCall(service, call) => self.leased(now, service, call),
+            Event::SweepReport(endpoint, response) => {
+                self.apply_sweep_report(now, endpoint, response);
+            }
+            Event::LeaseCall(service, call) => self.apply_lease_call(now, service, call),
             Event::OrderResult(service, endpoint, fence, sent) => {
-                self.ordered(service, endpoint, fence, &sent);
+                self.apply_order_result(service, endpoint, fence, &sent);
+            }
+            Event::CacheEvents(endpoint, page, bytes) => {
+                self.apply_cache_events(endpoint, &page, bytes);
             }
-            Event::CacheEvents(endpoint, page, bytes) => self.cached(endpoint, &page, bytes),
             Event::EndpointLeaving(leaving) => self.endpoints.apply_notice(leaving),
-            Event::Claim { item, reply } => self.claim(now, item, reply),
-            Event::BatcherCall(result) => self.batched(now, result),
+            Event::Claim { item, reply } => self.submit_claim(now, item, reply),
+            Event::BatcherCall(result) => self.apply_batcher_call(now, result),
             Event::Leave(done) => {
                 self.roster.leave();
                 self.publish();
-                self.release(now);
-                answer(done, ());
+                self.release_leases(now);
+                send_reply(done, ());
             }
         }
     }
 
     fn tick(&mut self) {
         let now = self.shared.now();
-        self.changes(now);
+        self.publish_changes(now);
         self.shared.desk.tick(now);
         if let Some(due) = handover::next_batch(&self.shared) {
             let shared = Arc::clone(&self.shared);
             tokio::spawn(async move { handover::send_batch(&shared, due).await });
         }
-        self.gossip(now);
-        self.probe(now);
-        self.renew(now);
+        self.send_gossip(now);
+        self.probe_endpoints(now);
+        self.renew_bundle(now);
         self.pump_batchers(now);
-        self.orders(now);
-        self.count();
+        self.run_orders(now);
+        self.count_traffic();
     }
 
     // At the letter's size a picture takes a millisecond to compare, so it is
     // only built anew when something changed.
-    fn changes(&mut self, now: Moment) {
-        let rumours = self.roster.tick(now);
+    fn publish_changes(&mut self, now: Moment) {
+        let member_updates = self.roster.tick(now);
         let changes = self.endpoints.tick(now);
-        self.pump.queue_member_updates(&rumours);
+        self.pump.queue_member_updates(&member_updates);
         for change in &changes {
             if let Change::Left(leaving) = change {
                 self.pump.queue_leaving(*leaving);
             }
         }
-        if !rumours.is_empty() || !changes.is_empty() {
+        if !member_updates.is_empty() || !changes.is_empty() {
             self.publish();
         }
     }
 
-    fn listed(&mut self, now: Moment, listing: &Listing) {
+    fn apply_listing(&mut self, now: Moment, listing: &Listing) {
         for refused in &listing.refused {
             ::log::warn!(entry:% = refused; "an entry of the instance list can't be read");
         }
@@ -319,6 +343,6 @@
 }
 
 // Whoever asked may be gone; then nobody needs the answer.
-fn answer<T>(to: oneshot::Sender<T>, value: T) {
+fn send_reply<T>(to: oneshot::Sender<T>, value: T) {
     drop(to.send(value));
 }
--- a/crates/router/src/control/batchers.rs
+++ b/crates/router/src/control/batchers.rs
@@ -18,74 +18,80 @@
 use super::{Control, Event};
 
 /// How long a partition is kept without a claim.
-const IDLE: Duration = Duration::from_mins(10);
+const MAX_IDLE: Duration = Duration::from_mins(10);
 
 /// The claim window before a bundle is known; no claim comes then.
-const WINDOW: Duration = Duration::from_mins(15);
+const DEFAULT_CLAIM_WINDOW: Duration = Duration::from_mins(15);
 
 /// The batchers of this instance.
 #[derive(Debug, Default)]
 pub(super) struct Batchers {
-    parts: BTreeMap<u16, Part>,
+    partitions: BTreeMap<u16, PartitionBatcher>,
     window: Option<Duration>,
 }
 
 #[derive(Debug)]
-struct Part {
+struct PartitionBatcher {
     batcher: Batcher,
-    waiting: BTreeMap<Id, Vec<oneshot::Sender<Verdict>>>,
-    used: Moment,
+    waiters: BTreeMap<Id, Vec<oneshot::Sender<Verdict>>>,
+    last_use: Moment,
 }
 
 /// The log's answer to a batcher's call.
 #[derive(Debug)]
-pub(crate) struct Result {
+pub(crate) struct CallResult {
     partition: u16,
     call: Call,
 }
 
 #[derive(Debug)]
 enum Call {
-    Appended(u64, std::result::Result<Appended, append::Error>),
-    Read(
-        u32,
-        std::result::Result<godwitpost_client::log::Page, read::Error>,
-    ),
+    Appended(u64, Result<Appended, append::Error>),
+    Read(u32, Result<godwitpost_client::log::Page, read::Error>),
 }
 
 impl Batchers {
     pub(super) fn set_window(&mut self, policy: Option<&Policy>) {
         self.window = policy.map(|policy| policy.claim_window);
-        for part in self.parts.values_mut() {
-            part.batcher.set_window(self.window.unwrap_or(WINDOW));
+        for part in self.partitions.values_mut() {
+            part.batcher
+                .set_window(self.window.unwrap_or(DEFAULT_CLAIM_WINDOW));
         }
     }
 
-    fn part(&mut self, partition: u16, now: Moment) -> &mut Part {
-        let window = self.window.unwrap_or(WINDOW);
-        let part = self.parts.entry(partition).or_insert_with(|| Part {
-            batcher: Batcher::new(window),
-            waiting: BTreeMap::new(),
-            used: now,
-        });
-        part.used = now;
+    fn partition_entry(&mut self, partition: u16, now: Moment) -> &mut PartitionBatcher {
+        let window = self.window.unwrap_or(DEFAULT_CLAIM_WINDOW);
+        let part = self
+            .partitions
+            .entry(partition)
+            .or_insert_with(|| PartitionBatcher {
+                batcher: Batcher::new(window),
+                waiters: BTreeMap::new(),
+                last_use: now,
+            });
+        part.last_use = now;
         part
     }
 }
 
 impl Control {
-    pub(super) fn claim(&mut self, now: Moment, item: Item, reply: oneshot::Sender<Verdict>) {
+    pub(super) fn submit_claim(
+        &mut self,
+        now: Moment,
+        item: Item,
+        reply: oneshot::Sender<Verdict>,
+    ) {
         let partition = claim::partition(item.key());
-        let part = self.batchers.part(partition, now);
+        let part = self.batchers.partition_entry(partition, now);
         if let Item::Claim(record) = &item {
-            part.waiting.entry(record.id).or_default().push(reply);
+            part.waiters.entry(record.id).or_default().push(reply);
         }
         part.batcher.submit(now, item);
         self.pump_batcher(now, partition);
     }
 
-    pub(super) fn batched(&mut self, now: Moment, result: Result) {
-        let part = self.batchers.part(result.partition, now);
+    pub(super) fn apply_batcher_call(&mut self, now: Moment, result: CallResult) {
+        let part = self.batchers.partition_entry(result.partition, now);
         match result.call {
             Call::Appended(ticket, Ok(at)) => {
                 part.batcher.appended(now, ticket, at.offset, at.time);
@@ -109,39 +115,41 @@
     }
 
     pub(super) fn pump_batchers(&mut self, now: Moment) {
-        let idle = |part: &Part| since(now, part.used) > IDLE && part.waiting.is_empty();
-        self.batchers.parts.retain(|_, part| !idle(part));
-        let partitions: Vec<u16> = self.batchers.parts.keys().copied().collect();
+        let idle = |part: &PartitionBatcher| {
+            since(now, part.last_use) > MAX_IDLE && part.waiters.is_empty()
+        };
+        self.batchers.partitions.retain(|_, part| !idle(part));
+        let partitions: Vec<u16> = self.batchers.partitions.keys().copied().collect();
         for partition in partitions {
             self.pump_batcher(now, partition);
         }
     }
 
     fn pump_batcher(&mut self, now: Moment, partition: u16) {
-        let Some(part) = self.batchers.parts.get_mut(&partition) else {
+        let Some(part) = self.batchers.partitions.get_mut(&partition) else {
             return;
         };
         loop {
             match part.batcher.next(now) {
                 Next::Append { ticket, body } => {
-                    let (log, events) = (self.io.claims.clone(), self.io.events.clone());
+                    let (log, events) = (self.io.claim_log.clone(), self.io.events.clone());
                     tokio::spawn(async move {
                         let call = append(&log, partition, ticket, body).await;
-                        let result = Result { partition, call };
+                        let result = CallResult { partition, call };
                         drop(events.send(Event::BatcherCall(result)).await);
                     });
                 }
                 Next::Read { from, limit } => {
-                    let (log, events) = (self.io.claims.clone(), self.io.events.clone());
+                    let (log, events) = (self.io.claim_log.clone(), self.io.events.clone());
                     tokio::spawn(async move {
                         let call = read(&log, partition, from, limit).await;
-                        let result = Result { partition, call };
+                        let result = CallResult { partition, call };
                         drop(events.send(Event::BatcherCall(result)).await);
                     });
                 }
                 Next::Reply { id, verdict } => {
-                    for reply in part.waiting.remove(&id).unwrap_or_default() {
-                        super::answer(reply, verdict);
+                    for reply in part.waiters.remove(&id).unwrap_or_default() {
+                        super::send_reply(reply, verdict);
                     }
                 }
                 // The control thread's tick comes soon enough: its period is
--- a/crates/router/src/control/bundles.rs
+++ b/crates/router/src/control/bundles.rs
@@ -14,7 +14,7 @@
 use http::{Method, StatusCode};
 use serde::{Deserialize, Serialize};
 
-use super::{Control, Event, Io, PLATFORM};
+use super::{Control, Event, Io, PLATFORM_CALL_TIMEOUT};
 use crate::body;
 use crate::relay::peer;
 use crate::shared::Shared;
@@ -25,14 +25,14 @@
 
 /// Bytes of a bundle that are taken from a peer. 8,900 workspaces of 100
 /// bytes each are under a megabyte.
-const BUNDLE_BYTES: usize = 64 << 20;
+const MAX_BUNDLE_BYTES: usize = 64 << 20;
 
 /// Records asked for at once; fewer in an answer are the end of the stream.
-const PAGE: usize = 1000;
+const PAGE_RECORDS: usize = 1000;
 
 /// What a peer hands over.
 #[derive(Debug, Serialize, Deserialize)]
-enum Handed {
+enum PeerBundle {
     /// The latest changes, for one a few versions behind.
     Update(Update),
     /// Everything.
@@ -45,7 +45,7 @@
 /// the log is down, peers hand the bundle over.
 pub(super) async fn follow(io: Io) {
     let settings = follower::Settings {
-        limit: PAGE,
+        limit: PAGE_RECORDS,
         seed: io.shared.local(),
         ..follower::Settings::default()
     };
@@ -68,24 +68,24 @@
 }
 
 impl Control {
-    pub(super) fn records(&mut self, records: &[Record]) {
+    pub(super) fn apply_bundle_records(&mut self, records: &[Record]) {
         for record in records {
             let next = self.fold.apply(record.offset, record.time, &record.body);
-            Self::folded(&next);
+            Self::log_fold_result(&next);
         }
-        self.ready.read(&self.fold, records.len() < PAGE);
+        self.ready.read(&self.fold, records.len() < PAGE_RECORDS);
         self.publish();
     }
 
     /// Fetches the bundle of an instance that holds a newer one.
-    pub(super) fn heard(&mut self, instance: InstanceId, version: Version) {
-        if self.fetching || version <= self.fold.version() {
+    pub(super) fn fetch_newer_bundle(&mut self, instance: InstanceId, version: Version) {
+        if self.fetching_bundle || version <= self.fold.version() {
             return;
         }
         let Some(instance) = self.shared.snapshot().view.instance(instance).cloned() else {
             return;
         };
-        self.fetching = true;
+        self.fetching_bundle = true;
         let (shared, io) = (Arc::clone(&self.shared), self.io.clone());
         let version = self.fold.version();
         tokio::spawn(async move {
@@ -94,12 +94,12 @@
         });
     }
 
-    pub(super) fn fetched(&mut self, bytes: Option<Bytes>) {
-        self.fetching = false;
+    pub(super) fn apply_fetched_bundle(&mut self, bytes: Option<Bytes>) {
+        self.fetching_bundle = false;
         let Some(bytes) = bytes else { return };
         let next = match rmp_serde::from_slice(&bytes) {
-            Ok(Handed::Update(update)) => self.fold.advance(&update),
-            Ok(Handed::Snapshot(snapshot)) => self.fold.adopt(*snapshot),
+            Ok(PeerBundle::Update(update)) => self.fold.advance(&update),
+            Ok(PeerBundle::Snapshot(snapshot)) => self.fold.adopt(*snapshot),
             Err(error) => {
                 log::warn!(error:% = error; "a peer's bundle can't be read");
                 return;
@@ -107,10 +107,10 @@
         };
         match next {
             Ok(next) => {
-                Self::folded(&next);
+                Self::log_fold_result(&next);
                 self.ready.heard(&self.fold);
             }
-            Err(refusal) => Self::folded(&Next::Refused(refusal)),
+            Err(refusal) => Self::log_fold_result(&Next::Refused(refusal)),
         }
         self.publish();
     }
@@ -119,19 +119,19 @@
     ///
     /// An instance that still reads the stream has passed old versions only,
     /// and hands none of them on.
-    pub(super) fn bundle(&self, version: Version) -> Option<Bytes> {
+    pub(super) fn bundle_for_peer(&self, version: Version) -> Option<Bytes> {
         if !self.ready.get() {
             return None;
         }
         let update = self.fold.update(version).filter(|_| version > 0);
-        let handed = match update {
-            Some(update) => Handed::Update(update),
-            None => Handed::Snapshot(Box::new(self.fold.snapshot()?)),
+        let bundle = match update {
+            Some(update) => PeerBundle::Update(update),
+            None => PeerBundle::Snapshot(Box::new(self.fold.snapshot()?)),
         };
-        rmp_serde::to_vec(&handed).ok().map(Bytes::from)
+        rmp_serde::to_vec(&bundle).ok().map(Bytes::from)
     }
 
-    fn folded(next: &Next) {
+    fn log_fold_result(next: &Next) {
         match next {
             Next::InForce(version) => log::info!(version = version; "bundle folded"),
             Next::Refused(refusal) => log::warn!(reason:% = refusal; "bundle refused"),
@@ -149,12 +149,15 @@
 ) -> Option<Bytes> {
     let path = format!("{PATH}?since={version}");
     let request = peer::sealed(shared, instance, Method::GET, &path, &Bytes::new());
-    let sent = connector.send(instance.peer_address, request, PLATFORM);
+    let sent = connector.send(instance.peer_address, request, PLATFORM_CALL_TIMEOUT);
     let response = sent.await.ok()?;
     if response.status() != StatusCode::OK {
         return None;
     }
-    let read = body::collect(response.into_body(), BUNDLE_BYTES);
-    let bytes = tokio::time::timeout(PLATFORM, read).await.ok()?.ok()?;
+    let read = body::collect(response.into_body(), MAX_BUNDLE_BYTES);
+    let bytes = tokio::time::timeout(PLATFORM_CALL_TIMEOUT, read)
+        .await
+        .ok()?
+        .ok()?;
     Some(bytes)
 }
--- a/crates/router/src/control/cost.rs
+++ b/crates/router/src/control/cost.rs
@@ -13,7 +13,7 @@
 
 /// Bytes counted so far.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Costs {
+pub(super) struct ByteCounts {
     peers: u64,
     probes: u64,
     platform: u64,
@@ -22,18 +22,18 @@
 
 impl Control {
     /// Moves the counters on by what passed since the last call.
-    pub(super) fn count(&mut self) {
-        let now = Costs {
+    pub(super) fn count_traffic(&mut self) {
+        let now = ByteCounts {
             peers: self.io.peers.wire_bytes() + self.shared.side.wire_bytes(),
             probes: self.io.probes.wire_bytes(),
             platform: self.io.platform.wire_bytes(),
-            claims: self.io.claiming.wire_bytes() + self.shared.claiming.wire_bytes(),
+            claims: self.io.claim_connector.wire_bytes() + self.shared.claiming.wire_bytes(),
         };
         let metrics = &self.shared.metrics;
-        metrics.control(Traffic::Peers, now.peers - self.costs.peers);
-        metrics.control(Traffic::Probes, now.probes - self.costs.probes);
-        metrics.control(Traffic::Platform, now.platform - self.costs.platform);
-        metrics.claim_bytes(now.claims - self.costs.claims);
-        self.costs = now;
+        metrics.control(Traffic::Peers, now.peers - self.byte_counts.peers);
+        metrics.control(Traffic::Probes, now.probes - self.byte_counts.probes);
+        metrics.control(Traffic::Platform, now.platform - self.byte_counts.platform);
+        metrics.claim_bytes(now.claims - self.byte_counts.claims);
+        self.byte_counts = now;
     }
 }
--- a/crates/router/src/control/gossip.rs
+++ b/crates/router/src/control/gossip.rs
@@ -28,11 +28,11 @@
 pub(crate) const PATH: &str = "/peer/v1/gossip";
 
 /// Bytes of one message that are read; the pump keeps to about 1,000.
-pub(crate) const MESSAGE_BYTES: usize = 4 << 10;
+pub(crate) const MAX_MESSAGE_BYTES: usize = 4 << 10;
 
 /// How long an answer may take. Under the pump's period, so that a silent
 /// peer is accused before its next turn.
-const WAIT: Duration = Duration::from_millis(800);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// What came of one exchange.
 enum Exchange {
@@ -44,9 +44,9 @@
 
 impl Control {
     /// Sends the messages that are due.
-    pub(super) fn gossip(&mut self, now: Moment) {
+    pub(super) fn send_gossip(&mut self, now: Moment) {
         for evidence in self.shared.desk.with(Owner::take_evidence) {
-            self.pump.queue_evidence(pack::evidence(&evidence));
+            self.pump.queue_evidence(pack::pack_evidence(&evidence));
         }
         let peers = self.pump.tick(now, &self.roster, &mut self.rng);
         for peer in peers {
@@ -54,54 +54,59 @@
             let Some(instance) = known.map(|(instance, _)| instance.clone()) else {
                 continue;
             };
-            let bytes = self.message(now, peer);
+            let bytes = self.build_message(now, peer);
             let (shared, io) = (Arc::clone(&self.shared), self.io.clone());
             tokio::spawn(async move {
-                let said = match exchange(&shared, &io.peers, &instance, bytes).await {
+                let response = match exchange(&shared, &io.peers, &instance, bytes).await {
                     Exchange::Answered(message, bytes) => Some((message, bytes)),
                     Exchange::Deferred => return,
                     Exchange::Unreachable => None,
                 };
-                drop(io.events.send(Event::GossipResponse(peer, said)).await);
+                drop(io.events.send(Event::GossipResponse(peer, response)).await);
             });
         }
     }
 
     /// Takes a peer's message; returns ours unless the budget forbids.
-    pub(super) fn asked(&mut self, now: Moment, message: &Message, bytes: usize) -> Option<Bytes> {
+    pub(super) fn handle_gossip_request(
+        &mut self,
+        now: Moment,
+        message: &Message,
+        bytes: usize,
+    ) -> Option<Bytes> {
         let (roster, endpoints) = (&mut self.roster, &mut self.endpoints);
-        let news = self
+        let update = self
             .pump
             .apply_request(now, bytes, message, roster, endpoints)?;
-        self.learn(now, message.from.id, &news);
-        let said = self.message(now, message.from.id);
-        let cost = (bytes + said.len()) as u64 + 2 * super::GOSSIP_HEADERS;
+        self.apply_peer_update(now, message.from.id, &update);
+        let response = self.build_message(now, message.from.id);
+        let cost = (bytes + response.len()) as u64 + 2 * super::GOSSIP_OVERHEAD_BYTES;
         self.shared.metrics.control(Traffic::Peers, cost);
-        Some(said)
+        Some(response)
     }
 
     /// Takes what a peer answered, or that it didn't.
-    pub(super) fn answered(
+    pub(super) fn handle_gossip_response(
         &mut self,
         now: Moment,
         peer: InstanceId,
-        said: Option<(Message, usize)>,
+        response: Option<(Message, usize)>,
     ) {
-        let Some((message, bytes)) = said else {
+        let Some((message, bytes)) = response else {
             self.roster.record_unreachable(now, peer);
             return;
         };
         let (roster, endpoints) = (&mut self.roster, &mut self.endpoints);
-        let news = self
+        let update = self
             .pump
             .apply_response(now, bytes, &message, roster, endpoints);
-        self.learn(now, peer, &news);
+        self.apply_peer_update(now, peer, &update);
     }
 
-    fn message(&mut self, now: Moment, to: InstanceId) -> Bytes {
+    fn build_message(&mut self, now: Moment, to: InstanceId) -> Bytes {
         let summaries = self.shared.desk.with(|owner| owner.summaries(now));
-        let loads: Vec<Load> = summaries.iter().map(load).collect();
-        let demands = self.demands(now);
+        let loads: Vec<Load> = summaries.iter().map(to_load).collect();
+        let demands = self.current_demands(now);
         self.pump.set_demands(demands);
         let bytes = self.pump.build_message(to, &self.roster, &loads).encode();
         self.pump.settle_sent(bytes.len());
@@ -109,7 +114,7 @@
     }
 
     // None without a bundle: no request is admitted then.
-    fn demands(&self, now: Moment) -> Vec<Demand> {
+    fn current_demands(&self, now: Moment) -> Vec<Demand> {
         let snapshot = self.shared.snapshot();
         let Some(bundle) = snapshot.bundle.as_ref() else {
             return Vec::new();
@@ -118,23 +123,25 @@
         let workspaces = &bundle.policy.workspaces;
         let limits = &mut self.shared.gate().limits;
         let demands = limits.demands(now, workspaces, instances);
-        demands.iter().map(pack::demand).collect()
+        demands.iter().map(pack::pack_demand).collect()
     }
 
-    fn learn(&mut self, now: Moment, peer: InstanceId, news: &PeerUpdate) {
-        if let Some(demands) = &news.demands {
-            let demands: Vec<limit::Demand> = demands.iter().map(pack::read_demand).collect();
+    fn apply_peer_update(&mut self, now: Moment, peer: InstanceId, update: &PeerUpdate) {
+        if let Some(demands) = &update.demands {
+            let demands: Vec<limit::Demand> = demands.iter().map(pack::unpack_demand).collect();
             self.shared
                 .gate()
                 .limits
                 .record_demands(now, peer, &demands);
         }
-        if let Some(version) = news.version {
-            self.heard(peer, version);
+        if let Some(version) = update.version {
+            self.fetch_newer_bundle(peer, version);
         }
-        let loads = news.loads.iter();
-        let summaries: Vec<Summary> = loads.filter_map(|load| self.summary(peer, load)).collect();
-        let evidence: Vec<Evidence> = news.evidence.iter().map(pack::read).collect();
+        let loads = update.loads.iter();
+        let summaries: Vec<Summary> = loads
+            .filter_map(|load| self.to_summary(peer, load))
+            .collect();
+        let evidence: Vec<Evidence> = update.evidence.iter().map(pack::unpack_evidence).collect();
         self.shared.desk.with(|owner| {
             owner.record_summaries(&summaries);
             owner.record_evidence(&evidence);
@@ -142,7 +149,7 @@
     }
 
     // Gossip names a pool by one number; the endpoints known here say which.
-    fn summary(&self, source: InstanceId, load: &Load) -> Option<Summary> {
+    fn to_summary(&self, source: InstanceId, load: &Load) -> Option<Summary> {
         let mut pools = self.endpoints.endpoints().flat_map(|endpoint| {
             let models = endpoint.models.iter().copied();
             let none = endpoint.models.is_empty().then_some(NO_MODEL);
@@ -151,7 +158,7 @@
                 model,
             })
         });
-        let pool = pools.find(|pool| number(*pool) == load.pool)?;
+        let pool = pools.find(|pool| pool_number(*pool) == load.pool)?;
         Some(Summary {
             source,
             pool,
@@ -170,7 +177,7 @@
     bytes: Bytes,
 ) -> Exchange {
     let request = peer::sealed(shared, instance, Method::POST, PATH, &bytes);
-    let sent = connector.send(instance.peer_address, request, WAIT);
+    let sent = connector.send(instance.peer_address, request, RESPONSE_TIMEOUT);
     let response = match sent.await {
         Ok(response) => response,
         Err(error) => {
@@ -181,8 +188,8 @@
     if response.status() != StatusCode::OK {
         return Exchange::Deferred;
     }
-    let read = body::collect(response.into_body(), MESSAGE_BYTES);
-    let Ok(Ok(bytes)) = tokio::time::timeout(WAIT, read).await else {
+    let read = body::collect(response.into_body(), MAX_MESSAGE_BYTES);
+    let Ok(Ok(bytes)) = tokio::time::timeout(RESPONSE_TIMEOUT, read).await else {
         return Exchange::Unreachable;
     };
     match Message::decode(&bytes) {
@@ -194,9 +201,9 @@
     }
 }
 
-const fn load(summary: &Summary) -> Load {
+const fn to_load(summary: &Summary) -> Load {
     Load {
-        pool: number(summary.pool),
+        pool: pool_number(summary.pool),
         endpoints: summary.endpoints,
         work: summary.work,
         waiting: summary.waiting,
@@ -206,6 +213,6 @@
 
 // Service and model ids are hashes already; the rotation keeps a pool apart
 // from the one with the two exchanged.
-const fn number(pool: Pool) -> u64 {
+const fn pool_number(pool: Pool) -> u64 {
     pool.service ^ pool.model.rotate_left(1)
 }
--- a/crates/router/src/control/gossip/pack.rs
+++ b/crates/router/src/control/gossip/pack.rs
@@ -12,13 +12,13 @@
 const SURVIVED: u64 = 2;
 
 /// Bytes of a digest; the fields of eight bytes follow it.
-const DIGEST: usize = 16;
+const DIGEST_BYTES: usize = 16;
 
 /// Parts of a request a second that a rate is told in.
-const PARTS: f32 = 1000.0;
+const RATE_SCALE: f32 = 1000.0;
 
 /// Packs a piece of evidence.
-pub(super) fn evidence(evidence: &Evidence) -> gossip::Evidence {
+pub(super) fn pack_evidence(evidence: &Evidence) -> gossip::Evidence {
     let kind = match evidence.kind {
         Kind::Crashed => CRASHED,
         Kind::Clean => CLEAN,
@@ -26,20 +26,20 @@
     };
     let millis = u64::try_from(evidence.at.as_millis()).unwrap_or(u64::MAX);
     let mut packed = [0; gossip::EVIDENCE_BYTES];
-    packed[..DIGEST].copy_from_slice(&evidence.digest);
+    packed[..DIGEST_BYTES].copy_from_slice(&evidence.digest);
     let fields = [evidence.endpoint, evidence.incarnation, kind, millis];
-    for (chunk, field) in packed[DIGEST..].chunks_exact_mut(8).zip(fields) {
+    for (chunk, field) in packed[DIGEST_BYTES..].chunks_exact_mut(8).zip(fields) {
         chunk.copy_from_slice(&field.to_le_bytes());
     }
     packed
 }
 
 /// Reads a packed piece.
-pub(super) fn read(packed: &gossip::Evidence) -> Evidence {
-    let mut digest = [0; DIGEST];
-    digest.copy_from_slice(&packed[..DIGEST]);
+pub(super) fn unpack_evidence(packed: &gossip::Evidence) -> Evidence {
+    let mut digest = [0; DIGEST_BYTES];
+    digest.copy_from_slice(&packed[..DIGEST_BYTES]);
     let field = |index: usize| {
-        let start = DIGEST + 8 * index;
+        let start = DIGEST_BYTES + 8 * index;
         let mut bytes = [0; 8];
         bytes.copy_from_slice(&packed[start..start + 8]);
         u64::from_le_bytes(bytes)
@@ -63,10 +63,10 @@
     clippy::cast_sign_loss,
     reason = "a rate is never negative, and the cast saturates"
 )]
-pub(super) fn demand(demand: &Demand) -> gossip::Demand {
+pub(super) fn pack_demand(demand: &Demand) -> gossip::Demand {
     gossip::Demand {
         workspace: demand.workspace,
-        rate: (demand.rate * PARTS) as u32,
+        rate: (demand.rate * RATE_SCALE) as u32,
         running: demand.running,
     }
 }
@@ -76,10 +76,10 @@
     clippy::cast_precision_loss,
     reason = "a rate needs no more than 24 bits"
 )]
-pub(super) fn read_demand(packed: &gossip::Demand) -> Demand {
+pub(super) fn unpack_demand(packed: &gossip::Demand) -> Demand {
     Demand {
         workspace: packed.workspace,
-        rate: packed.rate as f32 / PARTS,
+        rate: packed.rate as f32 / RATE_SCALE,
         running: packed.running,
     }
 }
--- a/crates/router/src/control/gossip/pack/tests.rs
+++ b/crates/router/src/control/gossip/pack/tests.rs
@@ -12,6 +12,9 @@
             kind,
             at: Duration::from_millis(1_764_712_800_123),
         };
-        assert_eq!(super::read(&super::evidence(&evidence)), evidence);
+        assert_eq!(
+            super::unpack_evidence(&super::pack_evidence(&evidence)),
+            evidence
+        );
     }
 }
--- a/crates/router/src/control/models.rs
+++ b/crates/router/src/control/models.rs
@@ -18,7 +18,7 @@
 
 /// How long a report goes before the list: five reports. After that the
 /// endpoint has another owner, or is silent, and the list knows better.
-const FRESH: Duration = Duration::from_secs(10);
+const REPORT_MAX_AGE: Duration = Duration::from_secs(10);
 
 /// What owned engines reported last.
 #[derive(Debug, Default)]
@@ -28,14 +28,14 @@
 
 #[derive(Debug)]
 struct Reported {
-    at: Moment,
+    received_at: Moment,
     incarnation: Incarnation,
     models: BTreeSet<ModelId>,
 }
 
 impl Models {
     /// Takes the models of a report; returns whether they changed.
-    pub(super) fn take(
+    pub(super) fn record_report(
         &mut self,
         now: Moment,
         id: EndpointId,
@@ -43,10 +43,10 @@
         models: &[String],
     ) -> bool {
         self.reported
-            .retain(|_, known| since(now, known.at) < FRESH);
-        let names = models.iter().map(|model| orders::split(model).0);
+            .retain(|_, known| since(now, known.received_at) < REPORT_MAX_AGE);
+        let names = models.iter().map(|model| orders::split_model(model).0);
         let reported = Reported {
-            at: now,
+            received_at: now,
             incarnation: report.incarnation,
             models: names.map(id::of).collect(),
         };
@@ -61,7 +61,7 @@
     /// The failure: a plain service's back end names models in its report. It
     /// would be taken out of its service, whose requests ask for none, and the
     /// callers hear that there is no endpoint.
-    pub(super) fn correct(
+    pub(super) fn apply_reported_models(
         &self,
         now: Moment,
         kind: Option<Kind>,
@@ -72,7 +72,7 @@
         }
         let reported = self.reported.get(&endpoint.id);
         let reported = reported.filter(|r| r.incarnation == endpoint.incarnation);
-        if let Some(reported) = reported.filter(|r| since(now, r.at) < FRESH) {
+        if let Some(reported) = reported.filter(|r| since(now, r.received_at) < REPORT_MAX_AGE) {
             endpoint.models.clone_from(&reported.models);
         }
         endpoint
--- a/crates/router/src/control/models/tests.rs
+++ b/crates/router/src/control/models/tests.rs
@@ -36,12 +36,12 @@
 fn a_fresh_report_goes_before_the_list() {
     let mut models = Models::default();
     let now = Duration::from_secs(100);
-    let said = ["tagger@3".to_owned()];
-    assert!(models.take(now, ENGINE, &report(2), &said));
-    assert!(!models.take(now, ENGINE, &report(2), &said));
-    let corrected = models.correct(now, Some(Kind::Engine), endpoint());
+    let reported = ["tagger@3".to_owned()];
+    assert!(models.record_report(now, ENGINE, &report(2), &reported));
+    assert!(!models.record_report(now, ENGINE, &report(2), &reported));
+    let corrected = models.apply_reported_models(now, Some(Kind::Engine), endpoint());
     assert_eq!(corrected.models, BTreeSet::from([id::of("tagger")]));
-    let stale = models.correct(now + FRESH, Some(Kind::Engine), endpoint());
+    let stale = models.apply_reported_models(now + REPORT_MAX_AGE, Some(Kind::Engine), endpoint());
     assert_eq!(stale.models, endpoint().models);
 }
 
@@ -51,9 +51,11 @@
 fn a_former_lifes_report_counts_for_nothing() {
     let mut models = Models::default();
     let now = Duration::from_secs(100);
-    models.take(now, ENGINE, &report(1), &[]);
+    models.record_report(now, ENGINE, &report(1), &[]);
     assert_eq!(
-        models.correct(now, Some(Kind::Engine), endpoint()).models,
+        models
+            .apply_reported_models(now, Some(Kind::Engine), endpoint())
+            .models,
         endpoint().models
     );
 }
@@ -64,12 +66,15 @@
 fn models_that_a_plain_service_reports_change_nothing() {
     let mut models = Models::default();
     let now = Duration::from_secs(100);
-    models.take(now, ENGINE, &report(2), &["tagger@3".to_owned()]);
+    models.record_report(now, ENGINE, &report(2), &["tagger@3".to_owned()]);
     let plain = Endpoint {
         models: BTreeSet::new(),
         ..endpoint()
     };
     for kind in [Some(Kind::Plain), None] {
-        assert_eq!(models.correct(now, kind, plain.clone()), plain);
+        assert_eq!(
+            models.apply_reported_models(now, kind, plain.clone()),
+            plain
+        );
     }
 }
--- a/crates/router/src/control/orders.rs
+++ b/crates/router/src/control/orders.rs
@@ -34,26 +34,26 @@
 use super::batchers::page_of;
 pub(crate) use lease::Call;
 use reports::Reports;
-pub(super) use reports::split;
+pub(super) use reports::split_model;
 
-/// How often leases and orders are looked at; loads take minutes.
-const LOOK: Duration = Duration::from_millis(500);
+/// Period of checks of leases and orders; loads take minutes.
+const CHECK_PERIOD: Duration = Duration::from_millis(500);
 
 /// How often a holder plans. At 3,300 engines and 35 models a plan sorts the
 /// engines for each model, some tens of milliseconds in all.
-const PLAN: Duration = Duration::from_secs(2);
+const PLAN_PERIOD: Duration = Duration::from_secs(2);
 
 /// How long a new bundle version is in force before a model that it dropped is
 /// unloaded. The version is in force everywhere within 6 s; requests that came
 /// in under the last one get the rest to end.
-const DROPPED: Duration = Duration::from_secs(30);
+const UNLOAD_DELAY: Duration = Duration::from_secs(30);
 
 /// What a service's share of the weight store is taken to be.
 ///
 /// The store's rate isn't known here, and engines repeat a refused pull by
 /// themselves. Two loads under way bound what a service asks of the store; a
 /// refused one stays under way, so while the store refuses no more start.
-const LIMITS: Limits = Limits {
+const PLANNER_LIMITS: Limits = Limits {
     max_concurrent_loads: 2,
     min_load_interval: Duration::from_secs(5),
 };
@@ -61,8 +61,8 @@
 /// Leases and orders of this instance.
 #[derive(Debug, Default)]
 pub(super) struct Orders {
-    looked: Moment,
-    services: BTreeMap<ServiceId, Ordered>,
+    last_check: Moment,
+    services: BTreeMap<ServiceId, ServiceOrders>,
     reports: Reports,
     version: Version,
     version_since: Moment,
@@ -70,49 +70,49 @@
 
 /// One service that engines are ordered for.
 #[derive(Debug)]
-struct Ordered {
+struct ServiceOrders {
     holder: Holder,
     planner: Planner,
     fence: Option<Offset>,
-    planned: Moment,
-    blocked: Vec<String>,
+    last_plan: Moment,
+    logged_blocked: Vec<String>,
 }
 
 /// What came of an order.
 #[derive(Debug)]
-pub(crate) enum Sent {
+pub(crate) enum SendResult {
     /// The engine took it.
-    Taken,
+    Accepted,
     /// The engine has obeyed a greater fencing number.
-    Overtaken(Option<Offset>),
+    FenceRefused(Option<Offset>),
     /// Whether it arrived isn't known, or the engine refused it.
     Failed(String),
 }
 
 impl Control {
     /// Keeps the leases, and gives the orders that are due under them.
-    pub(super) fn orders(&mut self, now: Moment) {
-        if since(now, self.orders.looked) < LOOK {
+    pub(super) fn run_orders(&mut self, now: Moment) {
+        if since(now, self.orders.last_check) < CHECK_PERIOD {
             return;
         }
-        self.orders.looked = now;
+        self.orders.last_check = now;
         let snapshot = self.shared.snapshot();
         let Some(bundle) = snapshot.bundle.as_ref() else {
             return;
         };
-        self.candidates(now, &bundle.policy, &snapshot.view);
+        self.update_candidates(now, &bundle.policy, &snapshot.view);
         let services: Vec<ServiceId> = self.orders.services.keys().copied().collect();
         for &service in &services {
             self.pump_lease(now, service);
         }
-        self.sweep(now, &snapshot.view);
+        self.sweep_reports(now, &snapshot.view);
         for service in services {
-            self.plan(now, service, &bundle.policy, &snapshot.view);
+            self.plan_orders(now, service, &bundle.policy, &snapshot.view);
         }
     }
 
     /// Gives up all leases, because this instance leaves.
-    pub(super) fn release(&mut self, now: Moment) {
+    pub(super) fn release_leases(&mut self, now: Moment) {
         let services: Vec<ServiceId> = self.orders.services.keys().copied().collect();
         for service in services {
             if let Some(ordered) = self.orders.services.get_mut(&service) {
@@ -122,7 +122,7 @@
         }
     }
 
-    fn candidates(&mut self, now: Moment, policy: &Policy, view: &view::View) {
+    fn update_candidates(&mut self, now: Moment, policy: &Policy, view: &view::View) {
         if self.orders.version != policy.version {
             self.orders.version = policy.version;
             self.orders.version_since = now;
@@ -131,12 +131,12 @@
             if wanted.kind == Kind::Engine {
                 let (own, incarnation) = (self.shared.local(), self.shared.settings.incarnation);
                 let entry = self.orders.services.entry(service);
-                entry.or_insert_with(|| Ordered {
+                entry.or_insert_with(|| ServiceOrders {
                     holder: Holder::new(service, own, incarnation),
-                    planner: Planner::new(service, LIMITS),
+                    planner: Planner::new(service, PLANNER_LIMITS),
                     fence: None,
-                    planned: Moment::ZERO,
-                    blocked: Vec::new(),
+                    last_plan: Moment::ZERO,
+                    logged_blocked: Vec::new(),
                 });
             }
         }
@@ -144,7 +144,7 @@
         self.orders.services.retain(|service, ordered| {
             let engines = policy.services.get(service);
             let wanted = engines.is_some_and(|service| service.kind == Kind::Engine);
-            let candidate = wanted && !leaving && candidate(*service, view);
+            let candidate = wanted && !leaving && is_candidate(*service, view);
             ordered.holder.set_candidate(candidate);
             // One that is not wanted any more is kept until it has released.
             wanted || ordered.holder.held_since().is_some()
@@ -167,11 +167,11 @@
                 Next::Wait(_) => break,
             }
         }
-        ordered.tell(now, service);
+        ordered.update_fence(now, service);
     }
 
     /// Takes the log's answer to a lease's call.
-    pub(super) fn leased(&mut self, now: Moment, service: ServiceId, call: Call) {
+    pub(super) fn apply_lease_call(&mut self, now: Moment, service: ServiceId, call: Call) {
         let Some(ordered) = self.orders.services.get_mut(&service) else {
             return;
         };
@@ -196,12 +196,12 @@
         self.pump_lease(now, service);
     }
 
-    fn plan(&mut self, now: Moment, service: ServiceId, policy: &Policy, view: &view::View) {
+    fn plan_orders(&mut self, now: Moment, service: ServiceId, policy: &Policy, view: &view::View) {
         let orders = &mut self.orders;
         let Some(ordered) = orders.services.get_mut(&service) else {
             return;
         };
-        if since(now, ordered.planned) < PLAN {
+        if since(now, ordered.last_plan) < PLAN_PERIOD {
             return;
         }
         let (Some(fence), Some(since_held)) =
@@ -209,50 +209,50 @@
         else {
             return;
         };
-        ordered.planned = now;
+        ordered.last_plan = now;
         let views = orders.reports.views(now, service, policy, view);
-        let policy = wanted(service, policy, &views);
+        let policy = wanted_models(service, policy, &views);
         let plan = ordered
             .planner
             .plan(now, fence, since_held, &policy, &views);
         let blocked: Vec<String> = plan.blocked.iter().map(ToString::to_string).collect();
-        if blocked != ordered.blocked {
+        if blocked != ordered.logged_blocked {
             for reason in &blocked {
                 log::warn!(reason:% = reason; "wanted models can't be reached");
             }
-            ordered.blocked = blocked;
+            ordered.logged_blocked = blocked;
         }
         for order in plan.orders {
             let unloads = matches!(order.action, Action::Unload { .. });
-            if unloads && since(now, orders.version_since) < DROPPED {
+            if unloads && since(now, orders.version_since) < UNLOAD_DELAY {
                 ordered.planner.forget(order.endpoint);
                 continue;
             }
-            let Some(body) = body(&order, &policy, &orders.reports) else {
+            let Some(body) = order_body(&order, &policy, &orders.reports) else {
                 ordered.planner.forget(order.endpoint);
                 continue;
             };
-            self.io.order(now, service, &order, body, view);
-            orders.reports.hurry(order.endpoint);
+            self.io.spawn_order(now, service, &order, body, view);
+            orders.reports.expedite(order.endpoint);
         }
     }
 
     /// Takes what came of an order.
-    pub(super) fn ordered(
+    pub(super) fn apply_order_result(
         &mut self,
         service: ServiceId,
         endpoint: EndpointId,
         fence: Offset,
-        sent: &Sent,
+        sent: &SendResult,
     ) {
         match sent {
-            Sent::Taken => return,
+            SendResult::Accepted => return,
             // The lease's records say who holds it; until this instance has
             // read them its clock stops it.
-            Sent::Overtaken(highest) => {
+            SendResult::FenceRefused(highest) => {
                 log::warn!(fence = fence, highest:? = highest; "an engine refused an order's fencing number");
             }
-            Sent::Failed(reason) => log::warn!(reason:% = reason; "order not taken"),
+            SendResult::Failed(reason) => log::warn!(reason:% = reason; "order not taken"),
         }
         if let Some(ordered) = self.orders.services.get_mut(&service)
             && ordered.fence == Some(fence)
@@ -262,9 +262,9 @@
     }
 }
 
-impl Ordered {
+impl ServiceOrders {
     // Logs a lease that came or went.
-    fn tell(&mut self, now: Moment, service: ServiceId) {
+    fn update_fence(&mut self, now: Moment, service: ServiceId) {
         let fence = self.holder.may_order(now);
         if fence == self.fence {
             return;
@@ -278,7 +278,7 @@
 }
 
 // Whether the local instance should hold a service's lease.
-fn candidate(service: ServiceId, view: &view::View) -> bool {
+fn is_candidate(service: ServiceId, view: &view::View) -> bool {
     let instances = view.instances();
     let live = instances.filter(|instance| instance.standing == Standing::Live);
     hash::winner(service, live.map(|instance| instance.id)) == Some(view.local())
@@ -290,7 +290,7 @@
 // like the others. The failure that this guards against: routers place by the
 // platform's list, which lags; an engine freed of a model would be sent
 // requests for it for seconds, and refuse them.
-fn wanted(service: ServiceId, policy: &Policy, views: &[View]) -> Policy {
+fn wanted_models(service: ServiceId, policy: &Policy, views: &[View]) -> Policy {
     let models = policy.models.iter().filter(|(_, m)| m.service == service);
     let models = models.map(|(&id, model)| {
         let live = views.iter().filter(|view| view.standing == Standing::Live);
@@ -307,14 +307,14 @@
 }
 
 // An engine is told names; one that the bundle dropped is known from reports.
-fn body(order: &Order, policy: &Policy, reports: &Reports) -> Option<serde_json::Value> {
+fn order_body(order: &Order, policy: &Policy, reports: &Reports) -> Option<serde_json::Value> {
     let body = match &order.action {
         Action::Load { model, weights } => {
             let model = &policy.models.get(model)?.name;
             json!({"fence": order.fence, "load": {"model": model, "weights": weights}})
         }
         Action::Unload { model } => {
-            let model = reports.name(order.endpoint, *model)?;
+            let model = reports.model_name(order.endpoint, *model)?;
             json!({"fence": order.fence, "unload": {"model": model}})
         }
     };
@@ -323,7 +323,7 @@
 
 impl super::Io {
     // Sends an order in a task of its own.
-    fn order(
+    fn spawn_order(
         &self,
         now: Moment,
         service: ServiceId,
@@ -336,6 +336,6 @@
         };
         log::info!(endpoint:% = endpoint.name, order:% = body; "order");
         let (io, fence) = (self.clone(), order.fence);
-        tokio::spawn(send::order(io, now, service, endpoint, fence, body));
+        tokio::spawn(send::send_order(io, now, service, endpoint, fence, body));
     }
 }
--- a/crates/router/src/control/orders/reports.rs
+++ b/crates/router/src/control/orders/reports.rs
@@ -20,26 +20,26 @@
 /// Bytes a second that a holder spends on reports of engines that it doesn't
 /// own: a sixth of the letter's 6 KB. 3,300 engines at 600 bytes take 33
 /// minutes; loads start at 5 s apart, so the sweep isn't what a roll waits for.
-const RATE: u64 = 1_000;
+const SWEEP_BYTES_PER_SECOND: u64 = 1_000;
 
 /// Bytes that may be spent at once after a quiet time: 13 reports.
-const BURST: u64 = 8_000;
+const MAX_SWEEP_BURST_BYTES: u64 = 8_000;
 
 /// What one report is taken to cost until its size is known: heads, TCP/IP
 /// headers, and a body with a few models.
-const COST: u64 = 600;
+const ESTIMATED_REPORT_BYTES: u64 = 600;
 
 /// The least time between two reports of one engine. Ten engines asked every
 /// five seconds cost 1.2 KB/s, the rate above about.
-const PERIOD: Duration = Duration::from_secs(5);
+const MIN_REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
 /// How soon an engine with an order is asked again.
-const SOON: Duration = Duration::from_secs(1);
+const MIN_INTERVAL_AFTER_ORDER: Duration = Duration::from_secs(1);
 
 /// How long an engine counts as it reported last while it doesn't answer.
 ///
 /// Shorter, and a flapping engine's models would be loaded elsewhere.
-const SILENT: Duration = Duration::from_secs(30);
+const UNRESPONSIVE_GRACE: Duration = Duration::from_secs(30);
 
 /// The reports that this instance knows.
 #[derive(Debug, Default)]
@@ -51,10 +51,10 @@
 
 #[derive(Debug, Default)]
 struct Engine {
-    asked: Option<Moment>,
+    last_request: Option<Moment>,
     // Since when it has not answered, if so.
-    silent: Option<Moment>,
-    hurry: bool,
+    unresponsive_since: Option<Moment>,
+    expedited: bool,
     report: Option<Reported>,
 }
 
@@ -67,36 +67,38 @@
 
 impl Control {
     /// Asks engines of the services whose leases are held.
-    pub(super) fn sweep(&mut self, now: Moment, view: &view::View) {
+    pub(super) fn sweep_reports(&mut self, now: Moment, view: &view::View) {
         let services = self.orders.services.iter();
         let held = services.filter(|(_, ordered)| ordered.holder.may_order(now).is_some());
         let held: Vec<ServiceId> = held.map(|(service, _)| *service).collect();
         let engines = view.endpoints();
         let engines: Vec<&Endpoint> = engines.filter(|e| held.contains(&e.service)).collect();
         for endpoint in self.orders.reports.due(now, &engines) {
-            tokio::spawn(probe::sweep(self.io.clone(), endpoint.clone()));
+            tokio::spawn(probe::fetch_sweep_report(self.io.clone(), endpoint.clone()));
         }
     }
 
     /// Takes a swept engine's report, or its silence.
-    pub(in crate::control) fn swept(
+    pub(in crate::control) fn apply_sweep_report(
         &mut self,
         now: Moment,
         id: EndpointId,
-        told: Option<probe::Told>,
+        response: Option<probe::ReportResponse>,
     ) {
-        let Some(told) = told else {
-            self.orders.reports.silent(now, id);
+        let Some(response) = response else {
+            self.orders.reports.record_no_response(now, id);
             return;
         };
-        self.orders.reports.spend(told.bytes as u64);
-        self.endpoints.apply_report(now, id, &told.report);
-        let models = told.models.unwrap_or_default();
-        self.orders.reports.take(id, told.report, models);
+        self.orders.reports.charge(response.bytes as u64);
+        self.endpoints.apply_report(now, id, &response.report);
+        let models = response.models.unwrap_or_default();
+        self.orders
+            .reports
+            .record_report(id, response.report, models);
     }
 
     /// Takes the models of an owned engine's report, which costs nothing more.
-    pub(in crate::control) fn loaded(
+    pub(in crate::control) fn record_owned_report(
         &mut self,
         now: Moment,
         id: EndpointId,
@@ -105,8 +107,8 @@
     ) {
         // Only a holder needs them; the others would only keep them.
         if self.orders.reports.engines.contains_key(&id) {
-            self.orders.reports.asked(now, id);
-            self.orders.reports.take(id, report, models);
+            self.orders.reports.record_request(now, id);
+            self.orders.reports.record_report(id, report, models);
         }
     }
 }
@@ -115,35 +117,47 @@
     /// Returns the engines to ask now, those with orders and those never asked
     /// first, and forgets the ones that are not `engines`.
     fn due<'e>(&mut self, now: Moment, engines: &[&'e Endpoint]) -> Vec<&'e Endpoint> {
-        let earned = since(now, self.refilled).as_millis();
-        let earned = u64::try_from(earned).unwrap_or(u64::MAX);
-        let earned = earned.saturating_mul(RATE) / 1000;
-        self.allowance = self.allowance.saturating_add(earned).min(BURST);
+        let refill = since(now, self.refilled).as_millis();
+        let refill = u64::try_from(refill).unwrap_or(u64::MAX);
+        let refill = refill.saturating_mul(SWEEP_BYTES_PER_SECOND) / 1000;
+        self.allowance = self
+            .allowance
+            .saturating_add(refill)
+            .min(MAX_SWEEP_BURST_BYTES);
         self.refilled = now;
         let present: BTreeSet<EndpointId> = engines.iter().map(|e| e.id).collect();
         self.engines.retain(|id, _| present.contains(id));
         let mut due: Vec<(bool, Option<Moment>, &Endpoint)> = Vec::new();
         for endpoint in engines {
             let engine = self.engines.entry(endpoint.id).or_default();
-            let period = if engine.hurry { SOON } else { PERIOD };
-            if engine.asked.is_none_or(|at| since(now, at) >= period) {
-                due.push((!engine.hurry, engine.asked, endpoint));
+            let period = if engine.expedited {
+                MIN_INTERVAL_AFTER_ORDER
+            } else {
+                MIN_REPORT_INTERVAL
+            };
+            if engine
+                .last_request
+                .is_none_or(|at| since(now, at) >= period)
+            {
+                due.push((!engine.expedited, engine.last_request, endpoint));
             }
         }
-        due.sort_by_key(|(calm, asked, endpoint)| (*calm, *asked, endpoint.id));
-        due.truncate(usize::try_from(self.allowance / COST).unwrap_or(usize::MAX));
-        self.allowance -= due.len() as u64 * COST;
+        due.sort_by_key(|(normal, last_request, endpoint)| (*normal, *last_request, endpoint.id));
+        due.truncate(
+            usize::try_from(self.allowance / ESTIMATED_REPORT_BYTES).unwrap_or(usize::MAX),
+        );
+        self.allowance -= due.len() as u64 * ESTIMATED_REPORT_BYTES;
         let due: Vec<&Endpoint> = due.into_iter().map(|(.., endpoint)| endpoint).collect();
         for endpoint in &due {
-            self.asked(now, endpoint.id);
+            self.record_request(now, endpoint.id);
         }
         due
     }
 
     /// Has an engine asked soon: it got an order.
-    pub(super) fn hurry(&mut self, id: EndpointId) {
+    pub(super) fn expedite(&mut self, id: EndpointId) {
         if let Some(engine) = self.engines.get_mut(&id) {
-            engine.hurry = true;
+            engine.expedited = true;
         }
     }
 
@@ -163,19 +177,19 @@
 
     fn view(&self, now: Moment, endpoint: &Endpoint, policy: &Policy) -> View {
         let engine = self.engines.get(&endpoint.id);
-        let silent = engine.and_then(|engine| engine.silent);
-        let silent = silent.is_some_and(|from| since(now, from) >= SILENT);
+        let unresponsive = engine.and_then(|engine| engine.unresponsive_since);
+        let unresponsive = unresponsive.is_some_and(|from| since(now, from) >= UNRESPONSIVE_GRACE);
         let report = engine.and_then(|engine| engine.report.as_ref());
         // A former life's models are gone with it.
         let report = report.filter(|r| r.report.incarnation >= endpoint.incarnation);
         let (reported_at, loaded) = match report {
-            Some(reported) => (reported.report.taken, loaded(&reported.models)),
-            None => (Moment::ZERO, listed(endpoint, policy)),
+            Some(reported) => (reported.report.taken, parse_models(&reported.models)),
+            None => (Moment::ZERO, listed_models(endpoint, policy)),
         };
         View {
             id: endpoint.id,
             incarnation: endpoint.incarnation,
-            standing: if silent {
+            standing: if unresponsive {
                 Standing::Leaving
             } else {
                 endpoint.standing
@@ -186,29 +200,29 @@
     }
 
     /// Returns the name by which an engine reports a model.
-    pub(super) fn name(&self, endpoint: EndpointId, model: ModelId) -> Option<&str> {
+    pub(super) fn model_name(&self, endpoint: EndpointId, model: ModelId) -> Option<&str> {
         let reported = self.engines.get(&endpoint)?.report.as_ref()?;
-        let mut names = reported.models.iter().map(|model| split(model).0);
+        let mut names = reported.models.iter().map(|model| split_model(model).0);
         names.find(|name| id::of(name) == model)
     }
 
-    fn asked(&mut self, now: Moment, id: EndpointId) {
+    fn record_request(&mut self, now: Moment, id: EndpointId) {
         if let Some(engine) = self.engines.get_mut(&id) {
-            engine.asked = Some(now);
+            engine.last_request = Some(now);
         }
     }
 
-    fn silent(&mut self, now: Moment, id: EndpointId) {
+    fn record_no_response(&mut self, now: Moment, id: EndpointId) {
         if let Some(engine) = self.engines.get_mut(&id) {
-            engine.silent.get_or_insert(now);
+            engine.unresponsive_since.get_or_insert(now);
         }
     }
 
-    fn take(&mut self, id: EndpointId, report: Report, models: Vec<String>) {
+    fn record_report(&mut self, id: EndpointId, report: Report, models: Vec<String>) {
         let Some(engine) = self.engines.get_mut(&id) else {
             return;
         };
-        engine.silent = None;
+        engine.unresponsive_since = None;
         let old = engine.report.as_ref();
         let old = old.is_some_and(|old| {
             let known = &old.report;
@@ -218,20 +232,22 @@
             return;
         }
         let changed = engine.report.as_ref().is_none_or(|r| r.models != models);
-        engine.hurry &= !changed;
+        engine.expedited &= !changed;
         engine.report = Some(Reported { report, models });
     }
 
     // Takes off what a report cost beyond the estimate.
-    const fn spend(&mut self, bytes: u64) {
-        self.allowance = self.allowance.saturating_sub(bytes.saturating_sub(COST));
+    const fn charge(&mut self, bytes: u64) {
+        self.allowance = self
+            .allowance
+            .saturating_sub(bytes.saturating_sub(ESTIMATED_REPORT_BYTES));
     }
 }
 
 // The list names no weights that can be relied on: an engine that has not
 // answered yet is taken to have the wanted ones, so that nothing is loaded
 // anew on the list's word alone.
-fn listed(endpoint: &Endpoint, policy: &Policy) -> BTreeMap<ModelId, String> {
+fn listed_models(endpoint: &Endpoint, policy: &Policy) -> BTreeMap<ModelId, String> {
     let models = endpoint.models.iter();
     models
         .filter_map(|id| Some((*id, policy.models.get(id)?.weights.clone())))
@@ -239,9 +255,9 @@
 }
 
 // Reads a report's models, each `name@weights`.
-fn loaded(models: &[String]) -> BTreeMap<ModelId, String> {
+fn parse_models(models: &[String]) -> BTreeMap<ModelId, String> {
     let parts = models.iter().map(|model| {
-        let (name, weights) = split(model);
+        let (name, weights) = split_model(model);
         (id::of(name), weights.to_owned())
     });
     parts.collect()
@@ -250,6 +266,6 @@
 /// Splits a model from its weights.
 ///
 /// A bare name has weights that nobody knows, which are never the wanted ones.
-pub(in crate::control) fn split(model: &str) -> (&str, &str) {
+pub(in crate::control) fn split_model(model: &str) -> (&str, &str) {
     model.split_once('@').unwrap_or((model, ""))
 }
--- a/crates/router/src/control/probe.rs
+++ b/crates/router/src/control/probe.rs
@@ -17,47 +17,47 @@
 use crate::body;
 
 /// How long the list holds a call while nothing in it changes.
-const LIST_WAIT: Duration = Duration::from_secs(5);
+const LIST_POLL_TIME: Duration = Duration::from_secs(5);
 
 /// The pause after a call that failed, and between calls to a list that knows
 /// no revisions and so answers at once.
-const LIST_PAUSE: Duration = Duration::from_secs(1);
+const LIST_RETRY_PAUSE: Duration = Duration::from_secs(1);
 
 /// Bytes a second that cache events of all owned engines may cost.
-const CACHE_RATE: usize = 1_000;
+const CACHE_EVENT_BYTES_PER_SECOND: usize = 1_000;
 
-/// How often is looked for probes that are due.
-const LOOK: Duration = Duration::from_millis(500);
+/// Period of checks for probes that are due.
+const CHECK_PERIOD: Duration = Duration::from_millis(500);
 
 /// The least time between two reports of one owned endpoint.
-const REPORT: Duration = Duration::from_secs(2);
+const MIN_REPORT_PERIOD: Duration = Duration::from_secs(2);
 
 /// The longest time between two reports, whatever the number of endpoints.
 /// Beyond the connector's four seconds for an idle connection each report
 /// would open a new one, which costs more bytes than it saves.
-const REPORT_MOST: Duration = Duration::from_millis(3500);
+const MAX_REPORT_PERIOD: Duration = Duration::from_millis(3500);
 
 /// Bytes a second that reports of all owned endpoints may cost. With a fixed
 /// two seconds the ten endpoints of the letter's size cost 3.5 KB.
-const REPORT_RATE: usize = 2_000;
+const REPORT_BYTES_PER_SECOND: usize = 2_000;
 
 /// Bytes of one report on the wire with all headers, as measured there.
-const REPORT_BYTES: usize = 700;
+const ESTIMATED_REPORT_BYTES: usize = 700;
 
 /// How long an endpoint may take to answer a probe.
-const WAIT: Duration = Duration::from_secs(1);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Bytes of a probe's answer that are read.
-const PROBE_BYTES: usize = 256 << 10;
+const MAX_PROBE_RESPONSE_BYTES: usize = 256 << 10;
 
 /// When each owned endpoint was last asked, and how far its events were read.
 #[derive(Debug, Default)]
 pub(super) struct Probes {
-    looked: Moment,
-    asked: BTreeMap<EndpointId, Moment>,
+    last_check: Moment,
+    last_probe: BTreeMap<EndpointId, Moment>,
     // When an engine's cache events are next asked for.
-    due: BTreeMap<EndpointId, Moment>,
-    events: BTreeMap<EndpointId, (Incarnation, Offset)>,
+    cache_events_due: BTreeMap<EndpointId, Moment>,
+    cache_positions: BTreeMap<EndpointId, (Incarnation, Offset)>,
 }
 
 /// An engine's cache events from an offset on.
@@ -83,7 +83,7 @@
 }
 
 #[derive(Deserialize)]
-struct ReportAnswer {
+struct ReportBody {
     taken_ms: u64,
     incarnation: Incarnation,
     standing: Standing,
@@ -94,7 +94,7 @@
 
 /// What an endpoint answered when asked for its report.
 #[derive(Clone, Debug)]
-pub(crate) struct Told {
+pub(crate) struct ReportResponse {
     /// The report.
     pub(super) report: Report,
     /// The models that it names, each `name@weights`; plain services name none.
@@ -104,10 +104,10 @@
 }
 
 /// Follows the list for ever.
-pub(super) async fn list(io: Io, client: list::Client) {
+pub(super) async fn follow_list(io: Io, client: list::Client) {
     let mut watch = Watch::new(client);
     loop {
-        let listed = watch.next(LIST_WAIT).await;
+        let listed = watch.next(LIST_POLL_TIME).await;
         let pause = listed.is_err() || !watch.waits();
         match listed {
             Ok(listing) => {
@@ -118,42 +118,48 @@
             Err(error) => log::debug!(error:% = error; "instance list not read"),
         }
         if pause {
-            io.timer.until(io.now() + LIST_PAUSE).await;
+            io.timer.until(io.now() + LIST_RETRY_PAUSE).await;
         }
     }
 }
 
 impl Control {
     /// Asks the owned endpoints that are due.
-    pub(super) fn probe(&mut self, now: Moment) {
-        if since(now, self.probes.looked) < LOOK {
+    pub(super) fn probe_endpoints(&mut self, now: Moment) {
+        if since(now, self.probes.last_check) < CHECK_PERIOD {
             return;
         }
-        self.probes.looked = now;
+        self.probes.last_check = now;
         let view = std::sync::Arc::clone(&self.shared.snapshot().view);
         let owned: Vec<&Endpoint> = view.owned().collect();
-        let period = spread(owned.len() * REPORT_BYTES, REPORT_RATE).clamp(REPORT, REPORT_MOST);
+        let period = duration_at_rate(
+            owned.len() * ESTIMATED_REPORT_BYTES,
+            REPORT_BYTES_PER_SECOND,
+        )
+        .clamp(MIN_REPORT_PERIOD, MAX_REPORT_PERIOD);
         for endpoint in owned {
-            let asked = self.probes.asked.get(&endpoint.id);
+            let asked = self.probes.last_probe.get(&endpoint.id);
             if asked.is_some_and(|at| since(now, *at) < period) {
                 continue;
             }
-            self.probes.asked.insert(endpoint.id, now);
-            let due = self.probes.due.get(&endpoint.id);
+            self.probes.last_probe.insert(endpoint.id, now);
+            let due = self.probes.cache_events_due.get(&endpoint.id);
             let due = due.is_none_or(|due| *due <= now);
-            let from = self.probes.from(endpoint).filter(|_| due);
-            tokio::spawn(ask(self.io.clone(), endpoint.clone(), from));
+            let from = self.probes.next_event_offset(endpoint).filter(|_| due);
+            tokio::spawn(probe_endpoint(self.io.clone(), endpoint.clone(), from));
         }
         self.probes
-            .asked
+            .last_probe
             .retain(|id, _| view.endpoint(*id).is_some());
-        self.probes.due.retain(|id, _| view.endpoint(*id).is_some());
         self.probes
-            .events
+            .cache_events_due
+            .retain(|id, _| view.endpoint(*id).is_some());
+        self.probes
+            .cache_positions
             .retain(|id, _| view.endpoint(*id).is_some());
     }
 
-    pub(super) fn reported(
+    pub(super) fn apply_report(
         &mut self,
         now: Moment,
         endpoint: EndpointId,
@@ -162,10 +168,10 @@
     ) {
         self.endpoints.apply_report(now, endpoint, report);
         if let Some(models) = models {
-            if self.models.take(now, endpoint, report, &models) {
+            if self.models.record_report(now, endpoint, report, &models) {
                 self.publish();
             }
-            self.loaded(now, endpoint, *report, models);
+            self.record_owned_report(now, endpoint, *report, models);
         }
         self.shared
             .desk
@@ -174,21 +180,21 @@
 
     /// Takes in cache events, for each model that the engine has: they name a
     /// prefix and no model, and a chat stays with one model.
-    pub(super) fn cached(&mut self, id: EndpointId, page: &CachePage, bytes: usize) {
+    pub(super) fn apply_cache_events(&mut self, id: EndpointId, page: &CachePage, bytes: usize) {
         let Some(endpoint) = self.endpoints.get(id) else {
             return;
         };
         let now = self.shared.now();
-        let owned = self.probes.asked.len();
-        let due = now + spread(bytes * owned, CACHE_RATE);
-        self.probes.due.insert(id, due);
-        self.probes.read(endpoint, page);
+        let owned = self.probes.last_probe.len();
+        let due = now + duration_at_rate(bytes * owned, CACHE_EVENT_BYTES_PER_SECOND);
+        self.probes.cache_events_due.insert(id, due);
+        self.probes.record_position(endpoint, page);
         let events: Vec<chats::Event> = page
             .events
             .iter()
             .flat_map(|event| {
                 let models = endpoint.models.iter();
-                models.filter_map(|model| event.read(endpoint, *model, now))
+                models.filter_map(|model| event.to_chat_event(endpoint, *model, now))
             })
             .collect();
         self.shared.desk.with(|owner| {
@@ -201,11 +207,11 @@
 
 impl Probes {
     // A new incarnation counts its events from the start.
-    fn from(&self, endpoint: &Endpoint) -> Option<Offset> {
+    fn next_event_offset(&self, endpoint: &Endpoint) -> Option<Offset> {
         if endpoint.models.is_empty() {
             return None;
         }
-        match self.events.get(&endpoint.id) {
+        match self.cache_positions.get(&endpoint.id) {
             Some((incarnation, next)) if *incarnation == endpoint.incarnation => Some(*next),
             _ => Some(0),
         }
@@ -213,15 +219,15 @@
 
     // A page after a gap is taken as it is: what the lost events would have
     // said shows in the order of the evictions that did arrive.
-    fn read(&mut self, endpoint: &Endpoint, page: &CachePage) {
-        let before = self.from(endpoint).unwrap_or(0);
+    fn record_position(&mut self, endpoint: &Endpoint, page: &CachePage) {
+        let before = self.next_event_offset(endpoint).unwrap_or(0);
         let place = (endpoint.incarnation, page.next.max(before));
-        self.events.insert(endpoint.id, place);
+        self.cache_positions.insert(endpoint.id, place);
     }
 }
 
 impl CacheEvent {
-    fn read(&self, endpoint: &Endpoint, model: u64, at: Moment) -> Option<chats::Event> {
+    fn to_chat_event(&self, endpoint: &Endpoint, model: u64, at: Moment) -> Option<chats::Event> {
         let chat = u64::from_str_radix(&self.prefix, 16).ok()?;
         Some(chats::Event {
             chat,
@@ -240,60 +246,70 @@
     }
 }
 
-async fn ask(io: Io, endpoint: Endpoint, from: Option<Offset>) {
-    if let Some(told) = report(&io, &endpoint).await {
-        let event = Event::Report(endpoint.id, told.report, told.models);
+async fn probe_endpoint(io: Io, endpoint: Endpoint, from: Option<Offset>) {
+    if let Some(response) = fetch_report(&io, &endpoint).await {
+        let event = Event::Report(endpoint.id, response.report, response.models);
         drop(io.events.send(event).await);
     }
     let Some(from) = from else { return };
     let path = format!("/v1/cache-events?from={from}");
-    if let Some((page, bytes)) = get::<CachePage>(&io, &endpoint, &path).await {
+    if let Some((page, bytes)) = get_json::<CachePage>(&io, &endpoint, &path).await {
         let event = Event::CacheEvents(endpoint.id, page, bytes);
         drop(io.events.send(event).await);
     }
 }
 
 /// Asks an endpoint that another instance owns for its report.
-pub(super) async fn sweep(io: Io, endpoint: Endpoint) {
-    let told = report(&io, &endpoint).await;
-    drop(io.events.send(Event::SweepReport(endpoint.id, told)).await);
+pub(super) async fn fetch_sweep_report(io: Io, endpoint: Endpoint) {
+    let response = fetch_report(&io, &endpoint).await;
+    drop(
+        io.events
+            .send(Event::SweepReport(endpoint.id, response))
+            .await,
+    );
 }
 
-async fn report(io: &Io, endpoint: &Endpoint) -> Option<Told> {
-    let (answer, bytes) = get::<ReportAnswer>(io, endpoint, "/v1/report").await?;
+async fn fetch_report(io: &Io, endpoint: &Endpoint) -> Option<ReportResponse> {
+    let (body, bytes) = get_json::<ReportBody>(io, endpoint, "/v1/report").await?;
     let report = Report {
-        taken: Duration::from_millis(answer.taken_ms),
-        incarnation: answer.incarnation,
-        standing: answer.standing,
-        requests: answer.requests,
-        work: answer.work,
+        taken: Duration::from_millis(body.taken_ms),
+        incarnation: body.incarnation,
+        standing: body.standing,
+        requests: body.requests,
+        work: body.work,
     };
-    Some(Told {
+    Some(ReportResponse {
         report,
-        models: answer.models,
+        models: body.models,
         bytes,
     })
 }
 
 /// Bytes of a probe beside its answer's body: two HTTP heads of about 120, and
 /// TCP/IP headers with the acknowledgements.
-const HEADS: usize = 400;
+const PROBE_OVERHEAD_BYTES: usize = 400;
 
 // Returns how long `bytes` last at a rate.
-fn spread(bytes: usize, rate: usize) -> Duration {
+fn duration_at_rate(bytes: usize, rate: usize) -> Duration {
     Duration::from_millis((bytes * 1000 / rate) as u64)
 }
 
-async fn get<T: DeserializeOwned>(io: &Io, endpoint: &Endpoint, path: &str) -> Option<(T, usize)> {
+async fn get_json<T: DeserializeOwned>(
+    io: &Io,
+    endpoint: &Endpoint,
+    path: &str,
+) -> Option<(T, usize)> {
     let request = Request::get(path).body(body::full(bytes::Bytes::new()));
-    let sent = io.probes.send(endpoint.address, request.ok()?, WAIT);
+    let sent = io
+        .probes
+        .send(endpoint.address, request.ok()?, PROBE_TIMEOUT);
     let response = sent.await.ok()?;
     if response.status() != StatusCode::OK {
         return None;
     }
-    let read = body::collect(response.into_body(), PROBE_BYTES);
-    let bytes = tokio::time::timeout(WAIT, read).await.ok()?.ok()?;
-    let size = HEADS + path.len() + bytes.len();
+    let read = body::collect(response.into_body(), MAX_PROBE_RESPONSE_BYTES);
+    let bytes = tokio::time::timeout(PROBE_TIMEOUT, read).await.ok()?.ok()?;
+    let size = PROBE_OVERHEAD_BYTES + path.len() + bytes.len();
     serde_json::from_slice::<T>(&bytes)
         .inspect_err(|error| {
             log::debug!(endpoint:% = endpoint.name, error:% = error; "probe can't be read");
--- a/crates/router/src/control/publish.rs
+++ b/crates/router/src/control/publish.rs
@@ -38,15 +38,18 @@
         let now = self.shared.now();
         let endpoints = self.endpoints.endpoints().cloned();
         let endpoints: Vec<Endpoint> = endpoints
-            .map(|e| self.models.correct(now, self.kind(&e), e))
+            .map(|e| {
+                self.models
+                    .apply_reported_models(now, self.service_kind(&e), e)
+            })
             .collect();
-        let version = self.serves();
+        let version = self.serving_version();
         let last = &self.published;
         if last.version == version && last.instances == instances && last.endpoints == endpoints {
             return;
         }
         if self.published.version != version {
-            self.published.bundle = self.resolved();
+            self.published.bundle = self.current_bundle();
             self.batchers.set_window(self.fold.policy());
             self.pump.set_version(version);
             log::info!(version = version; "bundle in force");
@@ -66,7 +69,7 @@
     }
 
     // The version to serve under: none while the stream is still being read.
-    fn serves(&self) -> Version {
+    fn serving_version(&self) -> Version {
         if self.ready.get() {
             self.fold.version()
         } else {
@@ -87,12 +90,12 @@
         instances
     }
 
-    fn kind(&self, endpoint: &Endpoint) -> Option<Kind> {
+    fn service_kind(&self, endpoint: &Endpoint) -> Option<Kind> {
         let policy = self.fold.policy()?;
         Some(policy.services.get(&endpoint.service)?.kind)
     }
 
-    fn resolved(&self) -> Option<Bundle> {
+    fn current_bundle(&self) -> Option<Bundle> {
         let policy = self.fold.policy()?.clone();
         Some(Bundle {
             policy: Arc::new(policy),
--- a/crates/router/src/control/renew.rs
+++ b/crates/router/src/control/renew.rs
@@ -11,15 +11,15 @@
 
 impl Control {
     /// Appends a checkpoint if one is due and this instance's turn.
-    pub(super) fn renew(&mut self, now: Moment) {
-        if self.renewing || renew::decide(&self.renewal(now)) != Next::Append {
+    pub(super) fn renew_bundle(&mut self, now: Moment) {
+        if self.renewal_running || renew::decide(&self.renewal_view(now)) != Next::Append {
             return;
         }
         let Some(snapshot) = self.fold.snapshot() else {
             return;
         };
-        self.renewing = true;
-        self.renewed = Some(now);
+        self.renewal_running = true;
+        self.last_renewal = Some(now);
         let io = self.io.clone();
         let records = record::checkpoint(&snapshot);
         log::info!(version = snapshot.version(), records = records.len(); "renewing the bundle");
@@ -37,7 +37,7 @@
         });
     }
 
-    fn renewal(&self, now: Moment) -> View {
+    fn renewal_view(&self, now: Moment) -> View {
         let snapshot = Arc::clone(&self.shared.snapshot().view);
         let own = self.shared.local();
         let before = snapshot.instances().take_while(|i| i.id != own).count();
@@ -46,7 +46,7 @@
             retention: self.shared.settings.platform.retention,
             anchor: self.fold.anchor().filter(|_| self.ready.get()),
             next: self.fold.wanted(),
-            tried: self.renewed,
+            tried: self.last_renewal,
             rank: u32::try_from(before).unwrap_or(u32::MAX),
         }
     }
--- a/crates/router/src/handover.rs
+++ b/crates/router/src/handover.rs
@@ -21,7 +21,7 @@
 pub(crate) const PATH: &str = "/peer/v1/handover";
 
 /// How long a peer may take to accept one message of locations.
-const WAIT: Duration = Duration::from_secs(2);
+const SEND_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Returns some of the chats that belong to other owners now; `None` if there
 /// are none left.
@@ -59,7 +59,9 @@
     };
     let bytes = Bytes::from(rmp_serde::to_vec(locations).unwrap_or_default());
     let request = peer::sealed(shared, instance, Method::POST, PATH, &bytes);
-    let sent = shared.side.send(instance.peer_address, request, WAIT);
+    let sent = shared
+        .side
+        .send(instance.peer_address, request, SEND_TIMEOUT);
     if let Err(error) = sent.await {
         log::warn!(instance:% = instance.name, error:% = error; "chats not handed over");
     }
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -16,9 +16,9 @@
 
 fn main() -> ExitCode {
     let code = match parse(std::env::args_os()) {
-        Action::Run(path) => with(&path, run),
-        Action::Check(path) => with(&path, |_| EXIT_DONE),
-        Action::PrintSettings(path) => with(&path, |settings| {
+        Action::Run(path) => with_settings(&path, run),
+        Action::Check(path) => with_settings(&path, |_| EXIT_DONE),
+        Action::PrintSettings(path) => with_settings(&path, |settings| {
             print!("{}", settings.print());
             EXIT_DONE
         }),
@@ -34,7 +34,7 @@
     ExitCode::from(code)
 }
 
-fn with(path: &Path, call: impl FnOnce(Settings) -> u8) -> u8 {
+fn with_settings(path: &Path, call: impl FnOnce(Settings) -> u8) -> u8 {
     match Settings::load(path) {
         Ok(settings) => call(settings),
         Err(error) => {
@@ -69,20 +69,20 @@
         operators:% = running.operators_address();
         "listening"
     );
-    either(&mut terminate, &mut interrupt).await;
+    next_signal(&mut terminate, &mut interrupt).await;
     let hurry = running.hurry();
     let stopping = running.stop_gracefully();
     tokio::pin!(stopping);
     let (stopped, hurried) = tokio::select! {
         stopped = &mut stopping => (stopped, false),
-        () = either(&mut terminate, &mut interrupt) => {
+        () = next_signal(&mut terminate, &mut interrupt) => {
             hurry.now();
             (stopping.await, true)
         }
     };
     Ok(match stopped {
-        ShutdownResult::Drained => EXIT_DONE,
-        ShutdownResult::Aborted { requests } => {
+        ShutdownResult::Whole => EXIT_DONE,
+        ShutdownResult::Cut { requests } => {
             log::warn!(requests = requests; "requests in flight were cut");
             if hurried {
                 EXIT_ABORTED
@@ -93,7 +93,7 @@
     })
 }
 
-async fn either(terminate: &mut Signal, interrupt: &mut Signal) {
+async fn next_signal(terminate: &mut Signal, interrupt: &mut Signal) {
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
--- a/crates/router/src/relay/once.rs
+++ b/crates/router/src/relay/once.rs
@@ -40,7 +40,7 @@
 pub(crate) async fn run(shared: &Arc<Shared>, leave: Leave, job: &Job) -> Attempt {
     match claimed(shared, job).await {
         Claimed::Here(id) => started(shared, leave, job, id).await,
-        Claimed::CachedResponse(kept) => answered(kept, true),
+        Claimed::Kept(kept) => answered(kept, true),
         Claimed::Not(problem) => told(problem),
     }
 }
@@ -77,7 +77,7 @@
     /// This instance holds it.
     Here(Id),
     /// Another one holds it, and has this answer.
-    CachedResponse(CachedResponse),
+    Kept(CachedResponse),
     /// The request is refused.
     Not(Problem),
 }
@@ -104,7 +104,7 @@
             .lock()
             .holder
             .apply_verdict(shared.now(), record.id, verdict);
-        return Claimed::CachedResponse(kept);
+        return Claimed::Kept(kept);
     }
     let now = shared.now();
     let step = shared
--- a/crates/router/src/running.rs
+++ b/crates/router/src/running.rs
@@ -223,11 +223,11 @@
         // On the router's own threads, since its connections live there.
         let stopped = match &self.traffic {
             Some(traffic) => traffic.spawn(shutdown).await,
-            None => Ok(ShutdownResult::Drained),
+            None => Ok(ShutdownResult::Whole),
         };
         self.close().await;
         self.end();
-        stopped.unwrap_or(ShutdownResult::Aborted { requests: 0 })
+        stopped.unwrap_or(ShutdownResult::Cut { requests: 0 })
     }
 
     // Nothing is in flight, but a peer may be sending: connections are closed
--- a/crates/router/src/serve/callers.rs
+++ b/crates/router/src/serve/callers.rs
@@ -25,15 +25,15 @@
 use godwitpost_process::metrics::{Labels, Metrics};
 
 /// How long a caller may take to send a body.
-const BODY_TIME: Duration = Duration::from_mins(1);
+const BODY_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// Answers one request.
 pub(crate) async fn answer(shared: Arc<Shared>, request: Request<Incoming>) -> Response<Body> {
     let version = request.version();
     let mut response = match request.uri().path() {
-        "/healthz" => probe(StatusCode::OK, "alive\n"),
-        "/readyz" => ready(&shared),
-        _ => place(&shared, request).await,
+        "/healthz" => probe_response(StatusCode::OK, "alive\n"),
+        "/readyz" => readiness(&shared),
+        _ => handle_request(&shared, request).await,
     };
     // The balancer's list lags; connections that stay open would bring more.
     if shared.leaving() && version < Version::HTTP_2 {
@@ -43,7 +43,7 @@
     response
 }
 
-fn ready(shared: &Shared) -> Response<Body> {
+fn readiness(shared: &Shared) -> Response<Body> {
     let (status, text) = if shared.leaving() {
         (StatusCode::SERVICE_UNAVAILABLE, "leaving\n")
     } else if shared.ready() {
@@ -53,24 +53,27 @@
     } else {
         (StatusCode::SERVICE_UNAVAILABLE, "no instance list yet\n")
     };
-    probe(status, text)
+    probe_response(status, text)
 }
 
-fn probe(status: StatusCode, text: &'static str) -> Response<Body> {
+fn probe_response(status: StatusCode, text: &'static str) -> Response<Body> {
     let mut response = Response::new(body::full(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response
 }
 
-async fn place(shared: &Arc<Shared>, request: Request<Incoming>) -> Response<Body> {
+async fn handle_request(shared: &Arc<Shared>, request: Request<Incoming>) -> Response<Body> {
     let began = shared.now();
     let id: RequestId = shared.gate().rng.random();
     let in_flight = shared.enter();
     let mut labels = shared.metrics.nobody();
     let (parts, mut incoming) = request.into_parts();
-    let placed = try_place(shared, parts, &mut incoming, id, &in_flight, &mut labels).await;
-    let mut response = match placed {
-        Ok((response, permit)) => finish(shared, response, in_flight, permit, labels, began),
+    let result =
+        try_handle_request(shared, parts, &mut incoming, id, &in_flight, &mut labels).await;
+    let mut response = match result {
+        Ok((response, permit)) => {
+            track_response(shared, response, in_flight, permit, labels, began)
+        }
         Err(problem) => {
             let took = since(shared.now(), began);
             let status = problem.status.as_u16();
@@ -84,7 +87,7 @@
     response
 }
 
-async fn try_place(
+async fn try_handle_request(
     shared: &Arc<Shared>,
     mut parts: Parts,
     incoming: &mut Incoming,
@@ -93,30 +96,30 @@
     labels: &mut Labels,
 ) -> Result<(Response<Body>, Permit), Problem> {
     if in_flight.before() >= shared.settings.limits.streams {
-        return Err(full());
+        return Err(instance_full());
     }
     let snapshot = shared.snapshot();
     let bundle = snapshot.bundle.as_ref().ok_or_else(no_bundle)?;
     check_head(shared, &mut parts)?;
     let head = resolve::head(&bundle.policy, &parts, shared.now())?;
-    *labels = label(shared, bundle, &head);
+    *labels = request_labels(shared, bundle, &head);
     let instances = snapshot.view.instances().count();
     let permit = Permit::admit(shared, bundle, head.workspace, instances)?;
-    let whole = read(shared, &parts, incoming).await?;
-    let resolved = resolve::whole(&bundle.policy, &head, &parts, whole, id)?;
+    let body = read_body(shared, &parts, incoming).await?;
+    let resolved = resolve::whole(&bundle.policy, &head, &parts, body, id)?;
     let version = bundle.policy.version;
     let mut response = entry::run(shared, &snapshot, bundle, resolved).await?;
     let status = response.status();
     let headers = response.headers_mut();
     headers.insert(header::VERSION, HeaderValue::from(version));
-    let outcome = outcome(status);
+    let outcome = outcome_of(status);
     headers.insert(header::OUTCOME, HeaderValue::from_static(outcome.as_str()));
     header::add_via(headers, &shared.settings.name);
     Ok((response, permit))
 }
 
 // An endpoint that failed may have done half of it or nothing.
-fn outcome(status: StatusCode) -> Outcome {
+fn outcome_of(status: StatusCode) -> Outcome {
     if status.is_server_error() {
         Outcome::Unknown
     } else {
@@ -125,7 +128,7 @@
 }
 
 /// Keeps the counts of a request until its answer's last byte.
-fn finish(
+fn track_response(
     shared: &Arc<Shared>,
     response: Response<Body>,
     in_flight: InFlight,
@@ -135,7 +138,7 @@
 ) -> Response<Body> {
     let status = response.status();
     let took = since(shared.now(), began);
-    let outcome = outcome(status);
+    let outcome = outcome_of(status);
     shared.metrics.head(&labels, outcome, status.as_u16(), took);
     let shared = Arc::clone(shared);
     let ended = move |_end| {
@@ -145,7 +148,7 @@
     response.map(|body| Relay::new(body, Ends::Framed, ended).boxed_unsync())
 }
 
-fn label(shared: &Shared, bundle: &Bundle, head: &resolve::Head<'_>) -> Labels {
+fn request_labels(shared: &Shared, bundle: &Bundle, head: &resolve::Head<'_>) -> Labels {
     let workspace = bundle.policy.workspaces.get(&head.workspace);
     let class = bundle.policy.classes.get(&head.class);
     shared.metrics.labels(
@@ -182,17 +185,21 @@
         .sum()
 }
 
-async fn read(shared: &Shared, parts: &Parts, incoming: &mut Incoming) -> Result<Bytes, Problem> {
+async fn read_body(
+    shared: &Shared,
+    parts: &Parts,
+    incoming: &mut Incoming,
+) -> Result<Bytes, Problem> {
     let limit = shared.settings.limits.body_bytes;
     let length = parts.headers.get(CONTENT_LENGTH);
     let length: Option<usize> = length.and_then(|value| value.to_str().ok()?.parse().ok());
     // Said beforehand, it need not be read first.
     if length.is_some_and(|length| length > limit) {
-        return Err(unread(&body::Error::TooLarge(limit)));
+        return Err(body_problem(&body::Error::TooLarge(limit)));
     }
-    match tokio::time::timeout(BODY_TIME, body::collect(incoming, limit)).await {
+    match tokio::time::timeout(BODY_TIMEOUT, body::collect(incoming, limit)).await {
         Ok(Ok(bytes)) => Ok(bytes),
-        Ok(Err(error)) => Err(unread(&error)),
+        Ok(Err(error)) => Err(body_problem(&error)),
         Err(_elapsed) => Err(Problem::not_run(
             StatusCode::REQUEST_TIMEOUT,
             "slow-body",
@@ -201,7 +208,7 @@
     }
 }
 
-fn unread(error: &body::Error) -> Problem {
+fn body_problem(error: &body::Error) -> Problem {
     let (status, reason) = match error {
         body::Error::TooLarge(_) => (StatusCode::PAYLOAD_TOO_LARGE, "large-body"),
         body::Error::Broken(_) => (StatusCode::BAD_REQUEST, "bad-framing"),
@@ -209,7 +216,7 @@
     Problem::not_run(status, reason, error.to_string())
 }
 
-fn full() -> Problem {
+fn instance_full() -> Problem {
     Problem::not_run(
         StatusCode::SERVICE_UNAVAILABLE,
         "full",
--- a/crates/router/src/serve/peers.rs
+++ b/crates/router/src/serve/peers.rs
@@ -27,20 +27,20 @@
 use crate::shared::Shared;
 
 /// Bytes of a message beside the caller's body: its head in the frame.
-const BEYOND: usize = 256 << 10;
+const MAX_FRAME_HEAD_BYTES: usize = 256 << 10;
 
 /// How long a peer may take to send its message.
-const BODY_TIME: Duration = Duration::from_secs(30);
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Answers one message.
 pub(crate) async fn answer(shared: Arc<Shared>, request: Request<Incoming>) -> Response<Body> {
     let (parts, incoming) = request.into_parts();
-    let limit = shared.settings.limits.body_bytes + BEYOND;
-    let read = tokio::time::timeout(BODY_TIME, body::collect(incoming, limit)).await;
+    let limit = shared.settings.limits.body_bytes + MAX_FRAME_HEAD_BYTES;
+    let read = tokio::time::timeout(MESSAGE_TIMEOUT, body::collect(incoming, limit)).await;
     let Ok(Ok(bytes)) = read else {
-        return status(StatusCode::BAD_REQUEST);
+        return empty_response(StatusCode::BAD_REQUEST);
     };
-    let mut response = match known(&shared, &parts, &bytes) {
+    let mut response = match authenticate(&shared, &parts, &bytes) {
         Ok(()) => route(&shared, &parts, bytes).await,
         Err(refusal) => refusal,
     };
@@ -51,7 +51,7 @@
 
 // Strangers are refused and counted, and learn nothing but that.
 #[expect(clippy::result_large_err, reason = "the refusal is the answer itself")]
-fn known(shared: &Shared, parts: &Parts, bytes: &Bytes) -> Result<(), Response<Body>> {
+fn authenticate(shared: &Shared, parts: &Parts, bytes: &Bytes) -> Result<(), Response<Body>> {
     let path = parts
         .uri
         .path_and_query()
@@ -60,18 +60,18 @@
     let key = &shared.settings.fleet_key;
     match key.check(place, bytes, shared.now(), &parts.headers) {
         Ok(sender) => {
-            hear(shared, sender, parts);
+            record_sender_version(shared, sender, parts);
             Ok(())
         }
         Err(error) => {
             shared.metrics.stranger();
             log::warn!(path:% = parts.uri.path(), error:% = error; "peer message refused");
-            Err(status(StatusCode::UNAUTHORIZED))
+            Err(empty_response(StatusCode::UNAUTHORIZED))
         }
     }
 }
 
-fn hear(shared: &Shared, sender: &str, parts: &Parts) {
+fn record_sender_version(shared: &Shared, sender: &str, parts: &Parts) {
     let version = parts.headers.get(header::BUNDLE);
     let version = version.and_then(|value| value.to_str().ok()?.parse().ok());
     if let Some(version) = version {
@@ -81,21 +81,21 @@
 
 async fn route(shared: &Arc<Shared>, parts: &Parts, bytes: Bytes) -> Response<Body> {
     match (&parts.method, parts.uri.path()) {
-        (&Method::POST, dispatch::PATH) => dispatched(shared, &bytes).await,
-        (&Method::POST, claims::PATH) => claim(shared, &bytes).await,
-        (&Method::POST, claims::RESPONSE_PATH) => kept(shared, &bytes),
-        (&Method::POST, peer::EVIDENCE) => testified(shared, &bytes),
-        (&Method::POST, gossip::PATH) => gossiped(shared, &bytes).await,
-        (&Method::POST, handover::PATH) => taken_over(shared, &bytes),
-        (&Method::GET, bundles::PATH) => bundle(shared, parts).await,
-        _ => status(StatusCode::NOT_FOUND),
+        (&Method::POST, dispatch::PATH) => handle_dispatch(shared, &bytes).await,
+        (&Method::POST, claims::PATH) => handle_claim(shared, &bytes).await,
+        (&Method::POST, claims::RESPONSE_PATH) => handle_response_request(shared, &bytes),
+        (&Method::POST, peer::EVIDENCE) => handle_evidence(shared, &bytes),
+        (&Method::POST, gossip::PATH) => handle_gossip(shared, &bytes).await,
+        (&Method::POST, handover::PATH) => handle_handover(shared, &bytes),
+        (&Method::GET, bundles::PATH) => handle_bundle_request(shared, parts).await,
+        _ => empty_response(StatusCode::NOT_FOUND),
     }
 }
 
-async fn dispatched(shared: &Arc<Shared>, bytes: &Bytes) -> Response<Body> {
+async fn handle_dispatch(shared: &Arc<Shared>, bytes: &Bytes) -> Response<Body> {
     let in_flight = shared.enter();
     let Ok(Frame { head, body }) = Frame::<Head>::decode(bytes) else {
-        return status(StatusCode::BAD_REQUEST);
+        return empty_response(StatusCode::BAD_REQUEST);
     };
     let attempt = head.attempt;
     let pool = Pool::for_request(&head.request);
@@ -123,9 +123,9 @@
     response.map(|body| Relay::new(body, Ends::Framed, move |_end| drop(in_flight)).boxed_unsync())
 }
 
-async fn claim(shared: &Shared, bytes: &Bytes) -> Response<Body> {
+async fn handle_claim(shared: &Shared, bytes: &Bytes) -> Response<Body> {
     let Ok(items) = batch::decode(bytes) else {
-        return status(StatusCode::BAD_REQUEST);
+        return empty_response(StatusCode::BAD_REQUEST);
     };
     let mut verdict = Verdict::Unavailable;
     for item in items {
@@ -143,50 +143,50 @@
     Response::new(body::full(Bytes::from(bytes)))
 }
 
-fn kept(shared: &Shared, bytes: &Bytes) -> Response<Body> {
+fn handle_response_request(shared: &Shared, bytes: &Bytes) -> Response<Body> {
     let Ok((key, digest)) = rmp_serde::from_slice::<(KeyDigest, BodyDigest)>(bytes) else {
-        return status(StatusCode::BAD_REQUEST);
+        return empty_response(StatusCode::BAD_REQUEST);
     };
     let mut claims = shared.claims.lock();
     match claims.responses.get(shared.now(), &key, &digest) {
-        Lookup::Hit(kept) => Response::new(body::full(kept.encode())),
-        Lookup::OtherBody | Lookup::Miss => status(StatusCode::NOT_FOUND),
+        Lookup::Hit(cached) => Response::new(body::full(cached.encode())),
+        Lookup::OtherBody | Lookup::Miss => empty_response(StatusCode::NOT_FOUND),
     }
 }
 
-async fn gossiped(shared: &Shared, bytes: &Bytes) -> Response<Body> {
+async fn handle_gossip(shared: &Shared, bytes: &Bytes) -> Response<Body> {
     let Ok(message) = Message::decode(bytes) else {
-        return status(StatusCode::BAD_REQUEST);
+        return empty_response(StatusCode::BAD_REQUEST);
     };
     let (reply, answer) = oneshot::channel();
     let event = Event::GossipRequest(message, bytes.len(), reply);
     if shared.control.send(event).await.is_err() {
-        return status(StatusCode::SERVICE_UNAVAILABLE);
+        return empty_response(StatusCode::SERVICE_UNAVAILABLE);
     }
     match answer.await {
         Ok(Some(bytes)) => Response::new(body::full(bytes)),
-        Ok(None) => status(StatusCode::TOO_MANY_REQUESTS),
-        Err(_gone) => status(StatusCode::SERVICE_UNAVAILABLE),
+        Ok(None) => empty_response(StatusCode::TOO_MANY_REQUESTS),
+        Err(_gone) => empty_response(StatusCode::SERVICE_UNAVAILABLE),
     }
 }
 
-fn testified(shared: &Shared, bytes: &Bytes) -> Response<Body> {
+fn handle_evidence(shared: &Shared, bytes: &Bytes) -> Response<Body> {
     let Ok(evidence) = rmp_serde::from_slice::<Vec<_>>(bytes) else {
-        return status(StatusCode::BAD_REQUEST);
+        return empty_response(StatusCode::BAD_REQUEST);
     };
     shared.desk.with(|owner| owner.record_evidence(&evidence));
-    status(StatusCode::OK)
+    empty_response(StatusCode::OK)
 }
 
-fn taken_over(shared: &Shared, bytes: &Bytes) -> Response<Body> {
+fn handle_handover(shared: &Shared, bytes: &Bytes) -> Response<Body> {
     let Ok(locations) = rmp_serde::from_slice::<Vec<_>>(bytes) else {
-        return status(StatusCode::BAD_REQUEST);
+        return empty_response(StatusCode::BAD_REQUEST);
     };
     shared.desk.with(|owner| owner.accept_handover(&locations));
-    status(StatusCode::OK)
+    empty_response(StatusCode::OK)
 }
 
-async fn bundle(shared: &Shared, parts: &Parts) -> Response<Body> {
+async fn handle_bundle_request(shared: &Shared, parts: &Parts) -> Response<Body> {
     let since = parts
         .uri
         .query()
@@ -195,15 +195,15 @@
     let (reply, answer) = oneshot::channel();
     let event = Event::BundleRequest(since, reply);
     if shared.control.send(event).await.is_err() {
-        return status(StatusCode::SERVICE_UNAVAILABLE);
+        return empty_response(StatusCode::SERVICE_UNAVAILABLE);
     }
     match answer.await {
         Ok(Some(bytes)) => Response::new(body::full(bytes)),
-        _ => status(StatusCode::NOT_FOUND),
+        _ => empty_response(StatusCode::NOT_FOUND),
     }
 }
 
-fn status(status: StatusCode) -> Response<Body> {
+fn empty_response(status: StatusCode) -> Response<Body> {
     let mut response = Response::new(body::full(Bytes::new()));
     *response.status_mut() = status;
     response
--- a/crates/router/src/settings/read.rs
+++ b/crates/router/src/settings/read.rs
@@ -14,21 +14,21 @@
 
 /// The log's retention unless the settings say otherwise: the shortest that
 /// still leaves its outages of half an hour room.
-const RETENTION: Duration = Duration::from_hours(1);
+const DEFAULT_RETENTION: Duration = Duration::from_hours(1);
 
 /// The balancer's lag unless the settings say otherwise: a probe every few
 /// seconds that has to fail twice.
-const BALANCER_LAG: Duration = Duration::from_secs(5);
+const DEFAULT_BALANCER_LAG: Duration = Duration::from_secs(5);
 
 /// Waits at a graceful shutdown unless the settings say otherwise: longer
 /// than the longest deadline of the example bundles, 60 s.
-const DRAIN: Duration = Duration::from_secs(90);
+const DEFAULT_DRAIN_LIMIT: Duration = Duration::from_secs(90);
 
 /// Traffic threads unless the settings say otherwise; instances are small.
-const THREADS: usize = 2;
+const DEFAULT_THREADS: usize = 2;
 
 /// The keys of each level, in the order that `--print-settings` gives them.
-const TOP: [&str; 15] = [
+const TOP_KEYS: [&str; 15] = [
     "name",
     "incarnation",
     "zone",
@@ -45,41 +45,41 @@
     "log_level",
     "threads",
 ];
-const LISTEN: [&str; 3] = ["callers", "peers", "operators"];
-const PLATFORM: [&str; 4] = ["log", "list", "weights", "retention"];
-const LIMITS: [&str; 3] = ["head_bytes", "body_bytes", "streams"];
+const LISTEN_KEYS: [&str; 3] = ["callers", "peers", "operators"];
+const PLATFORM_KEYS: [&str; 4] = ["log", "list", "weights", "retention"];
+const LIMITS_KEYS: [&str; 3] = ["head_bytes", "body_bytes", "streams"];
 
-const NAME: &str = "a name of letters, digits, `-`, `_` and `.`, such as otaru-1";
-const ADDRESS: &str = "an IP number and a port, such as 10.0.0.5:8080";
-const DURATION: &str = "a number with ms, s, m or h, such as 90s";
-const PUBLIC_KEY: &str = "a base64 Ed25519 public key, as `godwitpost-bundle` prints it";
-const FLEET_KEY: &str = "32 random bytes in base64, the same on all instances";
+const NAME_FORMAT: &str = "a name of letters, digits, `-`, `_` and `.`, such as otaru-1";
+const ADDRESS_FORMAT: &str = "an IP number and a port, such as 10.0.0.5:8080";
+const DURATION_FORMAT: &str = "a number with ms, s, m or h, such as 90s";
+const PUBLIC_KEY_FORMAT: &str = "a base64 Ed25519 public key, as `godwitpost-bundle` prints it";
+const FLEET_KEY_FORMAT: &str = "32 random bytes in base64, the same on all instances";
 
 pub(super) fn settings(mut top: Level, mistakes: &mut Vec<Mistake>) -> Option<Settings> {
-    let name = top.required("name", NAME, name, mistakes);
+    let name = top.required("name", NAME_FORMAT, name, mistakes);
     let incarnation = top.optional(
         "incarnation",
         "a whole number",
         |t| t.parse().ok(),
         mistakes,
     );
-    let zone = top.required("zone", NAME, self::name, mistakes);
-    let region = top.required("region", NAME, self::name, mistakes);
-    let fleet = top.required("fleet", NAME, self::name, mistakes);
+    let zone = top.required("zone", NAME_FORMAT, self::name, mistakes);
+    let region = top.required("region", NAME_FORMAT, self::name, mistakes);
+    let fleet = top.required("fleet", NAME_FORMAT, self::name, mistakes);
     let listen = read_listen(top.level("listen", mistakes), mistakes);
     let platform = read_platform(top.level("platform", mistakes), mistakes);
     let root_keys = read_root_keys(&mut top, mistakes);
     let fleet_key = read_fleet_key(&mut top, mistakes);
     let limits = read_limits(top.level("limits", mistakes), mistakes);
-    let lag = top.optional("balancer_lag", DURATION, duration, mistakes);
-    let drain = top.optional("drain", DURATION, duration, mistakes);
-    let level = "off, error, warn, info, debug or trace";
-    let log_level = top.optional("log_level", level, |t| t.parse().ok(), mistakes);
+    let lag = top.optional("balancer_lag", DURATION_FORMAT, duration, mistakes);
+    let drain = top.optional("drain", DURATION_FORMAT, duration, mistakes);
+    let level_format = "off, error, warn, info, debug or trace";
+    let log_level = top.optional("log_level", level_format, |t| t.parse().ok(), mistakes);
     let threads = top.optional("threads", "a number from 1 to 64", threads, mistakes);
-    top.finish(&TOP, mistakes);
+    top.finish(&TOP_KEYS, mistakes);
     Some(Settings {
         name: name?.value,
-        incarnation: incarnation.map_or_else(start_millis, |taken| taken.value),
+        incarnation: incarnation.map_or_else(start_millis, |read| read.value),
         zone: zone?.value,
         region: region?.value,
         fleet: fleet?.value,
@@ -88,24 +88,24 @@
         root_keys,
         fleet_key: fleet_key?,
         limits,
-        balancer_lag: lag.map_or(BALANCER_LAG, |taken| taken.value),
-        drain: drain.map_or(DRAIN, |taken| taken.value),
-        log_level: log_level.map_or(LevelFilter::Info, |taken| taken.value),
-        threads: threads.map_or(THREADS, |taken| taken.value),
+        balancer_lag: lag.map_or(DEFAULT_BALANCER_LAG, |read| read.value),
+        drain: drain.map_or(DEFAULT_DRAIN_LIMIT, |read| read.value),
+        log_level: log_level.map_or(LevelFilter::Info, |read| read.value),
+        threads: threads.map_or(DEFAULT_THREADS, |read| read.value),
     })
 }
 
 fn read_listen(mut level: Level, mistakes: &mut Vec<Mistake>) -> Option<Listen> {
-    let callers = level.required("callers", ADDRESS, address, mistakes);
-    let peers = level.required("peers", ADDRESS, address, mistakes);
-    let operators = level.required("operators", ADDRESS, address, mistakes);
-    level.finish(&LISTEN, mistakes);
+    let callers = level.required("callers", ADDRESS_FORMAT, address, mistakes);
+    let peers = level.required("peers", ADDRESS_FORMAT, address, mistakes);
+    let operators = level.required("operators", ADDRESS_FORMAT, address, mistakes);
+    level.finish(&LISTEN_KEYS, mistakes);
     let (callers, peers, operators) = (callers?, peers?, operators?);
-    let shared = |a: SocketAddr, b: SocketAddr| a == b && a.port() != 0;
-    if shared(peers.value, callers.value) {
+    let same_port = |a: SocketAddr, b: SocketAddr| a == b && a.port() != 0;
+    if same_port(peers.value, callers.value) {
         mistakes.push(peers.mistake("is also that of callers; give each its own port"));
     }
-    if shared(operators.value, callers.value) || shared(operators.value, peers.value) {
+    if same_port(operators.value, callers.value) || same_port(operators.value, peers.value) {
         mistakes.push(operators.mistake("is also that of others; give each its own port"));
     }
     Some(Listen {
@@ -116,27 +116,27 @@
 }
 
 fn read_platform(mut level: Level, mistakes: &mut Vec<Mistake>) -> Option<Platform> {
-    let log = level.required("log", ADDRESS, address, mistakes);
-    let list = level.required("list", ADDRESS, address, mistakes);
-    let weights = level.optional("weights", ADDRESS, address, mistakes);
-    let retention = level.optional("retention", DURATION, duration, mistakes);
-    level.finish(&PLATFORM, mistakes);
+    let log = level.required("log", ADDRESS_FORMAT, address, mistakes);
+    let list = level.required("list", ADDRESS_FORMAT, address, mistakes);
+    let weights = level.optional("weights", ADDRESS_FORMAT, address, mistakes);
+    let retention = level.optional("retention", DURATION_FORMAT, duration, mistakes);
+    level.finish(&PLATFORM_KEYS, mistakes);
     Some(Platform {
         log: log?.value,
         list: list?.value,
-        weights: weights.map(|taken| taken.value),
-        retention: retention.map_or(RETENTION, |taken| taken.value),
+        weights: weights.map(|read| read.value),
+        retention: retention.map_or(DEFAULT_RETENTION, |read| read.value),
     })
 }
 
 fn read_root_keys(top: &mut Level, mistakes: &mut Vec<Mistake>) -> Vec<[u8; PUBLIC_KEY_BYTES]> {
     let before = mistakes.len();
-    let keys = top.list("root_keys", PUBLIC_KEY, public_key, mistakes);
+    let keys = top.list("root_keys", PUBLIC_KEY_FORMAT, public_key, mistakes);
     if keys.is_empty() && mistakes.len() == before {
         mistakes.push(Mistake {
             line: 0,
             key: "root_keys".to_owned(),
-            text: format!("is missing or empty; list at least one: {PUBLIC_KEY}"),
+            text: format!("is missing or empty; list at least one: {PUBLIC_KEY_FORMAT}"),
         });
     }
     keys
@@ -145,10 +145,10 @@
 fn read_fleet_key(top: &mut Level, mistakes: &mut Vec<Mistake>) -> Option<auth::Key> {
     let file = top.optional("fleet_key_file", "a path", |t| Some(t.to_owned()), mistakes);
     let Some(file) = file else {
-        let key = top.required("fleet_key", FLEET_KEY, auth::Key::parse, mistakes);
-        return key.map(|taken| taken.value);
+        let key = top.required("fleet_key", FLEET_KEY_FORMAT, auth::Key::parse, mistakes);
+        return key.map(|read| read.value);
     };
-    if let Some(key) = top.optional("fleet_key", FLEET_KEY, auth::Key::parse, mistakes) {
+    if let Some(key) = top.optional("fleet_key", FLEET_KEY_FORMAT, auth::Key::parse, mistakes) {
         mistakes.push(key.mistake("stands beside `fleet_key_file`; keep one of them"));
     }
     match std::fs::read_to_string(&file.value) {
@@ -157,7 +157,9 @@
         ))),
         Ok(text) => match auth::Key::parse(&text) {
             Some(key) => return Some(key),
-            None => mistakes.push(file.mistake(&format!("names a file that wants {FLEET_KEY}"))),
+            None => {
+                mistakes.push(file.mistake(&format!("names a file that wants {FLEET_KEY_FORMAT}")));
+            }
         },
     }
     None
@@ -169,17 +171,17 @@
     // connections would fill a small instance.
     let head = "bytes from 8192 to 1048576";
     let read_head = |t: &str| t.parse().ok().filter(|n| (8192..=1 << 20).contains(n));
-    if let Some(taken) = level.optional("head_bytes", head, read_head, mistakes) {
-        limits.head_bytes = taken.value;
+    if let Some(read) = level.optional("head_bytes", head, read_head, mistakes) {
+        limits.head_bytes = read.value;
     }
     let positive = |t: &str| t.parse().ok().filter(|&n: &usize| n > 0);
-    if let Some(taken) = level.optional("body_bytes", "bytes above 0", positive, mistakes) {
-        limits.body_bytes = taken.value;
+    if let Some(read) = level.optional("body_bytes", "bytes above 0", positive, mistakes) {
+        limits.body_bytes = read.value;
     }
-    if let Some(taken) = level.optional("streams", "a number above 0", positive, mistakes) {
-        limits.streams = taken.value;
+    if let Some(read) = level.optional("streams", "a number above 0", positive, mistakes) {
+        limits.streams = read.value;
     }
-    level.finish(&LIMITS, mistakes);
+    level.finish(&LIMITS_KEYS, mistakes);
     limits
 }
 
--- a/crates/router/src/shutdown.rs
+++ b/crates/router/src/shutdown.rs
@@ -13,15 +13,15 @@
 use crate::shared::Shared;
 
 /// How often the shutdown looks at what is in flight.
-const TICK: Duration = Duration::from_millis(20);
+const POLL_PERIOD: Duration = Duration::from_millis(20);
 
 /// How a graceful shutdown ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownResult {
     /// Nothing was in flight any more.
-    Drained,
+    Whole,
     /// The limit passed, or a second signal came, with requests in flight.
-    Aborted {
+    Cut {
         /// How many were cut.
         requests: usize,
     },
@@ -62,10 +62,10 @@
                 drain.record_handover();
             }
             Next::Serve | Next::Wait { .. } => {}
-            Next::Exit { aborted: 0 } => return ShutdownResult::Drained,
-            Next::Exit { aborted } => return ShutdownResult::Aborted { requests: aborted },
+            Next::Exit { aborted: 0 } => return ShutdownResult::Whole,
+            Next::Exit { aborted } => return ShutdownResult::Cut { requests: aborted },
         }
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(POLL_PERIOD).await;
     }
 }
 
--- a/crates/router/tests/router/engine_orders.rs
+++ b/crates/router/tests/router/engine_orders.rs
@@ -18,7 +18,7 @@
 };
 
 /// Far above a lease's term, a successor's wait and three loads, 45 s in all.
-const TERMS: Duration = Duration::from_mins(3);
+const MAX_LEASE_WAIT: Duration = Duration::from_mins(3);
 
 /// Returns the router that holds the lease, with its fencing number.
 fn holder(fleet: &Fleet) -> Option<(u64, Offset)> {
@@ -31,9 +31,9 @@
     (table.log_time() < current.expires_at).then_some((current.holder, current.fence))
 }
 
-async fn held(fleet: &Fleet, but: Option<u64>) -> (u64, Offset) {
+async fn wait_for_holder(fleet: &Fleet, but: Option<u64>) -> (u64, Offset) {
     let wanted = || holder(fleet).filter(|(holder, _)| Some(*holder) != but);
-    wait_until_within(TERMS, "a router holds the lease", async || {
+    wait_until_within(MAX_LEASE_WAIT, "a router holds the lease", async || {
         wanted().is_some()
     })
     .await;
@@ -42,7 +42,7 @@
 
 // The first lease may go to a router whose view was not whole yet, and be given
 // up at once. One that is renewed is known to its holder, and stays.
-async fn settled(fleet: &Fleet) -> (u64, Offset) {
+async fn wait_for_renewal(fleet: &Fleet) -> (u64, Offset) {
     let renewed = || {
         let (holder, fence) = holder(fleet)?;
         let mut records = fleet.log.records(STREAM_NAME).into_iter();
@@ -50,20 +50,20 @@
         let known = records.any(|r| Record::decode(&r.body).as_ref().is_some_and(renews));
         known.then_some((holder, fence))
     };
-    wait_until_within(TERMS, "a router renews the lease", async || {
+    wait_until_within(MAX_LEASE_WAIT, "a router renews the lease", async || {
         renewed().is_some()
     })
     .await;
     renewed().unwrap()
 }
 
-fn take(fleet: &mut Fleet, holder: u64) -> Running {
+fn remove_router(fleet: &mut Fleet, holder: u64) -> Running {
     let names = ["router-0", "router-1", "router-2"];
     let index = names.iter().position(|name| id::of(name) == holder);
     fleet.routers.remove(index.unwrap())
 }
 
-fn have(fleet: &Fleet, model: &str) -> usize {
+fn count_with_model(fleet: &Fleet, model: &str) -> usize {
     let wanted = BTreeSet::from([model.to_owned()]);
     let engines = fleet.engines.iter();
     engines.filter(|engine| engine.models() == wanted).count()
@@ -75,7 +75,7 @@
 }
 
 /// Sends an order as a holder of the past would; returns the status.
-async fn stale(fleet: &Fleet, engine: usize, fence: Offset, weights: &str) -> u16 {
+async fn send_stale_order(fleet: &Fleet, engine: usize, fence: Offset, weights: &str) -> u16 {
     let order = serde_json::json!({
         "fence": fence,
         "load": {"model": "writer", "weights": weights},
@@ -89,7 +89,7 @@
     sent.unwrap().status().as_u16()
 }
 
-async fn draft(fleet: &Fleet, n: usize) {
+async fn send_draft(fleet: &Fleet, n: usize) {
     let request = chat(&format!("draft {n}"), 2);
     let (status, headers, body) = fleet.ask(n % fleet.routers.len(), request).await;
     let text = String::from_utf8_lossy(&body);
@@ -104,13 +104,17 @@
     let fleet = Fleet::start(SIZE).await;
     fleet.roll_weights("8");
     let mut drafts = 0;
-    wait_until_within(TERMS, "every engine has the new weights", async || {
-        draft(&fleet, drafts).await;
-        drafts += 1;
-        have(&fleet, "writer@8") == SIZE.engines
-    })
+    wait_until_within(
+        MAX_LEASE_WAIT,
+        "every engine has the new weights",
+        async || {
+            send_draft(&fleet, drafts).await;
+            drafts += 1;
+            count_with_model(&fleet, "writer@8") == SIZE.engines
+        },
+    )
     .await;
-    let (_, fence) = held(&fleet, None).await;
+    let (_, fence) = wait_for_holder(&fleet, None).await;
     let orders = orders(&fleet);
     assert_eq!(orders.len(), SIZE.engines, "{orders:?}");
     for order in &orders {
@@ -126,26 +130,26 @@
 async fn a_killed_holder_is_succeeded_and_its_fence_refused() {
     let mut fleet = Fleet::start(SIZE).await;
     fleet.roll_weights("8");
-    wait_until_within(TERMS, "the roll has begun", async || {
+    wait_until_within(MAX_LEASE_WAIT, "the roll has begun", async || {
         !orders(&fleet).is_empty()
     })
     .await;
-    let (first, old) = held(&fleet, None).await;
-    take(&mut fleet, first).kill();
-    wait_until_within(TERMS, "the roll is finished", async || {
-        have(&fleet, "writer@8") == SIZE.engines
+    let (first, old) = wait_for_holder(&fleet, None).await;
+    remove_router(&mut fleet, first).kill();
+    wait_until_within(MAX_LEASE_WAIT, "the roll is finished", async || {
+        count_with_model(&fleet, "writer@8") == SIZE.engines
     })
     .await;
-    let (_, fence) = held(&fleet, Some(first)).await;
+    let (_, fence) = wait_for_holder(&fleet, Some(first)).await;
     assert!(fence > old);
     let ordered: Vec<usize> = (0..SIZE.engines)
         .filter(|&n| fleet.engines[n].orders().iter().any(|o| o.fence == fence))
         .collect();
     assert!(!ordered.is_empty(), "the successor gave orders");
     for engine in ordered {
-        assert_eq!(stale(&fleet, engine, old, "7").await, 409);
+        assert_eq!(send_stale_order(&fleet, engine, old, "7").await, 409);
     }
-    assert_eq!(have(&fleet, "writer@8"), SIZE.engines);
+    assert_eq!(count_with_model(&fleet, "writer@8"), SIZE.engines);
 }
 
 // Two routers give orders for a moment: the first was paused with an order in
@@ -160,10 +164,10 @@
             .faults()
             .change(|faults| faults.ignore_fencing = true);
     }
-    let (first, old) = settled(&fleet).await;
-    let stopped = take(&mut fleet, first);
+    let (first, old) = wait_for_renewal(&fleet).await;
+    let stopped = remove_router(&mut fleet, first);
     stopped.stop_gracefully().await;
-    let (_, fence) = held(&fleet, Some(first)).await;
+    let (_, fence) = wait_for_holder(&fleet, Some(first)).await;
     let released = fleet.log.records(STREAM_NAME).iter().any(|record| {
         let record = Record::decode(&record.body);
         record.is_some_and(|record| {
@@ -171,10 +175,13 @@
         })
     });
     assert!(released, "a graceful stop gives the lease back");
-    assert_eq!(stale(&fleet, 0, old, "6").await, 202);
-    wait_until("the engine obeys", async || have(&fleet, "writer@6") == 1).await;
-    wait_until_within(TERMS, "the wanted weights are back", async || {
-        have(&fleet, "writer@7") == SIZE.engines
+    assert_eq!(send_stale_order(&fleet, 0, old, "6").await, 202);
+    wait_until("the engine obeys", async || {
+        count_with_model(&fleet, "writer@6") == 1
+    })
+    .await;
+    wait_until_within(MAX_LEASE_WAIT, "the wanted weights are back", async || {
+        count_with_model(&fleet, "writer@7") == SIZE.engines
     })
     .await;
     let last = fleet.engines[0].orders().pop().unwrap();
@@ -196,23 +203,26 @@
             .faults()
             .change(|faults| faults.ignore_fencing = true);
     }
-    let (_, fence) = settled(&fleet).await;
+    let (_, fence) = wait_for_renewal(&fleet).await;
     fleet.log.faults().change(|faults| faults.down = true);
     // Whoever holds the lease now has lost it after a term.
     tokio::time::sleep(LEASE_DURATION).await;
-    assert_eq!(stale(&fleet, 0, fence, "6").await, 202);
-    wait_until("the engine obeys", async || have(&fleet, "writer@6") == 1).await;
+    assert_eq!(send_stale_order(&fleet, 0, fence, "6").await, 202);
+    wait_until("the engine obeys", async || {
+        count_with_model(&fleet, "writer@6") == 1
+    })
+    .await;
     // A holder would see it in the next reports, within seconds.
     let end = tokio::time::Instant::now() + LEASE_DURATION;
     let mut drafts = 0;
     while tokio::time::Instant::now() < end {
-        draft(&fleet, drafts).await;
+        send_draft(&fleet, drafts).await;
         drafts += 1;
     }
     assert_eq!(orders(&fleet).len(), 1, "only the stale one");
     fleet.log.faults().change(|faults| faults.down = false);
-    wait_until_within(TERMS, "the wanted weights are back", async || {
-        have(&fleet, "writer@7") == SIZE.engines
+    wait_until_within(MAX_LEASE_WAIT, "the wanted weights are back", async || {
+        count_with_model(&fleet, "writer@7") == SIZE.engines
     })
     .await;
 }
@@ -228,7 +238,7 @@
         .faults()
         .change(|faults| faults.report_lag = Duration::from_mins(1));
     for n in 0..12 {
-        draft(&fleet, n).await;
+        send_draft(&fleet, n).await;
     }
     let before = fleet.engines[0].runs().len();
     assert!(before > 0, "some drafts have their home there");
@@ -242,7 +252,7 @@
         .unwrap();
     assert_eq!(sent.status(), 202);
     for n in 0..12 {
-        draft(&fleet, n).await;
+        send_draft(&fleet, n).await;
     }
     assert_eq!(fleet.engines[0].runs().len(), before);
 }
--- a/crates/router/tests/router/fleet.rs
+++ b/crates/router/tests/router/fleet.rs
@@ -26,7 +26,7 @@
 pub(crate) const FLEET_KEY: &str = "AAECAwQFBgcICQoLDA0ODxAREhMUFRYXGBkaGxwdHh8=";
 
 /// The bound on all waiting; only a fault comes near it.
-const LONG: Duration = Duration::from_secs(20);
+const MAX_WAIT: Duration = Duration::from_secs(20);
 
 const ZONES: [&str; 4] = ["sapporo", "asahikawa", "otaru", "kushiro"];
 
@@ -60,9 +60,13 @@
     /// so long.
     pub(crate) async fn start_with(size: Size, retention: Duration) -> Self {
         let key = Private::from_seed(&[3; 32]);
-        let log = log::start(any(), log::Faults::default()).await.unwrap();
-        let list = list::start(any(), list::Faults::default()).await.unwrap();
-        let store = weights::start(any(), weights::Faults::default());
+        let log = log::start(any_port(), log::Faults::default())
+            .await
+            .unwrap();
+        let list = list::start(any_port(), list::Faults::default())
+            .await
+            .unwrap();
+        let store = weights::start(any_port(), weights::Faults::default());
         // Nobody may read half of the list: who joins later is on probation.
         list.faults().change(|faults| faults.down = true);
         let mut fleet = Self {
@@ -86,7 +90,7 @@
             fleet.add_router(n, &key);
         }
         fleet.list.faults().change(|faults| faults.down = false);
-        fleet.ready(size).await;
+        fleet.wait_until_ready(size).await;
         fleet
     }
 
@@ -96,9 +100,9 @@
             weights: Some(self.store.address()),
             ..engine::Settings::default()
         };
-        let engine = engine::start(any(), settings, engine::Faults::default()).await;
+        let engine = engine::start(any_port(), settings, engine::Faults::default()).await;
         let engine = engine.unwrap();
-        let mut entry = listed(&format!("runner-{n}"), Role::Endpoint, n, engine.address());
+        let mut entry = list_entry(&format!("runner-{n}"), Role::Endpoint, n, engine.address());
         entry.service = Some("drafting".to_owned());
         entry.models = BTreeSet::from(["writer".to_owned()]);
         self.list.set(entry);
@@ -106,7 +110,9 @@
     }
 
     async fn add_plain(&mut self, n: usize) {
-        let plain = plain::start(any(), plain::Faults::default()).await.unwrap();
+        let plain = plain::start(any_port(), plain::Faults::default())
+            .await
+            .unwrap();
         self.list_plain(&format!("orders-{n}"), plain.address());
         self.plains.push(plain);
     }
@@ -114,7 +120,7 @@
     pub(crate) fn add_router(&mut self, n: usize, key: &Private) {
         let router = start(self.settings(n, key)).unwrap();
         let name = format!("router-{n}");
-        let mut entry = listed(&name, Role::Router, n, router.peers_address());
+        let mut entry = list_entry(&name, Role::Router, n, router.peers_address());
         entry.operators_address = Some(router.operators_address());
         self.list.set(entry);
         self.routers.push(router);
@@ -175,7 +181,7 @@
 
     /// Adds a plain endpoint that listens at `address`.
     pub(crate) fn list_plain(&self, name: &str, address: SocketAddr) {
-        let mut entry = listed(name, Role::Endpoint, 0, address);
+        let mut entry = list_entry(name, Role::Endpoint, 0, address);
         entry.service = Some("ordering".to_owned());
         self.list.set(entry);
     }
@@ -185,7 +191,7 @@
         self.log.append(STREAM, Bytes::from(bytes));
     }
 
-    async fn ready(&self, size: Size) {
+    async fn wait_until_ready(&self, size: Size) {
         let endpoints = size.engines + size.plains;
         for router in &self.routers {
             wait_until("a router is ready", async || {
@@ -207,7 +213,7 @@
         request: Request<Body>,
     ) -> Result<Response<Received>, connect::Error> {
         let address = self.routers[router].callers_address();
-        self.client.send(address, request, LONG).await
+        self.client.send(address, request, MAX_WAIT).await
     }
 
     /// Sends a request and reads the whole answer.
@@ -225,7 +231,7 @@
         path: &str,
     ) -> (StatusCode, HeaderMap, Bytes) {
         let request = Request::get(path).body(full("")).unwrap();
-        read_response(self.client.send(address, request, LONG).await.unwrap()).await
+        read_response(self.client.send(address, request, MAX_WAIT).await.unwrap()).await
     }
 }
 
@@ -300,7 +306,7 @@
 
 /// Waits until something holds; the bound is far above what it takes.
 pub(crate) async fn wait_until(what: &str, holds: impl AsyncFnMut() -> bool) {
-    wait_until_within(LONG, what, holds).await;
+    wait_until_within(MAX_WAIT, what, holds).await;
 }
 
 /// Waits until something holds that takes the terms of leases.
@@ -322,7 +328,7 @@
         .boxed_unsync()
 }
 
-fn listed(name: &str, role: Role, n: usize, address: SocketAddr) -> Entry {
+fn list_entry(name: &str, role: Role, n: usize, address: SocketAddr) -> Entry {
     Entry {
         name: name.to_owned(),
         incarnation: 1,
@@ -337,6 +343,6 @@
     }
 }
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
--- a/crates/router/tests/router/shutdown.rs
+++ b/crates/router/tests/router/shutdown.rs
@@ -35,7 +35,7 @@
         assert_eq!(words(&whole).len(), 400);
     }
     for stopped in stopping {
-        assert_eq!(stopped.await.unwrap(), ShutdownResult::Drained);
+        assert_eq!(stopped.await.unwrap(), ShutdownResult::Whole);
     }
 }
 
@@ -72,5 +72,5 @@
         300
     );
     hold.unwrap().into_body().collect().await.unwrap();
-    assert_eq!(stopping.await.unwrap(), ShutdownResult::Drained);
+    assert_eq!(stopping.await.unwrap(), ShutdownResult::Whole);
 }
