--- a/crates/direct/src/control.rs
+++ b/crates/direct/src/control.rs
@@ -268,8 +268,8 @@
         }
     }
 
-    // Applies the set of evacuated zones. `source` names its origin in the log.
-    // Returns whether any zone changed.
+    // Applies the set of evacuated zones. `source` names where it came from,
+    // for log lines. Returns whether any zone changed.
     fn apply_evacuation(&mut self, evacuation: Evacuation, source: &str) -> bool {
         let as_of = evacuation.as_of;
         let Some(changes) = self.evacuated.apply(evacuation, boot_time()) else {
@@ -303,9 +303,9 @@
         }
     }
 
-    // Records that the configuration was confirmed by a read sent at `at`. An
-    // absent configuration is reported to peers as read, but keys can't be
-    // acted on.
+    // Records that the configuration was confirmed by a read sent at `at`. A
+    // read that found no configuration is reported to peers too, but requests
+    // can't be served by it.
     fn confirm_policy(&mut self, at: Moment, version: Version) {
         if self.check_log_behind(version) {
             return;
--- a/crates/direct/src/control/peers/peer.rs
+++ b/crates/direct/src/control/peers/peer.rs
@@ -22,8 +22,8 @@
 use crate::source::Position;
 use crate::suspects::Evidence;
 
-/// How many times an instance is polled until its state is not older than the
-/// state known here. Both read the log at times of their own.
+/// How many times an instance is polled, at most, until its state is not older
+/// than the state known here. Both read the log at times of their own.
 const MAX_FIRST_POLLS: u32 = 4;
 
 /// An update from a peer, with ages converted to this instance's clock.
--- a/crates/direct/src/feed.rs
+++ b/crates/direct/src/feed.rs
@@ -89,8 +89,8 @@
 }
 
 impl Feed {
-    /// Returns a feed of a topic whose keys `keys` are known from elsewhere.
-    /// Those that the list doesn't contain are reported as removed.
+    /// Returns a feed of a topic in which `keys` are already known from
+    /// elsewhere. Those that the list doesn't contain are reported as removed.
     #[must_use]
     pub fn with_known_keys(keys: impl IntoIterator<Item = String>) -> Self {
         Self {
