--- a/crates/router/src/body/relay.rs
+++ b/crates/router/src/body/relay.rs
@@ -21,9 +21,9 @@
 
 /// How a relayed stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum BodyEnd {
     /// Whole.
-    Whole,
+    Complete,
     /// The endpoint broke off.
     Broken,
     /// The caller went away.
@@ -32,7 +32,7 @@
 
 /// What shows that a body is whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ends {
+pub enum EndDetection {
     /// Its length or last chunk.
     Framed,
     /// The end mark of an event stream.
@@ -42,10 +42,10 @@
 }
 
 /// A relayed body that tells how it ended.
-pub struct Relay<B, F: FnOnce(End)> {
+pub struct Relay<B, F: FnOnce(BodyEnd)> {
     body: B,
     events: Option<Tail>,
-    ends: Ends,
+    ends: EndDetection,
     told: Option<F>,
 }
 
@@ -56,18 +56,18 @@
 
 impl std::error::Error for Truncated {}
 
-impl<B, F: FnOnce(End)> Relay<B, F> {
+impl<B, F: FnOnce(BodyEnd)> Relay<B, F> {
     /// Guards a body.
-    pub fn new(body: B, ends: Ends, told: F) -> Self {
+    pub fn new(body: B, ends: EndDetection, told: F) -> Self {
         Self {
             body,
-            events: (ends == Ends::Marked).then(Tail::default),
+            events: (ends == EndDetection::Marked).then(Tail::default),
             ends,
             told: Some(told),
         }
     }
 
-    fn tell(&mut self, end: End) {
+    fn tell(&mut self, end: BodyEnd) {
         if let Some(told) = self.told.take() {
             told(end);
         }
@@ -76,13 +76,13 @@
     fn end(&mut self) -> Option<Result<Frame<Bytes>, BoxError>> {
         let whole = match &self.events {
             Some(tail) => tail.done(),
-            None => self.ends == Ends::Framed,
+            None => self.ends == EndDetection::Framed,
         };
         if !whole {
-            self.tell(End::Broken);
+            self.tell(BodyEnd::Broken);
             return Some(Err(Box::new(Truncated)));
         }
-        self.tell(End::Whole);
+        self.tell(BodyEnd::Complete);
         None
     }
 }
@@ -91,7 +91,7 @@
 where
     B: http_body::Body<Data = Bytes> + Unpin,
     B::Error: Into<BoxError>,
-    F: FnOnce(End) + Unpin,
+    F: FnOnce(BodyEnd) + Unpin,
 {
     type Data = Bytes;
     type Error = BoxError;
@@ -105,7 +105,7 @@
             Poll::Pending => Poll::Pending,
             Poll::Ready(None) => Poll::Ready(this.end()),
             Poll::Ready(Some(Err(error))) => {
-                this.tell(End::Broken);
+                this.tell(BodyEnd::Broken);
                 Poll::Ready(Some(Err(error.into())))
             }
             Poll::Ready(Some(Ok(frame))) => {
@@ -114,8 +114,8 @@
                 }
                 // A body with a length is never polled past its last byte, so
                 // its end has to be told here.
-                if this.ends == Ends::Framed && this.body.is_end_stream() {
-                    this.tell(End::Whole);
+                if this.ends == EndDetection::Framed && this.body.is_end_stream() {
+                    this.tell(BodyEnd::Complete);
                 }
                 Poll::Ready(Some(Ok(frame)))
             }
@@ -123,7 +123,7 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.ends == Ends::Framed && self.body.is_end_stream()
+        self.ends == EndDetection::Framed && self.body.is_end_stream()
     }
 
     fn size_hint(&self) -> SizeHint {
@@ -131,7 +131,7 @@
     }
 }
 
-impl<B, F: FnOnce(End)> fmt::Debug for Relay<B, F> {
+impl<B, F: FnOnce(BodyEnd)> fmt::Debug for Relay<B, F> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Relay")
             .field("ends", &self.ends)
@@ -139,9 +139,9 @@
     }
 }
 
-impl<B, F: FnOnce(End)> Drop for Relay<B, F> {
+impl<B, F: FnOnce(BodyEnd)> Drop for Relay<B, F> {
     fn drop(&mut self) {
-        self.tell(End::Dropped);
+        self.tell(BodyEnd::Dropped);
     }
 }
 
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -112,7 +112,7 @@
     let bytes = Bytes::from(rmp_serde::to_vec(&(key, body)).ok()?);
     let request = peer::sealed(shared, instance, Method::POST, RESPONSE_PATH, &bytes);
     let sent = shared
-        .claiming
+        .claims_connector
         .send(instance.peer_address, request, CALL_TIMEOUT);
     let response = sent.await.ok()?;
     if response.status() != StatusCode::OK {
@@ -170,7 +170,7 @@
     let bytes = Bytes::from(claim::batch::encode(&[item]));
     let request = peer::sealed(shared, instance, Method::POST, PATH, &bytes);
     let sent = shared
-        .claiming
+        .claims_connector
         .send(instance.peer_address, request, CALL_TIMEOUT);
     let response = match sent.await {
         Ok(response) if response.status() == StatusCode::OK => response,
--- a/crates/router/src/control.rs
+++ b/crates/router/src/control.rs
@@ -270,7 +270,7 @@
     fn tick(&mut self) {
         let now = self.shared.now();
         self.publish_changes(now);
-        self.shared.desk.tick(now);
+        self.shared.owner.tick(now);
         if let Some(due) = handover::next_batch(&self.shared) {
             let shared = Arc::clone(&self.shared);
             tokio::spawn(async move { handover::send_batch(&shared, due).await });
@@ -306,7 +306,7 @@
         self.roster.apply_list(now, &listing.instances);
         self.endpoints.apply_list(now, &listing.endpoints);
         self.publish();
-        self.shared.set_listed();
+        self.shared.set_fleet_listed();
     }
 }
 
--- a/crates/router/src/control/cost.rs
+++ b/crates/router/src/control/cost.rs
@@ -24,10 +24,11 @@
     /// Moves the counters on by what passed since the last call.
     pub(super) fn count_traffic(&mut self) {
         let now = ByteCounts {
-            peers: self.io.peers.wire_bytes() + self.shared.side.wire_bytes(),
+            peers: self.io.peers.wire_bytes() + self.shared.control_connector.wire_bytes(),
             probes: self.io.probes.wire_bytes(),
             platform: self.io.platform.wire_bytes(),
-            claims: self.io.claim_connector.wire_bytes() + self.shared.claiming.wire_bytes(),
+            claims: self.io.claim_connector.wire_bytes()
+                + self.shared.claims_connector.wire_bytes(),
         };
         let metrics = &self.shared.metrics;
         metrics.control(Traffic::Peers, now.peers - self.byte_counts.peers);
--- a/crates/router/src/control/gossip.rs
+++ b/crates/router/src/control/gossip.rs
@@ -45,7 +45,7 @@
 impl Control {
     /// Sends the messages that are due.
     pub(super) fn send_gossip(&mut self, now: Moment) {
-        for evidence in self.shared.desk.with(Owner::take_evidence) {
+        for evidence in self.shared.owner.with(Owner::take_evidence) {
             self.pump.queue_evidence(pack::pack_evidence(&evidence));
         }
         let peers = self.pump.tick(now, &self.roster, &mut self.rng);
@@ -104,7 +104,7 @@
     }
 
     fn build_message(&mut self, now: Moment, to: InstanceId) -> Bytes {
-        let summaries = self.shared.desk.with(|owner| owner.summaries(now));
+        let summaries = self.shared.owner.with(|owner| owner.summaries(now));
         let loads: Vec<Load> = summaries.iter().map(to_load).collect();
         let demands = self.current_demands(now);
         self.pump.set_demands(demands);
@@ -121,7 +121,7 @@
         };
         let instances = snapshot.view.instances().count();
         let workspaces = &bundle.policy.workspaces;
-        let limits = &mut self.shared.gate().limits;
+        let limits = &mut self.shared.entry_state().limits;
         let demands = limits.demands(now, workspaces, instances);
         demands.iter().map(pack::pack_demand).collect()
     }
@@ -130,7 +130,7 @@
         if let Some(demands) = &update.demands {
             let demands: Vec<limit::Demand> = demands.iter().map(pack::unpack_demand).collect();
             self.shared
-                .gate()
+                .entry_state()
                 .limits
                 .record_demands(now, peer, &demands);
         }
@@ -142,7 +142,7 @@
             .filter_map(|load| self.to_summary(peer, load))
             .collect();
         let evidence: Vec<Evidence> = update.evidence.iter().map(pack::unpack_evidence).collect();
-        self.shared.desk.with(|owner| {
+        self.shared.owner.with(|owner| {
             owner.record_summaries(&summaries);
             owner.record_evidence(&evidence);
         });
--- a/crates/router/src/control/orders.rs
+++ b/crates/router/src/control/orders.rs
@@ -140,7 +140,7 @@
                 });
             }
         }
-        let leaving = self.shared.leaving();
+        let leaving = self.shared.is_leaving();
         self.orders.services.retain(|service, ordered| {
             let engines = policy.services.get(service);
             let wanted = engines.is_some_and(|service| service.kind == Kind::Engine);
--- a/crates/router/src/control/probe.rs
+++ b/crates/router/src/control/probe.rs
@@ -174,7 +174,7 @@
             self.record_owned_report(now, endpoint, *report, models);
         }
         self.shared
-            .desk
+            .owner
             .with(|owner| owner.apply_report(endpoint, report));
     }
 
@@ -197,7 +197,7 @@
                 models.filter_map(|model| event.to_chat_event(endpoint, *model, now))
             })
             .collect();
-        self.shared.desk.with(|owner| {
+        self.shared.owner.with(|owner| {
             for event in &events {
                 owner.apply_cache_event(id, event);
             }
--- a/crates/router/src/handover.rs
+++ b/crates/router/src/handover.rs
@@ -29,7 +29,7 @@
 /// The owner bounds how many, so that a change of the list costs each instance
 /// a trickle and no burst.
 pub(crate) fn next_batch(shared: &Shared) -> Option<Vec<(InstanceId, Location)>> {
-    shared.desk.with(Owner::next_handover_batch)
+    shared.owner.with(Owner::next_handover_batch)
 }
 
 /// Sends locations to the owners that they belong to.
@@ -60,7 +60,7 @@
     let bytes = Bytes::from(rmp_serde::to_vec(locations).unwrap_or_default());
     let request = peer::sealed(shared, instance, Method::POST, PATH, &bytes);
     let sent = shared
-        .side
+        .control_connector
         .send(instance.peer_address, request, SEND_TIMEOUT);
     if let Err(error) = sent.await {
         log::warn!(instance:% = instance.name, error:% = error; "chats not handed over");
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -19,5 +19,5 @@
 mod shared;
 mod shutdown;
 
-pub use running::{Error, Hurry, Running, start};
+pub use running::{AbortHandle, Error, Running, start};
 pub use shutdown::ShutdownResult;
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -70,13 +70,13 @@
         "listening"
     );
     next_signal(&mut terminate, &mut interrupt).await;
-    let hurry = running.hurry();
+    let hurry = running.abort_handle();
     let stopping = running.stop_gracefully();
     tokio::pin!(stopping);
     let (stopped, hurried) = tokio::select! {
         stopped = &mut stopping => (stopped, false),
         () = next_signal(&mut terminate, &mut interrupt) => {
-            hurry.now();
+            hurry.abort();
             (stopping.await, true)
         }
     };
--- a/crates/router/src/problem.rs
+++ b/crates/router/src/problem.rs
@@ -69,7 +69,7 @@
 
     /// Returns it with the time after which sending again may help.
     #[must_use]
-    pub fn after(self, wait: Duration) -> Self {
+    pub fn with_retry_after(self, wait: Duration) -> Self {
         Self {
             retry_after: Some(wait),
             ..self
@@ -139,7 +139,8 @@
             Reason::Quarantined => (StatusCode::UNPROCESSABLE_ENTITY, "quarantined"),
             Reason::Leaving => (StatusCode::SERVICE_UNAVAILABLE, "leaving"),
         };
-        Self::not_run(status, reason, refusal.reason.to_string()).after(refusal.retry_after)
+        Self::not_run(status, reason, refusal.reason.to_string())
+            .with_retry_after(refusal.retry_after)
     }
 }
 
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -3,16 +3,16 @@
 //! [`entry`] runs a caller's request: it asks placement for an owner, sends
 //! the request there (over [`peer`], or to [`owner`] if that is this
 //! instance), and decides on another attempt if one failed. [`owner`] offers
-//! the request to the [`desk`] and, with its leave, sends it on by
+//! the request to the [`local_owner`] and, with its leave, sends it on by
 //! [`endpoint`], whose [`answer`] it relays; unrepeatable requests pass
 //! [`once`] between the two. [`resume`] asks for the rest of a broken stream,
 //! and [`cancel`] ends what nobody waits for.
 
 pub(crate) mod answer;
 pub(crate) mod cancel;
-pub(crate) mod desk;
 pub(crate) mod endpoint;
 pub(crate) mod entry;
+pub(crate) mod local_owner;
 pub(crate) mod once;
 pub(crate) mod owner;
 pub(crate) mod peer;
@@ -59,9 +59,9 @@
 
 /// What came of one attempt.
 #[derive(Debug)]
-pub(crate) enum Attempt {
+pub(crate) enum AttemptResult {
     /// The endpoint's answer.
-    Answered(Response<Body>),
+    Response(Response<Body>),
     /// Why there is none.
     Reply(Reply),
 }
--- a/crates/router/src/relay/answer.rs
+++ b/crates/router/src/relay/answer.rs
@@ -20,12 +20,12 @@
 use serde::de::IgnoredAny;
 
 use super::cancel::Cancel;
-use super::desk::Leave;
 use super::endpoint;
+use super::local_owner::Permit;
 use super::resume::Source;
 use crate::body;
 use crate::body::peeked::Peeked;
-use crate::body::relay::{End, Ends, Relay};
+use crate::body::relay::{BodyEnd, EndDetection, Relay};
 use crate::body::splice::Splice;
 
 /// Bytes of an answer in one piece; 100,000 tokens are about half of it.
@@ -33,10 +33,10 @@
 
 /// An answer of which the first part is there.
 #[derive(Debug)]
-pub(crate) struct Begun {
+pub(crate) struct StartedResponse {
     parts: Parts,
     body: Body,
-    ends: Ends,
+    ends: EndDetection,
 }
 
 enum Shape {
@@ -45,7 +45,7 @@
     Other,
 }
 
-impl Begun {
+impl StartedResponse {
     /// Reads the beginning of an answer within `wait`.
     ///
     /// # Errors
@@ -59,17 +59,17 @@
         let (mut parts, received) = response.into_parts();
         endpoint::clean(&mut parts.headers);
         let (body, ends) = match shape(kind, &parts.headers) {
-            Shape::Events => (first(received, wait).await?, Ends::Marked),
-            Shape::Json => (json(received, wait).await?, Ends::Framed),
-            Shape::Other if received.is_framed() => (received.boxed(), Ends::Framed),
-            Shape::Other => (received.boxed(), Ends::Unknown),
+            Shape::Events => (first(received, wait).await?, EndDetection::Marked),
+            Shape::Json => (json(received, wait).await?, EndDetection::Framed),
+            Shape::Other if received.is_framed() => (received.boxed(), EndDetection::Framed),
+            Shape::Other => (received.boxed(), EndDetection::Unknown),
         };
         Ok(Self { parts, body, ends })
     }
 
     /// Lets a broken event stream go on with what its engine still holds.
     pub(crate) fn resumed_from(mut self, source: Source) -> Self {
-        if self.ends == Ends::Marked && self.parts.status == StatusCode::OK {
+        if self.ends == EndDetection::Marked && self.parts.status == StatusCode::OK {
             let again = move |resume: &mut _| source.again(resume);
             self.body = Splice::new(self.body, again).boxed_unsync();
         }
@@ -77,15 +77,15 @@
     }
 
     /// Returns the answer, which tells the owner how it ends.
-    pub(crate) fn relay(self, leave: Leave, mut cancel: Cancel) -> Response<Body> {
+    pub(crate) fn relay(self, permit: Permit, mut cancel: Cancel) -> Response<Body> {
         let told = move |end| {
-            if end != End::Dropped {
+            if end != BodyEnd::Dropped {
                 cancel.disarm();
             }
-            leave.finish(match end {
-                End::Whole => Ending::Done,
-                End::Broken => Ending::Broken,
-                End::Dropped => Ending::Abandoned,
+            permit.finish(match end {
+                BodyEnd::Complete => Ending::Done,
+                BodyEnd::Broken => Ending::Broken,
+                BodyEnd::Dropped => Ending::Abandoned,
             });
         };
         let body = Relay::new(self.body, self.ends, told).boxed_unsync();
--- a/crates/router/src/relay/endpoint.rs
+++ b/crates/router/src/relay/endpoint.rs
@@ -13,42 +13,42 @@
 use godwitpost_wire::header;
 use http::{HeaderMap, HeaderValue, Method, Request, Response, StatusCode, Uri};
 
-use super::answer::Begun;
+use super::answer::StartedResponse;
 use super::cancel::Cancel;
-use super::desk::Leave;
+use super::local_owner::Permit;
 use super::resume::Source;
-use super::{Attempt, Job};
+use super::{AttemptResult, Job};
 use crate::body;
 use crate::control;
 use crate::handover;
 use crate::shared::Shared;
 
 /// Sends a repeatable request and relays the answer as it comes.
-pub(crate) async fn relay(shared: &Arc<Shared>, leave: Leave, job: &Job) -> Attempt {
-    let Some(target) = Target::find(shared, &leave, job) else {
-        return gone(leave);
+pub(crate) async fn relay(shared: &Arc<Shared>, permit: Permit, job: &Job) -> AttemptResult {
+    let Some(target) = Target::find(shared, &permit, job) else {
+        return gone(permit);
     };
-    if let Some((home, location)) = leave.grant().notify_home {
+    if let Some((home, location)) = permit.grant().notify_home {
         let shared = Arc::clone(shared);
         tokio::spawn(async move { handover::send_locations(&shared, home, &[location]).await });
     }
     // Dropped while the engine works, this cancels there.
     let mut cancel = Cancel::armed(shared, &target, job);
-    match begin(shared, &target, leave.grant(), job).await {
+    match begin(shared, &target, permit.grant(), job).await {
         Ok(begun) => {
             let source = Source {
                 shared: Arc::clone(shared),
                 target,
-                grant: *leave.grant(),
+                grant: *permit.grant(),
                 job: job.clone(),
             };
-            Attempt::Answered(begun.resumed_from(source).relay(leave, cancel))
+            AttemptResult::Response(begun.resumed_from(source).relay(permit, cancel))
         }
         Err(ending) => {
             if ending != Ending::Timeout {
                 cancel.disarm();
             }
-            failed(shared, leave, job, ending)
+            failed(shared, permit, job, ending)
         }
     }
 }
@@ -58,13 +58,13 @@
     target: &Target,
     grant: &Grant,
     job: &Job,
-) -> Result<Begun, Ending> {
+) -> Result<StartedResponse, Ending> {
     let response = send(shared, target, grant, job).await?;
     if let Some(ending) = refused(shared, target, &response) {
         return Err(ending);
     }
     let wait = since(job.head.request.deadline, shared.now());
-    Begun::read(target.kind, response, wait).await
+    StartedResponse::read(target.kind, response, wait).await
 }
 
 /// Where a request is sent.
@@ -76,9 +76,9 @@
 
 impl Target {
     /// Returns the endpoint that leave was given for, unless it has gone.
-    pub(crate) fn find(shared: &Shared, leave: &Leave, job: &Job) -> Option<Self> {
+    pub(crate) fn find(shared: &Shared, permit: &Permit, job: &Job) -> Option<Self> {
         let snapshot = shared.snapshot();
-        let endpoint = snapshot.view.endpoint(leave.grant().endpoint)?.clone();
+        let endpoint = snapshot.view.endpoint(permit.grant().endpoint)?.clone();
         let bundle = snapshot.bundle.as_ref()?;
         let service = bundle.policy.services.get(&job.head.request.service)?;
         Some(Self {
@@ -89,10 +89,10 @@
 }
 
 /// Gives leave back for an endpoint that has gone meanwhile.
-pub(crate) fn gone(leave: Leave) -> Attempt {
-    let endpoint = leave.grant().endpoint;
-    leave.finish(Ending::Refused);
-    Attempt::Reply(Reply::Failed {
+pub(crate) fn gone(permit: Permit) -> AttemptResult {
+    let endpoint = permit.grant().endpoint;
+    permit.finish(Ending::Refused);
+    AttemptResult::Reply(Reply::Failed {
         endpoint,
         ending: Ending::Refused,
         evidence: Vec::new(),
@@ -103,14 +103,14 @@
 ///
 /// The entry gets along what is known against the request now: its next owner
 /// may be one that gossip has not reached yet.
-fn failed(shared: &Shared, leave: Leave, job: &Job, ending: Ending) -> Attempt {
-    let endpoint = leave.grant().endpoint;
-    leave.finish(ending);
+fn failed(shared: &Shared, permit: Permit, job: &Job, ending: Ending) -> AttemptResult {
+    let endpoint = permit.grant().endpoint;
+    permit.finish(ending);
     let digest = job.head.request.digest;
-    Attempt::Reply(Reply::Failed {
+    AttemptResult::Reply(Reply::Failed {
         endpoint,
         ending,
-        evidence: shared.desk.with(|owner| owner.evidence_for(&digest)),
+        evidence: shared.owner.with(|owner| owner.evidence_for(&digest)),
     })
 }
 
--- a/crates/router/src/relay/entry.rs
+++ b/crates/router/src/relay/entry.rs
@@ -17,7 +17,7 @@
 use rand::RngExt as _;
 
 use super::peer::Failure;
-use super::{Attempt, Job, owner, peer};
+use super::{AttemptResult, Job, owner, peer};
 use crate::control;
 use crate::problem::Problem;
 use crate::resolve::Resolved;
@@ -41,7 +41,7 @@
     let zone = shared.settings.zone_id();
     let next = entry::route(&snapshot.view, &bundle.policy, &resolved.request, zone);
     shared
-        .gate()
+        .entry_state()
         .budgets
         .deposit(resolved.request.workspace, resolved.request.service);
     let run = Run {
@@ -105,7 +105,7 @@
         let request = &self.job.head.request;
         let evidence = self
             .shared
-            .desk
+            .owner
             .with(|owner| owner.evidence_for(&request.digest));
         let view = &self.snapshot.view;
         let zone = self.shared.settings.zone_id();
@@ -117,7 +117,7 @@
             return;
         }
         if let Some(owner) = owner.and_then(|owner| self.remote(owner)) {
-            peer::testify(self.shared, owner, &evidence).await;
+            peer::send_evidence(self.shared, owner, &evidence).await;
         }
     }
 
@@ -137,34 +137,34 @@
     /// Makes one attempt, following owners' forwards.
     async fn attempt(&mut self, instance: InstanceId, endpoint: EndpointId) -> Step {
         let digest = self.job.head.request.digest;
-        let evidence = self.shared.desk.with(|owner| owner.evidence_for(&digest));
+        let evidence = self.shared.owner.with(|owner| owner.evidence_for(&digest));
         let zone = self.shared.settings.zone_id();
         self.job.head.hop = self.attempts.hop(zone, endpoint, evidence);
         let mut instance = instance;
         for _ in 0..FORWARDS {
-            self.job.head.attempt = self.shared.gate().rng.random();
+            self.job.head.attempt = self.shared.entry_state().rng.random();
             let attempt = match self.send(instance).await {
                 Ok(attempt) => attempt,
                 Err(ending) => return Step::Failed(None, ending),
             };
             match attempt {
-                Attempt::Answered(response) => return Step::Answered(response),
-                Attempt::Reply(Reply::Forward { instance: to, hop }) => {
+                AttemptResult::Response(response) => return Step::Answered(response),
+                AttemptResult::Reply(Reply::Forward { instance: to, hop }) => {
                     instance = to;
                     self.job.head.hop = hop;
                 }
-                Attempt::Reply(Reply::Refused(refusal)) => return step(refusal),
-                Attempt::Reply(Reply::Failed {
+                AttemptResult::Reply(Reply::Refused(refusal)) => return step(refusal),
+                AttemptResult::Reply(Reply::Failed {
                     endpoint,
                     ending,
                     evidence,
                 }) => {
                     self.shared
-                        .desk
+                        .owner
                         .with(|owner| owner.record_evidence(&evidence));
                     return Step::Failed(Some(endpoint), ending);
                 }
-                Attempt::Reply(Reply::Told(told)) => return Step::Told(told.into()),
+                AttemptResult::Reply(Reply::Told(told)) => return Step::Told(told.into()),
             }
         }
         Step::Failed(None, Ending::Refused)
@@ -176,7 +176,7 @@
     /// The failure: an owner crashes, and the platform's list names it for
     /// seconds more. As no byte has reached it, the local desk may serve the
     /// request; it counts the endpoint's work by its own share and reports.
-    async fn send(&self, instance: InstanceId) -> Result<Attempt, Ending> {
+    async fn send(&self, instance: InstanceId) -> Result<AttemptResult, Ending> {
         let Some(remote) = self.remote(instance) else {
             return Ok(owner::serve(self.shared, &self.job).await);
         };
@@ -200,13 +200,13 @@
 
     fn avoid(&self, instance: InstanceId) {
         let now = self.shared.now();
-        self.shared.gate().avoid(now, instance);
+        self.shared.entry_state().avoid(now, instance);
         control::report_unreachable(self.shared, instance);
     }
 
     fn remote(&self, instance: InstanceId) -> Option<&Instance> {
         let now = self.shared.now();
-        if instance == self.shared.local() || self.shared.gate().avoids(now, instance) {
+        if instance == self.shared.local() || self.shared.entry_state().avoids(now, instance) {
             return None;
         }
         self.snapshot.view.instance(instance)
@@ -214,7 +214,7 @@
 
     fn failed(&mut self, at: Option<EndpointId>, ending: Ending) -> Retry {
         let view = Arc::clone(&self.shared.snapshot().view);
-        let gate = &mut *self.shared.gate();
+        let gate = &mut *self.shared.entry_state();
         self.attempts.record_failure(
             self.shared.now(),
             &view,
@@ -271,7 +271,7 @@
     };
     Problem::not_run(status, reason, detail)
         .with_outcome(outcome)
-        .after(retry_after)
+        .with_retry_after(retry_after)
 }
 
 fn job(zone: u64, resolved: Resolved) -> Job {
--- a/crates/router/src/relay/desk.rs
+++ b/crates/router/src/relay/local_owner.rs
@@ -24,7 +24,7 @@
 
 /// The local owner and who waits for it.
 #[derive(Debug)]
-pub(crate) struct Desk {
+pub(crate) struct LocalOwner {
     inner: Mutex<Inner>,
 }
 
@@ -38,14 +38,14 @@
 #[derive(Debug)]
 pub(crate) enum Decision {
     /// Send it to the endpoint now.
-    Dispatch(Leave),
+    Dispatch(Permit),
     /// Send it to another owner.
     Forward(godwitpost_types::id::InstanceId, Hop),
     /// It was not run here and won't be.
     Refuse(Refusal),
 }
 
-impl Desk {
+impl LocalOwner {
     pub(crate) fn new(view: Arc<View>) -> Self {
         Self {
             inner: Mutex::new(Inner {
@@ -102,7 +102,7 @@
 pub(crate) async fn offer(shared: &Arc<Shared>, request: &Request, hop: &Hop) -> Decision {
     let now = shared.now();
     let waiting = {
-        let mut inner = shared.desk.lock();
+        let mut inner = shared.owner.lock();
         match inner.owner.offer(now, request, hop) {
             Next::Wait { ticket, .. } => {
                 let (sender, receiver) = oneshot::channel();
@@ -121,7 +121,7 @@
 
 fn decision(shared: &Arc<Shared>, next: Next) -> Decision {
     match next {
-        Next::Dispatch(grant) => Decision::Dispatch(Leave {
+        Next::Dispatch(grant) => Decision::Dispatch(Permit {
             shared: Arc::clone(shared),
             grant,
             finished: false,
@@ -154,7 +154,7 @@
 impl Drop for Waiting {
     fn drop(&mut self) {
         let now = self.shared.now();
-        let mut inner = self.shared.desk.lock();
+        let mut inner = self.shared.owner.lock();
         inner.waiting.remove(&self.ticket);
         if inner.owner.cancel(self.ticket) {
             return;
@@ -167,15 +167,15 @@
     }
 }
 
-/// Leave to dispatch one request; tells the owner exactly once how it ended.
+/// Permit to dispatch one request; tells the owner exactly once how it ended.
 #[derive(Debug)]
-pub(crate) struct Leave {
+pub(crate) struct Permit {
     shared: Arc<Shared>,
     grant: Grant,
     finished: bool,
 }
 
-impl Leave {
+impl Permit {
     pub(crate) const fn grant(&self) -> &Grant {
         &self.grant
     }
@@ -193,12 +193,12 @@
         let now = self.shared.now();
         let attempt = self.grant.attempt;
         self.shared
-            .desk
+            .owner
             .wake(now, |owner| owner.finish(now, attempt, ending));
     }
 }
 
-impl Drop for Leave {
+impl Drop for Permit {
     fn drop(&mut self) {
         self.end(Ending::Abandoned);
     }
--- a/crates/router/src/relay/once.rs
+++ b/crates/router/src/relay/once.rs
@@ -18,9 +18,9 @@
 use godwitpost_wire::header;
 use http::{HeaderValue, Response, StatusCode};
 
-use super::desk::{self, Decision, Leave};
 use super::endpoint::{self, Target};
-use super::{Attempt, Job};
+use super::local_owner::{self, Decision, Permit};
+use super::{AttemptResult, Job};
 use crate::body;
 use crate::claims::{self, CachedResponse};
 use crate::problem::Problem;
@@ -37,9 +37,9 @@
 const TRIES: usize = 3;
 
 /// Runs an unrepeatable request that has leave to be dispatched.
-pub(crate) async fn run(shared: &Arc<Shared>, leave: Leave, job: &Job) -> Attempt {
+pub(crate) async fn run(shared: &Arc<Shared>, permit: Permit, job: &Job) -> AttemptResult {
     match claimed(shared, job).await {
-        Claimed::Here(id) => started(shared, leave, job, id).await,
+        Claimed::Here(id) => started(shared, permit, job, id).await,
         Claimed::Kept(kept) => answered(kept, true),
         Claimed::Not(problem) => told(problem),
     }
@@ -50,7 +50,7 @@
 /// # Errors
 ///
 /// Returns the problem if the key came with another body.
-pub(crate) fn replay(shared: &Shared, job: &Job) -> Result<Option<Attempt>, Problem> {
+pub(crate) fn replay(shared: &Shared, job: &Job) -> Result<Option<AttemptResult>, Problem> {
     let request = &job.head.request;
     let Some(key) = &request.key else {
         return Ok(None);
@@ -128,50 +128,50 @@
     }
 }
 
-async fn started(shared: &Arc<Shared>, leave: Leave, job: &Job, id: Id) -> Attempt {
+async fn started(shared: &Arc<Shared>, permit: Permit, job: &Job, id: Id) -> AttemptResult {
     // A pause of this process between the verdict and here may have lasted
     // past the deadline, when the caller was told *not run*.
     if !shared.claims.lock().holder.try_start(shared.now(), id) {
         return given_up(shared, id);
     }
     let mut job = job.clone();
-    let mut leave = leave;
+    let mut permit = permit;
     for _ in 0..TRIES {
-        let Some(target) = Target::find(shared, &leave, &job) else {
-            return not_run(shared, id, leave, Ending::Leaving);
+        let Some(target) = Target::find(shared, &permit, &job) else {
+            return not_run(shared, id, permit, Ending::Leaving);
         };
-        let ending = match exchange(shared, &target, &leave, &job).await {
+        let ending = match exchange(shared, &target, &permit, &job).await {
             Ok(kept) => {
-                leave.finish(Ending::Done);
+                permit.finish(Ending::Done);
                 return ran(shared, id, &job, kept);
             }
             Err(ending) if ending.proves_not_run() => ending,
             Err(ending) => {
-                leave.finish(ending);
+                permit.finish(ending);
                 finish(shared, id, Outcome::Unknown);
                 return told(unknown());
             }
         };
-        leave.finish(ending);
+        permit.finish(ending);
         job.head.hop.tried.push(target.endpoint.id);
-        leave = match desk::offer(shared, &job.head.request, &job.head.hop).await {
-            Decision::Dispatch(leave) => leave,
+        permit = match local_owner::offer(shared, &job.head.request, &job.head.hop).await {
+            Decision::Dispatch(permit) => permit,
             Decision::Forward(..) | Decision::Refuse(_) => {
                 finish(shared, id, Outcome::NotRun);
                 return told(spent());
             }
         };
     }
-    not_run(shared, id, leave, Ending::Abandoned)
+    not_run(shared, id, permit, Ending::Abandoned)
 }
 
 async fn exchange(
     shared: &Arc<Shared>,
     target: &Target,
-    leave: &Leave,
+    permit: &Permit,
     job: &Job,
 ) -> Result<CachedResponse, Ending> {
-    let response = endpoint::send(shared, target, leave.grant(), job).await?;
+    let response = endpoint::send(shared, target, permit.grant(), job).await?;
     if let Some(ending) = endpoint::refused(shared, target, &response) {
         return Err(ending);
     }
@@ -194,7 +194,7 @@
     })
 }
 
-fn ran(shared: &Arc<Shared>, id: Id, job: &Job, kept: CachedResponse) -> Attempt {
+fn ran(shared: &Arc<Shared>, id: Id, job: &Job, kept: CachedResponse) -> AttemptResult {
     // A service that failed may have done half of it or nothing. Its answer is
     // passed on, but says nothing to a caller that comes again.
     if kept.status.is_server_error() {
@@ -217,7 +217,7 @@
 /// Bytes that the head of a kept answer is counted as.
 const KEPT_HEAD: usize = 512;
 
-fn answered(kept: CachedResponse, replayed: bool) -> Attempt {
+fn answered(kept: CachedResponse, replayed: bool) -> AttemptResult {
     let mut response = Response::new(body::full(kept.body));
     *response.status_mut() = kept.status;
     *response.headers_mut() = kept.headers;
@@ -225,10 +225,10 @@
         let yes = HeaderValue::from_static("true");
         response.headers_mut().insert(header::REPLAYED, yes);
     }
-    Attempt::Answered(response)
+    AttemptResult::Response(response)
 }
 
-fn given_up(shared: &Arc<Shared>, id: Id) -> Attempt {
+fn given_up(shared: &Arc<Shared>, id: Id) -> AttemptResult {
     let abandoned = shared.claims.lock().holder.abandon(id);
     match abandoned {
         AbandonResult::NotRun(fate) => {
@@ -239,8 +239,8 @@
     }
 }
 
-fn not_run(shared: &Arc<Shared>, id: Id, leave: Leave, ending: Ending) -> Attempt {
-    leave.finish(ending);
+fn not_run(shared: &Arc<Shared>, id: Id, permit: Permit, ending: Ending) -> AttemptResult {
+    permit.finish(ending);
     finish(shared, id, Outcome::NotRun);
     told(spent())
 }
@@ -258,8 +258,8 @@
     tokio::spawn(async move { claims::report_outcome(&shared, fate).await });
 }
 
-fn told(problem: Problem) -> Attempt {
-    Attempt::Reply(Reply::Told(problem.into()))
+fn told(problem: Problem) -> AttemptResult {
+    AttemptResult::Reply(Reply::Told(problem.into()))
 }
 
 // The claim is spent, so the same key can't be used again.
@@ -270,7 +270,7 @@
         "no endpoint took the request and nothing was run; send it again with a new key",
     )
     .with_scope(Scope::Key)
-    .after(Duration::from_secs(1))
+    .with_retry_after(Duration::from_secs(1))
 }
 
 fn problem(refusal: Refusal) -> Problem {
@@ -288,7 +288,7 @@
         .with_outcome(refusal.outcome())
         .with_scope(refusal.scope());
     match refusal {
-        Refusal::Unavailable | Refusal::Running => problem.after(Duration::from_secs(2)),
+        Refusal::Unavailable | Refusal::Running => problem.with_retry_after(Duration::from_secs(2)),
         _ => problem,
     }
 }
--- a/crates/router/src/relay/owner.rs
+++ b/crates/router/src/relay/owner.rs
@@ -4,8 +4,8 @@
 
 use godwitpost_wire::dispatch::Reply;
 
-use super::desk::{self, Decision};
-use super::{Attempt, Job, endpoint, once};
+use super::local_owner::{self, Decision};
+use super::{AttemptResult, Job, endpoint, once};
 use crate::shared::Shared;
 
 /// Serves one attempt at this instance.
@@ -13,35 +13,35 @@
 /// An unrepeatable request runs apart from its caller: once it has started,
 /// its caller's going away must not break it off half-way, and its answer is
 /// kept for the caller's return.
-pub(crate) async fn serve(shared: &Arc<Shared>, job: &Job) -> Attempt {
+pub(crate) async fn serve(shared: &Arc<Shared>, job: &Job) -> AttemptResult {
     if job.head.request.repeatable() {
         return run(shared, job).await;
     }
     let shared = Arc::clone(shared);
     let job = job.clone();
     let apart = tokio::spawn(async move {
-        let _in_flight = shared.enter();
+        let _in_flight = shared.track_request();
         run(&shared, &job).await
     });
     match apart.await {
         Ok(attempt) => attempt,
         // Only a bug panics there; what the endpoint got is not known.
-        Err(_panicked) => Attempt::Reply(Reply::Told(once::unknown().into())),
+        Err(_panicked) => AttemptResult::Reply(Reply::Told(once::unknown().into())),
     }
 }
 
-async fn run(shared: &Arc<Shared>, job: &Job) -> Attempt {
+async fn run(shared: &Arc<Shared>, job: &Job) -> AttemptResult {
     match once::replay(shared, job) {
         Ok(None) => {}
         Ok(Some(attempt)) => return attempt,
-        Err(problem) => return Attempt::Reply(Reply::Told(problem.into())),
+        Err(problem) => return AttemptResult::Reply(Reply::Told(problem.into())),
     }
-    match desk::offer(shared, &job.head.request, &job.head.hop).await {
-        Decision::Dispatch(leave) if job.head.request.repeatable() => {
-            endpoint::relay(shared, leave, job).await
+    match local_owner::offer(shared, &job.head.request, &job.head.hop).await {
+        Decision::Dispatch(permit) if job.head.request.repeatable() => {
+            endpoint::relay(shared, permit, job).await
         }
-        Decision::Dispatch(leave) => once::run(shared, leave, job).await,
-        Decision::Forward(instance, hop) => Attempt::Reply(Reply::Forward { instance, hop }),
-        Decision::Refuse(refusal) => Attempt::Reply(Reply::Refused(refusal)),
+        Decision::Dispatch(permit) => once::run(shared, permit, job).await,
+        Decision::Forward(instance, hop) => AttemptResult::Reply(Reply::Forward { instance, hop }),
+        Decision::Refuse(refusal) => AttemptResult::Reply(Reply::Refused(refusal)),
     }
 }
--- a/crates/router/src/relay/peer.rs
+++ b/crates/router/src/relay/peer.rs
@@ -16,7 +16,7 @@
 use godwitpost_wire::header;
 use http::{HeaderName, HeaderValue, Method, Request, Response, StatusCode};
 
-use super::{Attempt, Job};
+use super::{AttemptResult, Job};
 use crate::body;
 use crate::shared::Shared;
 
@@ -46,7 +46,7 @@
     shared: &Arc<Shared>,
     instance: &Instance,
     job: &Job,
-) -> Result<Attempt, Failure> {
+) -> Result<AttemptResult, Failure> {
     let bytes = Frame {
         head: job.packed(),
         body: job.body.clone(),
@@ -59,22 +59,24 @@
         .send(instance.peer_address, request, wait)
         .await
         .map_err(|error| failure(&error))?;
-    hear(shared, instance, &response);
+    record_bundle_version(shared, instance, &response);
     learn(shared, instance, job, &response);
     answer(job, response).await
 }
 
 /// The path that evidence against requests is taken on.
-pub(crate) const EVIDENCE: &str = "/peer/v1/evidence";
+pub(crate) const EVIDENCE_PATH: &str = "/peer/v1/evidence";
 
 /// How long a caller may wait for its failed request's evidence to be told.
-const TESTIFY: Duration = Duration::from_millis(500);
+const EVIDENCE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Tells an instance what is known against a request.
-pub(crate) async fn testify(shared: &Shared, instance: &Instance, evidence: &[Evidence]) {
+pub(crate) async fn send_evidence(shared: &Shared, instance: &Instance, evidence: &[Evidence]) {
     let bytes = Bytes::from(rmp_serde::to_vec(evidence).unwrap_or_default());
-    let request = sealed(shared, instance, Method::POST, EVIDENCE, &bytes);
-    let sent = shared.side.send(instance.peer_address, request, TESTIFY);
+    let request = sealed(shared, instance, Method::POST, EVIDENCE_PATH, &bytes);
+    let sent = shared
+        .control_connector
+        .send(instance.peer_address, request, EVIDENCE_TIMEOUT);
     if let Err(error) = sent.await {
         log::debug!(instance:% = instance.name, error:% = error; "evidence not told");
     }
@@ -106,7 +108,11 @@
 }
 
 /// Notes the bundle version that an instance says it holds.
-pub(crate) fn hear<B>(shared: &Shared, instance: &Instance, response: &Response<B>) {
+pub(crate) fn record_bundle_version<B>(
+    shared: &Shared,
+    instance: &Instance,
+    response: &Response<B>,
+) {
     let version = response
         .headers()
         .get(header::BUNDLE)
@@ -124,7 +130,9 @@
         .and_then(|value| value.to_str().ok())
         .and_then(|text| dispatch::load(text, instance.id, pool));
     if let Some(summary) = summary {
-        shared.desk.with(|owner| owner.record_summaries(&[summary]));
+        shared
+            .owner
+            .with(|owner| owner.record_summaries(&[summary]));
     }
 }
 
@@ -136,7 +144,7 @@
     }
 }
 
-async fn answer(job: &Job, response: Response<Received>) -> Result<Attempt, Failure> {
+async fn answer(job: &Job, response: Response<Received>) -> Result<AttemptResult, Failure> {
     let broken = Failure::Unknown(Ending::Broken);
     let headers = response.headers();
     let text = |name: HeaderName| headers.get(name).and_then(|value| value.to_str().ok());
@@ -152,9 +160,12 @@
             header::strip(&mut parts.headers);
             header::strip_connection(&mut parts.headers);
             let body = received.boxed();
-            Ok(Attempt::Answered(Response::from_parts(parts, body)))
+            Ok(AttemptResult::Response(Response::from_parts(parts, body)))
         }
-        Some(Kind::Reply) => reply(response).await.map(Attempt::Reply).ok_or(broken),
+        Some(Kind::Reply) => reply(response)
+            .await
+            .map(AttemptResult::Reply)
+            .ok_or(broken),
         None => Err(broken),
     }
 }
--- a/crates/router/src/relay/resume.rs
+++ b/crates/router/src/relay/resume.rs
@@ -33,7 +33,7 @@
     ) -> Option<impl Future<Output = Option<Body>> + Send + use<>> {
         let now = self.shared.now();
         let request = &self.job.head.request;
-        let next = resume.record_break(now, request, &mut self.shared.gate().budgets);
+        let next = resume.record_break(now, request, &mut self.shared.entry_state().budgets);
         let Next::Reconnect { after } = next else {
             return None;
         };
--- a/crates/router/src/resolve.rs
+++ b/crates/router/src/resolve.rs
@@ -66,7 +66,7 @@
 ///
 /// Returns the problem to tell the caller: an unknown workspace, route or
 /// class, a missing key, or a deadline that is none.
-pub fn head<'p>(policy: &'p Policy, parts: &Parts, now: Moment) -> Result<Head<'p>, Problem> {
+pub fn read_head<'p>(policy: &'p Policy, parts: &Parts, now: Moment) -> Result<Head<'p>, Problem> {
     let workspace = workspace(policy, &parts.headers)?;
     let path = parts.uri.path();
     let route = policy.route(parts.method.as_str(), path).ok_or_else(|| {
@@ -103,7 +103,7 @@
 ///
 /// Returns the problem to tell the caller: a prompt that is none, or a model
 /// that the bundle doesn't have.
-pub fn whole(
+pub fn read_body(
     policy: &Policy,
     head: &Head<'_>,
     parts: &Parts,
@@ -136,7 +136,7 @@
         request.answer_tokens = prompt.answer_tokens().unwrap_or(default);
         request.chat = match text(&parts.headers, &header::CHAT)? {
             Some(chat) => id::scoped(head.workspace, chat),
-            None => id::scoped(head.workspace, &prompt.opening),
+            None => id::scoped(head.workspace, &prompt.prefix),
         };
     }
     Ok(Resolved {
@@ -191,12 +191,12 @@
         Problem::not_run(StatusCode::BAD_REQUEST, "bad-deadline", error.to_string())
     })?;
     let wait = wait.or_else(|| policy.classes.get(&class).map(|class| class.deadline));
-    Ok(now + wait.unwrap_or(LONGEST_WAIT).min(LONGEST_WAIT))
+    Ok(now + wait.unwrap_or(MAX_WAIT).min(MAX_WAIT))
 }
 
 /// The longest time that a caller may wait for an answer to begin; beyond it
 /// a connection is more likely forgotten than waited on.
-pub const LONGEST_WAIT: Duration = Duration::from_mins(10);
+pub const MAX_WAIT: Duration = Duration::from_mins(10);
 
 fn claim_key(
     policy: &Policy,
--- a/crates/router/src/resolve/prompt.rs
+++ b/crates/router/src/resolve/prompt.rs
@@ -19,9 +19,9 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct Prompt {
     /// The model's name, perhaps with `@` and the version of its weights.
-    pub named: Option<String>,
+    pub model_name: Option<String>,
     /// The messages up to the first of the user, or the plain prompt's start.
-    pub opening: String,
+    pub prefix: String,
     limit: Option<u32>,
 }
 
@@ -31,7 +31,7 @@
     /// the body is no chat completion in JSON ({0}); see the engines' documentation
     Json(serde_json::Error),
     /// the body is no JSON object; see the engines' documentation
-    Shape,
+    NotAnObject,
 }
 
 impl std::error::Error for Error {}
@@ -45,13 +45,13 @@
     #[serde(default)]
     max_completion_tokens: Option<u32>,
     #[serde(default)]
-    messages: Opening,
+    messages: Prefix,
     #[serde(borrow, default)]
     prompt: Option<Cow<'b, str>>,
 }
 
 #[derive(Default)]
-struct Opening(String);
+struct Prefix(String);
 
 #[derive(Deserialize)]
 struct Message {
@@ -63,7 +63,7 @@
 
 /// Bytes of a plain prompt that name its chat. A chat's first turn is often
 /// shorter, but then so is the prefix that a cache could reuse.
-const PLAIN_PREFIX: usize = 256;
+const PLAIN_PREFIX_CHARS: usize = 256;
 
 impl Prompt {
     /// Reads a body.
@@ -74,16 +74,16 @@
     pub fn read(body: &[u8]) -> Result<Self, Error> {
         // A derived struct would take a JSON array for its fields in order.
         if body.trim_ascii_start().first() != Some(&b'{') {
-            return Err(Error::Shape);
+            return Err(Error::NotAnObject);
         }
         let shape: Shape<'_> = serde_json::from_slice(body).map_err(Error::Json)?;
-        let mut opening = shape.messages.0;
-        if let (true, Some(prompt)) = (opening.is_empty(), &shape.prompt) {
-            opening.extend(prompt.chars().take(PLAIN_PREFIX));
+        let mut prefix = shape.messages.0;
+        if let (true, Some(prompt)) = (prefix.is_empty(), &shape.prompt) {
+            prefix.extend(prompt.chars().take(PLAIN_PREFIX_CHARS));
         }
         Ok(Self {
-            named: shape.model.map(Cow::into_owned),
-            opening,
+            model_name: shape.model.map(Cow::into_owned),
+            prefix,
             limit: shape.max_completion_tokens.or(shape.max_tokens),
         })
     }
@@ -100,16 +100,16 @@
     ///
     /// Returns the problem if there is no such model or version of weights.
     pub fn model(&self, policy: &Policy, service: ServiceId) -> Result<(ModelId, u32), Problem> {
-        let Some(named) = &self.named else {
+        let Some(model_name) = &self.model_name else {
             return Err(Problem::not_run(
                 StatusCode::BAD_REQUEST,
                 "missing-model",
                 "the body names no model; add \"model\"",
             ));
         };
-        let (name, weights) = match named.split_once('@') {
+        let (name, weights) = match model_name.split_once('@') {
             Some((name, weights)) => (name, Some(weights)),
-            None => (named.as_str(), None),
+            None => (model_name.as_str(), None),
         };
         let id = id::of(name);
         let model = policy
@@ -137,33 +137,33 @@
     }
 }
 
-impl<'de> Deserialize<'de> for Opening {
+impl<'de> Deserialize<'de> for Prefix {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_seq(OpeningVisitor)
+        deserializer.deserialize_seq(PrefixVisitor)
     }
 }
 
-struct OpeningVisitor;
+struct PrefixVisitor;
 
-impl<'de> Visitor<'de> for OpeningVisitor {
-    type Value = Opening;
+impl<'de> Visitor<'de> for PrefixVisitor {
+    type Value = Prefix;
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("a list of messages")
     }
 
-    fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Opening, A::Error> {
-        let mut opening = String::new();
+    fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Prefix, A::Error> {
+        let mut prefix = String::new();
         while let Some(message) = seq.next_element::<Message>()? {
             // JSON text of the content ends each message without doubt.
-            write!(opening, "{}:{};", message.role, message.content)
+            write!(prefix, "{}:{};", message.role, message.content)
                 .map_err(serde::de::Error::custom)?;
             if message.role == "user" {
                 break;
             }
         }
         while seq.next_element::<IgnoredAny>()?.is_some() {}
-        Ok(Opening(opening))
+        Ok(Prefix(prefix))
     }
 }
 
--- a/crates/router/src/resolve/prompt/tests.rs
+++ b/crates/router/src/resolve/prompt/tests.rs
@@ -1,7 +1,7 @@
 use super::Prompt;
 
-fn opening(body: &str) -> String {
-    Prompt::read(body.as_bytes()).unwrap().opening
+fn prefix(body: &str) -> String {
+    Prompt::read(body.as_bytes()).unwrap().prefix
 }
 
 const FIRST: &str = r#"{"model":"m","messages":[{"role":"system","content":"topo"},
@@ -13,14 +13,14 @@
     let second = r#"{"messages":[{"role":"system","content":"topo"},
         {"content":"ice lines","role":"user"},{"role":"assistant","content":"..."},
         {"role":"user","content":[{"type":"text","text":"more"}]}],"stream":true}"#;
-    assert_eq!(opening(FIRST), opening(second));
+    assert_eq!(prefix(FIRST), prefix(second));
 }
 
 #[test]
 fn other_chats_have_other_openings() {
     let other = FIRST.replace("ice lines", "rock");
-    assert_ne!(opening(FIRST), opening(&other));
-    assert_ne!(opening(r#"{"prompt":"a"}"#), opening(r#"{"prompt":"b"}"#));
+    assert_ne!(prefix(FIRST), prefix(&other));
+    assert_ne!(prefix(r#"{"prompt":"a"}"#), prefix(r#"{"prompt":"b"}"#));
 }
 
 #[test]
--- a/crates/router/src/running.rs
+++ b/crates/router/src/running.rs
@@ -206,8 +206,8 @@
 
     /// Returns a handle that cuts a graceful shutdown short.
     #[must_use]
-    pub fn hurry(&self) -> Hurry {
-        Hurry {
+    pub fn abort_handle(&self) -> AbortHandle {
+        AbortHandle {
             sender: self.hurry.clone(),
         }
     }
@@ -271,13 +271,13 @@
 
 /// Cuts a graceful shutdown short.
 #[derive(Clone, Debug)]
-pub struct Hurry {
+pub struct AbortHandle {
     sender: watch::Sender<bool>,
 }
 
-impl Hurry {
+impl AbortHandle {
     /// Ends the shutdown now, with requests in flight cut.
-    pub fn now(&self) {
+    pub fn abort(&self) {
         self.sender.send_replace(true);
     }
 }
--- a/crates/router/src/serve/callers.rs
+++ b/crates/router/src/serve/callers.rs
@@ -17,7 +17,7 @@
 use rand::RngExt as _;
 
 use crate::body;
-use crate::body::relay::{Ends, Relay};
+use crate::body::relay::{EndDetection, Relay};
 use crate::problem::Problem;
 use crate::relay::{endpoint, entry};
 use crate::resolve;
@@ -36,7 +36,7 @@
         _ => handle_request(&shared, request).await,
     };
     // The balancer's list lags; connections that stay open would bring more.
-    if shared.leaving() && version < Version::HTTP_2 {
+    if shared.is_leaving() && version < Version::HTTP_2 {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
     }
@@ -44,11 +44,11 @@
 }
 
 fn readiness(shared: &Shared) -> Response<Body> {
-    let (status, text) = if shared.leaving() {
+    let (status, text) = if shared.is_leaving() {
         (StatusCode::SERVICE_UNAVAILABLE, "leaving\n")
     } else if shared.ready() {
         (StatusCode::OK, "ready\n")
-    } else if shared.listed() {
+    } else if shared.is_fleet_listed() {
         (StatusCode::SERVICE_UNAVAILABLE, "no bundle yet\n")
     } else {
         (StatusCode::SERVICE_UNAVAILABLE, "no instance list yet\n")
@@ -64,8 +64,8 @@
 
 async fn handle_request(shared: &Arc<Shared>, request: Request<Incoming>) -> Response<Body> {
     let began = shared.now();
-    let id: RequestId = shared.gate().rng.random();
-    let in_flight = shared.enter();
+    let id: RequestId = shared.entry_state().rng.random();
+    let in_flight = shared.track_request();
     let mut labels = shared.metrics.nobody();
     let (parts, mut incoming) = request.into_parts();
     let result =
@@ -95,18 +95,18 @@
     in_flight: &InFlight,
     labels: &mut Labels,
 ) -> Result<(Response<Body>, Permit), Problem> {
-    if in_flight.before() >= shared.settings.limits.streams {
+    if in_flight.count_before() >= shared.settings.limits.streams {
         return Err(instance_full());
     }
     let snapshot = shared.snapshot();
     let bundle = snapshot.bundle.as_ref().ok_or_else(no_bundle)?;
     check_head(shared, &mut parts)?;
-    let head = resolve::head(&bundle.policy, &parts, shared.now())?;
+    let head = resolve::read_head(&bundle.policy, &parts, shared.now())?;
     *labels = request_labels(shared, bundle, &head);
     let instances = snapshot.view.instances().count();
     let permit = Permit::admit(shared, bundle, head.workspace, instances)?;
     let body = read_body(shared, &parts, incoming).await?;
-    let resolved = resolve::whole(&bundle.policy, &head, &parts, body, id)?;
+    let resolved = resolve::read_body(&bundle.policy, &head, &parts, body, id)?;
     let version = bundle.policy.version;
     let mut response = entry::run(shared, &snapshot, bundle, resolved).await?;
     let status = response.status();
@@ -145,7 +145,7 @@
         Metrics::end(&labels, since(shared.now(), began));
         drop((in_flight, permit));
     };
-    response.map(|body| Relay::new(body, Ends::Framed, ended).boxed_unsync())
+    response.map(|body| Relay::new(body, EndDetection::Framed, ended).boxed_unsync())
 }
 
 fn request_labels(shared: &Shared, bundle: &Bundle, head: &resolve::Head<'_>) -> Labels {
@@ -222,7 +222,7 @@
         "full",
         "this instance has as many requests as it takes; send it again later",
     )
-    .after(Duration::from_secs(1))
+    .with_retry_after(Duration::from_secs(1))
 }
 
 fn no_bundle() -> Problem {
@@ -231,7 +231,7 @@
         "no-bundle",
         "this instance has no bundle yet; send it again in a few seconds",
     )
-    .after(Duration::from_secs(2))
+    .with_retry_after(Duration::from_secs(2))
 }
 
 /// A workspace's leave to have one more request; given back when dropped.
@@ -252,7 +252,7 @@
             return Err(no_bundle());
         };
         let now = shared.now();
-        let mut gate = shared.gate();
+        let mut gate = shared.entry_state();
         gate.limits.admit(now, id, workspace, instances)?;
         Ok(Self {
             shared: Arc::clone(shared),
@@ -263,6 +263,6 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.shared.gate().limits.release(self.workspace);
+        self.shared.entry_state().limits.release(self.workspace);
     }
 }
--- a/crates/router/src/serve/operators.rs
+++ b/crates/router/src/serve/operators.rs
@@ -83,7 +83,7 @@
                 address: endpoint.address,
                 owner: view.instance(owner).map(|instance| instance.name.as_str()),
                 owned_here: owner == shared.local(),
-                work: shared.desk.with(|desk| desk.load(endpoint.id)),
+                work: shared.owner.with(|owner| owner.load(endpoint.id)),
             }
         })
         .collect();
@@ -91,7 +91,7 @@
 }
 
 fn quarantine(shared: &Shared) -> Response<Body> {
-    let records = shared.desk.with(|owner| owner.quarantine().records());
+    let records = shared.owner.with(|owner| owner.quarantine().records());
     let answers: Vec<QuarantineAnswer> = records
         .iter()
         .map(|evidence| QuarantineAnswer {
--- a/crates/router/src/serve/peers.rs
+++ b/crates/router/src/serve/peers.rs
@@ -19,11 +19,11 @@
 use tokio::sync::oneshot;
 
 use crate::body;
-use crate::body::relay::{Ends, Relay};
+use crate::body::relay::{EndDetection, Relay};
 use crate::claims;
 use crate::control::{Event, bundles, gossip};
 use crate::handover;
-use crate::relay::{Attempt, Job, owner, peer};
+use crate::relay::{AttemptResult, Job, owner, peer};
 use crate::shared::Shared;
 
 /// Bytes of a message beside the caller's body: its head in the frame.
@@ -84,7 +84,7 @@
         (&Method::POST, dispatch::PATH) => handle_dispatch(shared, &bytes).await,
         (&Method::POST, claims::PATH) => handle_claim(shared, &bytes).await,
         (&Method::POST, claims::RESPONSE_PATH) => handle_response_request(shared, &bytes),
-        (&Method::POST, peer::EVIDENCE) => handle_evidence(shared, &bytes),
+        (&Method::POST, peer::EVIDENCE_PATH) => handle_evidence(shared, &bytes),
         (&Method::POST, gossip::PATH) => handle_gossip(shared, &bytes).await,
         (&Method::POST, handover::PATH) => handle_handover(shared, &bytes),
         (&Method::GET, bundles::PATH) => handle_bundle_request(shared, parts).await,
@@ -93,18 +93,18 @@
 }
 
 async fn handle_dispatch(shared: &Arc<Shared>, bytes: &Bytes) -> Response<Body> {
-    let in_flight = shared.enter();
+    let in_flight = shared.track_request();
     let Ok(Frame { head, body }) = Frame::<Head>::decode(bytes) else {
         return empty_response(StatusCode::BAD_REQUEST);
     };
     let attempt = head.attempt;
     let pool = Pool::for_request(&head.request);
     let (kind, mut response) = match owner::serve(shared, &Job::received(head, body)).await {
-        Attempt::Answered(mut response) => {
+        AttemptResult::Response(mut response) => {
             header::add_via(response.headers_mut(), &shared.settings.name);
             (Kind::Relayed, response)
         }
-        Attempt::Reply(reply) => {
+        AttemptResult::Reply(reply) => {
             let bytes = rmp_serde::to_vec(&reply).unwrap_or_default();
             (Kind::Reply, Response::new(body::full(Bytes::from(bytes))))
         }
@@ -115,12 +115,14 @@
         headers.insert(header::ATTEMPT, attempt);
     }
     let now = shared.now();
-    let summary = shared.desk.with(|owner| owner.summary(now, pool));
+    let summary = shared.owner.with(|owner| owner.summary(now, pool));
     if let Ok(load) = HeaderValue::from_str(&dispatch::load_text(&summary)) {
         headers.insert(header::LOAD, load);
     }
     // A stream that is relayed here is in flight here until its end.
-    response.map(|body| Relay::new(body, Ends::Framed, move |_end| drop(in_flight)).boxed_unsync())
+    response.map(|body| {
+        Relay::new(body, EndDetection::Framed, move |_end| drop(in_flight)).boxed_unsync()
+    })
 }
 
 async fn handle_claim(shared: &Shared, bytes: &Bytes) -> Response<Body> {
@@ -174,7 +176,7 @@
     let Ok(evidence) = rmp_serde::from_slice::<Vec<_>>(bytes) else {
         return empty_response(StatusCode::BAD_REQUEST);
     };
-    shared.desk.with(|owner| owner.record_evidence(&evidence));
+    shared.owner.with(|owner| owner.record_evidence(&evidence));
     empty_response(StatusCode::OK)
 }
 
@@ -182,7 +184,7 @@
     let Ok(locations) = rmp_serde::from_slice::<Vec<_>>(bytes) else {
         return empty_response(StatusCode::BAD_REQUEST);
     };
-    shared.desk.with(|owner| owner.accept_handover(&locations));
+    shared.owner.with(|owner| owner.accept_handover(&locations));
     empty_response(StatusCode::OK)
 }
 
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -25,7 +25,7 @@
 use crate::claims::Claims;
 use crate::control;
 use crate::random;
-use crate::relay::desk::Desk;
+use crate::relay::local_owner::LocalOwner;
 use crate::settings::Settings;
 use godwitpost_process::metrics::Metrics;
 
@@ -55,15 +55,15 @@
     /// For requests on their way; its bytes are no control traffic.
     pub(crate) connector: Connector,
     /// For control messages that traffic threads send.
-    pub(crate) side: Connector,
+    pub(crate) control_connector: Connector,
     /// For claims of unrepeatable requests and answers kept for them.
-    pub(crate) claiming: Connector,
+    pub(crate) claims_connector: Connector,
     pub(crate) metrics: Metrics,
-    pub(crate) desk: Desk,
+    pub(crate) owner: LocalOwner,
     pub(crate) claims: Claims,
     pub(crate) control: mpsc::Sender<control::Event>,
     snapshot: ArcSwap<Snapshot>,
-    gate: Mutex<Gate>,
+    entry_state: Mutex<EntryState>,
     leaving: AtomicBool,
     listed: AtomicBool,
     in_flight: AtomicUsize,
@@ -71,7 +71,7 @@
 
 /// What the entry side of requests keeps.
 #[derive(Debug)]
-pub(crate) struct Gate {
+pub(crate) struct EntryState {
     /// Budgets of retries.
     pub(crate) budgets: Budgets,
     /// Limits of workspaces.
@@ -89,7 +89,7 @@
 /// some seconds; until then one request in this time pays for the trial.
 const AVOIDED: Duration = Duration::from_secs(2);
 
-impl Gate {
+impl EntryState {
     /// Notes that an instance could not be reached.
     pub(crate) fn avoid(&mut self, now: Moment, instance: InstanceId) {
         self.avoided.retain(|_, until| *until > now);
@@ -114,17 +114,17 @@
     ) -> Self {
         let metrics = Metrics::new(&settings.name);
         Self {
-            desk: Desk::new(Arc::clone(&snapshot.view)),
+            owner: LocalOwner::new(Arc::clone(&snapshot.view)),
             claims: Claims::new(settings.id(), settings.incarnation),
             settings,
             clock,
             connector,
-            side: Connector::new(connect::Settings::default()),
-            claiming: Connector::new(connect::Settings::default()),
+            control_connector: Connector::new(connect::Settings::default()),
+            claims_connector: Connector::new(connect::Settings::default()),
             metrics,
             control,
             snapshot: ArcSwap::from_pointee(snapshot),
-            gate: Mutex::new(Gate {
+            entry_state: Mutex::new(EntryState {
                 budgets: Budgets::default(),
                 limits: Limits::default(),
                 avoided: BTreeMap::new(),
@@ -155,7 +155,7 @@
         self.snapshot.store(Arc::new(snapshot));
         if let Some(bundle) = bundle {
             self.metrics.version(bundle.policy.version);
-            self.desk.adopt(self.now(), view, bundle.policy);
+            self.owner.adopt(self.now(), view, bundle.policy);
         }
     }
 
@@ -166,17 +166,19 @@
         bundle.map_or(0, |bundle| bundle.policy.version)
     }
 
-    pub(crate) fn gate(&self) -> MutexGuard<'_, Gate> {
+    pub(crate) fn entry_state(&self) -> MutexGuard<'_, EntryState> {
         // No code that holds the lock can panic half-way through a change.
-        self.gate.lock().unwrap_or_else(PoisonError::into_inner)
+        self.entry_state
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Begins to leave: readiness fails from now on.
-    pub(crate) fn leave(&self) {
+    pub(crate) fn begin_leaving(&self) {
         self.leaving.store(true, Ordering::Release);
     }
 
-    pub(crate) fn leaving(&self) -> bool {
+    pub(crate) fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Acquire)
     }
 
@@ -186,16 +188,16 @@
     /// callers hear that there is no endpoint, since it has not read the
     /// platform's list yet.
     pub(crate) fn ready(&self) -> bool {
-        !self.leaving() && self.listed() && self.snapshot.load().bundle.is_some()
+        !self.is_leaving() && self.is_fleet_listed() && self.snapshot.load().bundle.is_some()
     }
 
     /// Returns whether the platform's list was read and published.
-    pub(crate) fn listed(&self) -> bool {
+    pub(crate) fn is_fleet_listed(&self) -> bool {
         self.listed.load(Ordering::Acquire)
     }
 
     /// Notes that the platform's list was read and published.
-    pub(crate) fn set_listed(&self) {
+    pub(crate) fn set_fleet_listed(&self) {
         self.listed.store(true, Ordering::Release);
     }
 
@@ -205,7 +207,7 @@
     }
 
     /// Counts a request in flight until the guard is dropped.
-    pub(crate) fn enter(self: &Arc<Self>) -> InFlight {
+    pub(crate) fn track_request(self: &Arc<Self>) -> InFlight {
         let before = self.in_flight.fetch_add(1, Ordering::AcqRel);
         self.metrics.in_flight(1);
         InFlight {
@@ -224,7 +226,7 @@
 
 impl InFlight {
     /// Returns how many were in flight before this one.
-    pub(crate) const fn before(&self) -> usize {
+    pub(crate) const fn count_before(&self) -> usize {
         self.before
     }
 }
--- a/crates/router/src/shutdown.rs
+++ b/crates/router/src/shutdown.rs
@@ -71,7 +71,7 @@
 
 async fn announce(shared: &Shared) {
     log::info!(name:% = shared.settings.name; "leaving");
-    shared.leave();
+    shared.begin_leaving();
     let (done, published) = oneshot::channel();
     if shared.control.send(Event::Leave(done)).await.is_ok() {
         drop(published.await);
