--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -1,8 +1,8 @@
-//! The dispatcher's claims and the answers it keeps.
+//! The dispatcher's claims and its cached responses.
 //!
-//! Asks the batcher of a key's partition for a verdict. A batcher that can't
-//! be reached is replaced by the one on this instance: verdicts come from the
-//! log's order alone, so any number of batchers gives the same ones.
+//! Requests verdicts from the batcher of a key's partition. If that batcher
+//! can't be reached, the one on this instance is used: verdicts depend only on
+//! the order of the log, so all batchers reach the same ones.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -22,27 +22,28 @@
 use crate::relay::peer;
 use crate::shared::Shared;
 
-/// The path that batchers take items on.
+/// Path for items that batchers append.
 pub(crate) const PATH: &str = "/peer/v1/claim";
 
-/// Bytes of kept answers. Confirmations of orders have about a kilobyte, so
-/// this holds some 8,000; a lost replay costs the caller no second run.
+/// Limit on the size of all cached responses. Confirmations of orders have about
+/// a kilobyte, so some 8,000 fit. A response that was evicted can't be replayed,
+/// but the request is not run again.
 const MAX_CACHED_RESPONSE_BYTES: usize = 8 << 20;
 
-/// How long answers are kept: callers resend within minutes.
+/// How long responses are cached: callers resend within minutes.
 const CACHED_RESPONSE_LIFETIME: Duration = Duration::from_mins(15);
 
-/// How long a verdict is waited for: twice the batcher's patience, so that
-/// its own word comes first.
+/// Timeout of a verdict: twice the batcher's own timeout, so that the batcher's
+/// response arrives first.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Bytes of an encoded verdict, by far.
+/// Limit on the size of an encoded verdict, far above its actual size.
 const MAX_VERDICT_BYTES: usize = 1 << 10;
 
-/// The path that kept answers are asked for on.
+/// Path for requests for cached responses.
 pub(crate) const RESPONSE_PATH: &str = "/peer/v1/answer";
 
-/// A finished answer kept for a caller that sends its key again.
+/// A complete response, cached for a caller that sends its key again.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct CachedResponse {
     pub(crate) status: StatusCode,
@@ -50,13 +51,13 @@
     pub(crate) body: Bytes,
 }
 
-/// The claims and kept answers of one dispatcher.
+/// The claims and cached responses of one dispatcher.
 #[derive(Debug)]
 pub(crate) struct Claims {
     inner: Mutex<Inner>,
 }
 
-/// What [`Claims`] holds under its lock.
+/// The state that the lock of [`Claims`] guards.
 #[derive(Debug)]
 pub(crate) struct Inner {
     pub(crate) holder: Holder,
@@ -74,12 +75,12 @@
     }
 
     pub(crate) fn lock(&self) -> MutexGuard<'_, Inner> {
-        // No code that holds the lock can panic half-way through a change.
+        // No code that holds the lock can panic in the middle of a change.
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Asks for the verdict on a claim.
+/// Requests the verdict on a claim.
 pub(crate) async fn request_verdict(shared: &Shared, record: Record) -> Verdict {
     let item = Item::Claim(record);
     let verdict = async {
@@ -91,16 +92,16 @@
             None => request_local(shared, item).await,
         }
     };
-    // No verdict in time is none: the holder then gives the claim up.
+    // Without a verdict in time, the holder gives the claim up.
     tokio::time::timeout(CALL_TIMEOUT, verdict)
         .await
         .unwrap_or(Verdict::Unavailable)
 }
 
-/// Asks the instance that ran a key for the answer that it keeps.
+/// Requests the cached response from the instance that ran a key.
 ///
-/// A key that is sent again may come in anywhere and be placed elsewhere; only
-/// the first one's dispatcher saw the answer.
+/// A key that is sent again may arrive at any instance and be dispatched by
+/// another one; only the dispatcher of the first request saw the response.
 pub(crate) async fn fetch_response(
     shared: &Shared,
     holder: InstanceId,
@@ -124,7 +125,7 @@
 }
 
 impl CachedResponse {
-    /// Returns its bytes, for another instance.
+    /// Encodes the response for another instance.
     pub(crate) fn encode(&self) -> Bytes {
         let head = (self.status.as_u16(), dispatch::pack(&self.headers));
         let body = self.body.clone();
@@ -142,7 +143,7 @@
     }
 }
 
-/// Tells the batcher how a claimed request ended, as best effort.
+/// Reports the outcome of a claimed request to the batcher, as best effort.
 pub(crate) async fn report_outcome(shared: &Shared, outcome: Item) {
     match remote_batcher(shared, outcome.key()) {
         Some(instance) => {
@@ -154,7 +155,7 @@
     }
 }
 
-// The batcher of a key's partition, if that is another instance.
+// Returns the batcher of a key's partition, if that is another instance.
 fn remote_batcher(shared: &Shared, key: &KeyDigest) -> Option<Instance> {
     let snapshot = shared.snapshot();
     let live = snapshot.view.instances();
@@ -175,11 +176,11 @@
     let response = match sent.await {
         Ok(response) if response.status() == StatusCode::OK => response,
         Ok(response) => {
-            log::debug!(instance:% = instance.name, status:% = response.status(); "claim refused");
+            log::debug!(instance:% = instance.name, status:% = response.status(); "batcher refused a claim");
             return None;
         }
         Err(error) => {
-            log::debug!(instance:% = instance.name, error:% = error; "claim not answered");
+            log::debug!(instance:% = instance.name, error:% = error; "could not send a claim to its batcher");
             return None;
         }
     };
--- a/crates/router/src/cli.rs
+++ b/crates/router/src/cli.rs
@@ -1,30 +1,30 @@
-//! The command line: one definition for each flag, and what they mean together.
+//! The command line: definitions of the flags and the resulting action.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
 
 use clap::{Arg, ArgAction, Command, value_parser};
 
-/// What the command line asks for.
+/// The action that the command line requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Run the router with these settings.
     Run(PathBuf),
-    /// Check these settings and end.
+    /// Check these settings and exit.
     Check(PathBuf),
-    /// Print these settings with all defaults and end.
+    /// Print these settings with all defaults and exit.
     PrintSettings(PathBuf),
-    /// Print this text and end with this exit code.
+    /// Print this text and exit with this code.
     PrintText(String, u8),
 }
 
 /// Exit code after a graceful shutdown, or a check without mistakes.
 pub const EXIT_DONE: u8 = 0;
-/// Exit code when the router can't start: a port is taken, say.
+/// Exit code when the router can't start, for example because a port is in use.
 pub const EXIT_START_FAILED: u8 = 1;
 /// Exit code for a wrong command line or settings with mistakes.
 pub const EXIT_USAGE: u8 = 2;
-/// Exit code when the drain limit passed with requests still in flight.
+/// Exit code when the drain limit passed with requests in flight.
 pub const EXIT_DRAIN_TIMEOUT: u8 = 3;
 /// Exit code when a second signal cut the graceful shutdown short.
 pub const EXIT_ABORTED: u8 = 4;
@@ -74,7 +74,7 @@
   log_level: info
   threads: 2                       # that carry traffic";
 
-/// Reads a command line.
+/// Parses a command line.
 #[must_use]
 pub fn parse(args: impl IntoIterator<Item = OsString>) -> Action {
     let matches = match command().try_get_matches_from(args) {
--- a/crates/router/src/cli/tests.rs
+++ b/crates/router/src/cli/tests.rs
@@ -8,12 +8,12 @@
 }
 
 #[test]
-fn a_file_alone_runs_the_router() {
+fn settings_alone_run_the_router() {
     assert_eq!(run(&["--settings", "a.yaml"]), Action::Run("a.yaml".into()));
 }
 
 #[test]
-fn check_and_print_start_nothing() {
+fn check_and_print_do_not_run_the_router() {
     let check = run(&["--check", "--settings", "a.yaml"]);
     assert_eq!(check, Action::Check("a.yaml".into()));
     let print = run(&["--print-settings", "--settings", "a.yaml"]);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_wrong_command_line_says_what_is_wrong() {
+fn wrong_command_line_is_reported_with_the_usage() {
     for args in [
         &["--settings"][..],
         &[],
--- a/crates/router/src/control.rs
+++ b/crates/router/src/control.rs
@@ -1,10 +1,9 @@
-//! Control state: one thread that knows bundles, instances and endpoints.
+//! Control thread: keeps the state of bundles, instances and endpoints.
 //!
-//! Everything that changes the picture of the fleet comes in as an [`Event`]
-//! through one channel and is folded in on one thread; calls to the platform,
-//! to peers and to endpoints run as tasks of the same thread and send their
-//! results back as events. Traffic threads never wait for it: they read the
-//! last published snapshot.
+//! Every change to the state arrives as an [`Event`] through one channel and is
+//! applied on one thread. Calls to the platform, to peers and to endpoints run
+//! as tasks of the same thread and send their results back as events. Traffic
+//! threads never wait for this thread: they read the last published snapshot.
 
 mod batchers;
 pub(crate) mod bundles;
@@ -43,67 +42,72 @@
 use batchers::Batchers;
 use probe::CachePage;
 
-/// Events that may wait for the control thread. Far above what comes in a
-/// second; a full channel makes traffic wait rather than grow memory.
+/// Capacity of the control thread's event channel.
+///
+/// Far more than arrive in a second. If the channel is full, senders wait, so
+/// that memory stays bounded.
 pub(crate) const EVENT_QUEUE_CAPACITY: usize = 4096;
 
-/// How often time passes: waits in queues end, suspicions ripen.
+/// Period of time-driven work, such as queue timeouts and failure suspicions.
 const TICK_PERIOD: Duration = Duration::from_millis(50);
 
-/// Time-out of one call to the platform.
+/// Timeout of one call to the platform.
 const PLATFORM_CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Control bytes that an instance may spend on gossip each second. The letter
-/// allows 6 KB in all; the rest is for reports, the list and the log.
+/// Bytes per second that an instance may spend on gossip. The budget for all
+/// control traffic is 6 KB per second; the rest is for reports, the list and
+/// the log.
 const GOSSIP_BYTES_PER_SECOND: u64 = 3_000;
 
-/// Bytes of a gossip message beside its body: its HTTP head with the seal is
+/// Bytes of a gossip message besides its body: the HTTP head with the seal has
 /// about 330 bytes, TCP/IP headers with the acknowledgement 120.
 const GOSSIP_OVERHEAD_BYTES: u64 = 450;
 
-/// Something that control has to know.
+/// An event for the control thread.
 #[derive(Debug)]
 pub(crate) enum Event {
-    /// An answer of the platform's list.
+    /// A response of the platform's instance list.
     Listing(Listing),
-    /// Records of the bundles' stream; none if there is nothing new.
+    /// Records of the bundle stream; empty if there is nothing new.
     BundleRecords(Vec<log::Record>),
-    /// A checkpoint was appended, or could not be.
+    /// An attempt to append a checkpoint ended, successfully or not.
     RenewalEnded,
-    /// An instance said that it holds this bundle version.
+    /// An instance reported the bundle version that it holds.
     PeerVersion(InstanceId, Version),
-    /// What an instance answered when asked for its bundle.
+    /// An instance's response to a request for its bundle.
     BundleFetched(Option<Bytes>),
-    /// A peer asks for the bundle, given the version that it holds.
+    /// A peer's request for the bundle, with the version that it holds.
     BundleRequest(Version, oneshot::Sender<Option<Bytes>>),
-    /// A peer's gossip, answered by ours unless the budget forbids.
+    /// A peer's gossip message with its size, and the channel for the response;
+    /// `None` is sent if the budget is exhausted.
     GossipRequest(Message, usize, oneshot::Sender<Option<Bytes>>),
-    /// What a peer answered to our gossip, with its size; `None` if it could
-    /// not be reached.
+    /// A peer's response to a gossip message, with its size; `None` if the peer
+    /// could not be reached.
     GossipResponse(InstanceId, Option<(Message, usize)>),
-    /// An owned endpoint's report, with the models that it names.
+    /// The report of an owned endpoint, with the models that it lists.
     Report(EndpointId, Report, Option<Vec<String>>),
-    /// What an engine that another instance owns answered when asked for its
-    /// report, with the answer's size.
+    /// The report of an engine that another instance owns; `None` if the engine
+    /// did not respond.
     SweepReport(EndpointId, Option<probe::ReportResponse>),
-    /// The log's answer to a call about a service's lease.
+    /// The log's response to a call about a service's lease.
     LeaseCall(ServiceId, orders::Call),
-    /// What came of an order to an engine, by its fencing number.
+    /// The result of an order to an engine, with the order's fencing number.
     OrderResult(ServiceId, EndpointId, Offset, orders::SendResult),
-    /// An engine's cache events, with their size.
+    /// An engine's cache events, with the size of the response.
     CacheEvents(EndpointId, CachePage, usize),
-    /// An endpoint's answer said that it is leaving.
+    /// An endpoint announced in a response that it is leaving.
     EndpointLeaving(LeavingNotice),
-    /// A claim or fate for the local batcher.
+    /// A claim or an outcome for the local batcher.
     Claim {
-        /// What to append.
+        /// The item to append.
         item: Item,
-        /// Who waits for the verdict.
+        /// Receives the verdict.
         reply: oneshot::Sender<Verdict>,
     },
-    /// The log's answer to a batcher's call.
+    /// The log's response to a batcher's call.
     BatcherCall(batchers::CallResult),
-    /// This instance begins to leave; answered when that is published.
+    /// This instance starts to leave; the sender is notified once that is
+    /// published.
     Leave(oneshot::Sender<()>),
 }
 
@@ -128,14 +132,14 @@
     rng: StdRng,
 }
 
-/// What control's tasks need for their calls.
+/// Connections and channels that the control thread's tasks use.
 #[derive(Clone)]
 pub(crate) struct Io {
     peers: Connector,
     probes: Connector,
     platform: Connector,
     log: log::Client,
-    // The log as batchers use it; counted as claims.
+    // For batchers; their traffic is counted as claims, apart from control.
     claim_connector: Connector,
     claim_log: log::Client,
     events: mpsc::Sender<Event>,
@@ -152,7 +156,7 @@
 impl Control {
     pub(crate) fn new(shared: Arc<Shared>, own: godwitpost_types::instance::Instance) -> Self {
         let settings = &shared.settings;
-        // One for each kind of control traffic, since each counts its bytes.
+        // One connector per kind of control traffic, because each counts its bytes.
         let connector = || Connector::new(connect::Settings::default());
         let platform = connector();
         let claim_connector = connector();
@@ -201,7 +205,7 @@
         }
     }
 
-    /// Runs until the router ends.
+    /// Runs until the event channel is closed.
     pub(crate) async fn run(mut self, mut events: mpsc::Receiver<Event>) {
         tokio::spawn(self.io.timer.clone().drive(self.shared.clock));
         let settings = &self.shared.settings;
@@ -283,8 +287,8 @@
         self.count_traffic();
     }
 
-    // At the letter's size a picture takes a millisecond to compare, so it is
-    // only built anew when something changed.
+    // Comparing a snapshot of a full-size fleet takes a millisecond, so a new one
+    // is built only if something changed.
     fn publish_changes(&mut self, now: Moment) {
         let member_updates = self.roster.tick(now);
         let changes = self.endpoints.tick(now);
@@ -301,7 +305,7 @@
 
     fn apply_listing(&mut self, now: Moment, listing: &Listing) {
         for refused in &listing.refused {
-            ::log::warn!(entry:% = refused; "an entry of the instance list can't be read");
+            ::log::warn!(entry:% = refused; "can't parse an entry of the instance list");
         }
         self.roster.apply_list(now, &listing.instances);
         self.endpoints.apply_list(now, &listing.endpoints);
@@ -310,10 +314,10 @@
     }
 }
 
-/// Notes the bundle version that an instance says it holds.
+/// Reports to the control thread the bundle version that an instance holds.
 ///
-/// Never waits: a note lost to a full channel comes again with the next
-/// message.
+/// Never waits: a report dropped because the channel is full is repeated with
+/// the next message.
 pub(crate) fn report_peer_version(shared: &Shared, instance: InstanceId, version: Version) {
     if version > shared.version() {
         drop(
@@ -324,7 +328,7 @@
     }
 }
 
-/// Notes that an instance could not be reached.
+/// Reports to the control thread that an instance could not be reached.
 pub(crate) fn report_unreachable(shared: &Shared, instance: InstanceId) {
     drop(
         shared
@@ -333,7 +337,7 @@
     );
 }
 
-/// Notes that an endpoint's answer said that it is leaving.
+/// Reports to the control thread that an endpoint is leaving.
 pub(crate) fn report_leaving(shared: &Shared, endpoint: &Endpoint) {
     let leaving = LeavingNotice {
         id: endpoint.id,
@@ -342,7 +346,7 @@
     drop(shared.control.try_send(Event::EndpointLeaving(leaving)));
 }
 
-// Whoever asked may be gone; then nobody needs the answer.
+// The receiver may have been dropped; the value is not needed then.
 fn send_reply<T>(to: oneshot::Sender<T>, value: T) {
     drop(to.send(value));
 }
--- a/crates/router/src/control/batchers.rs
+++ b/crates/router/src/control/batchers.rs
@@ -1,7 +1,7 @@
 //! Runs the batchers of `godwitpost_state::claim` against the log.
 //!
-//! Any instance may be asked to batch any partition, when instances disagree
-//! on who is live; a partition that nobody asks about any more is dropped.
+//! Instances may disagree on which instances are live, so any instance may be
+//! asked to batch any partition. A partition without claims is dropped.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,10 +17,10 @@
 
 use super::{Control, Event};
 
-/// How long a partition is kept without a claim.
+/// How long a partition without claims is retained.
 const MAX_IDLE: Duration = Duration::from_mins(10);
 
-/// The claim window before a bundle is known; no claim comes then.
+/// Claim window until a bundle is known; no claims arrive before that.
 const DEFAULT_CLAIM_WINDOW: Duration = Duration::from_mins(15);
 
 /// The batchers of this instance.
@@ -37,7 +37,7 @@
     last_use: Moment,
 }
 
-/// The log's answer to a batcher's call.
+/// The log's response to a batcher's call.
 #[derive(Debug)]
 pub(crate) struct CallResult {
     partition: u16,
@@ -97,7 +97,7 @@
                 part.batcher.appended(now, ticket, at.offset, at.time);
             }
             Call::Appended(ticket, Err(error)) => {
-                log::debug!(error:% = error; "claims not appended");
+                log::debug!(error:% = error; "could not append claims to the log");
                 let failure = if error.may_have_taken_effect() {
                     AppendFailure::Unknown
                 } else {
@@ -107,7 +107,7 @@
             }
             Call::Read(limit, Ok(page)) => part.batcher.apply_page(now, &page_of(page, limit)),
             Call::Read(_, Err(error)) => {
-                log::debug!(error:% = error; "claims not read");
+                log::debug!(error:% = error; "could not read claims from the log");
                 part.batcher.read_failed(now);
             }
         }
@@ -152,8 +152,8 @@
                         super::send_reply(reply, verdict);
                     }
                 }
-                // The control thread's tick comes soon enough: its period is
-                // that of the batches.
+                // The control thread's tick has the same period as the
+                // batches, so no timer is needed.
                 Next::Wait(_) => return,
             }
         }
@@ -173,8 +173,8 @@
     Call::Read(limit, page)
 }
 
-// The client's `next` is where to read on; the batcher's is the stream's end.
-// They are the same unless the page is full, when there may be more.
+// The client's `next` is the offset to continue from; the batcher's is the end
+// of the stream. They are equal unless the page is full and more may follow.
 pub(super) fn page_of(page: godwitpost_client::log::Page, limit: u32) -> claim::Page {
     let full = page.records.len() >= limit as usize;
     let records = page.records.into_iter().map(|record| StoredRecord {
--- a/crates/router/src/control/bundles.rs
+++ b/crates/router/src/control/bundles.rs
@@ -1,4 +1,4 @@
-//! Follows the stream of bundles, and fetches them from peers.
+//! Follows the bundle stream, and fetches bundles from peers.
 
 use std::sync::Arc;
 
@@ -19,30 +19,29 @@
 use crate::relay::peer;
 use crate::shared::Shared;
 
-/// The path that bundles are fetched from peers on; `?since=` names the
-/// version held.
+/// Path for fetching bundles from peers; `?since=` is the version held.
 pub(crate) const PATH: &str = "/peer/v1/bundle";
 
-/// Bytes of a bundle that are taken from a peer. 8,900 workspaces of 100
-/// bytes each are under a megabyte.
+/// Limit on the size of a bundle from a peer. 8,900 workspaces of 100 bytes
+/// each are under a megabyte.
 const MAX_BUNDLE_BYTES: usize = 64 << 20;
 
-/// Records asked for at once; fewer in an answer are the end of the stream.
+/// Records requested per read; a response with fewer is the end of the stream.
 const PAGE_RECORDS: usize = 1000;
 
-/// What a peer hands over.
+/// A bundle as sent to a peer.
 #[derive(Debug, Serialize, Deserialize)]
 enum PeerBundle {
-    /// The latest changes, for one a few versions behind.
+    /// The latest changes, for a peer that is a few versions behind.
     Update(Update),
-    /// Everything.
+    /// The complete bundle.
     Snapshot(Box<Snapshot>),
 }
 
-/// Reads the stream for ever.
+/// Follows the bundle stream until the control thread ends.
 ///
-/// The long poll brings a new bundle within a round trip of its append. While
-/// the log is down, peers hand the bundle over.
+/// The long poll returns a new bundle within a round trip of its append. While
+/// the log is down, bundles are fetched from peers.
 pub(super) async fn follow(io: Io) {
     let settings = follower::Settings {
         limit: PAGE_RECORDS,
@@ -54,10 +53,10 @@
         let records = match follower.next().await {
             follower::Event::Records(records) => records,
             follower::Event::Idle => Vec::new(),
-            // The fold sees a gap by the offset that follows it.
+            // The fold detects a gap by the offset of the next record.
             follower::Event::Gap { .. } => continue,
             follower::Event::Down(error) => {
-                log::debug!(error:% = error; "bundles not read");
+                log::debug!(error:% = error; "could not read the bundle stream");
                 continue;
             }
         };
@@ -77,7 +76,7 @@
         self.publish();
     }
 
-    /// Fetches the bundle of an instance that holds a newer one.
+    /// Fetches the bundle from an instance if it holds a newer version.
     pub(super) fn fetch_newer_bundle(&mut self, instance: InstanceId, version: Version) {
         if self.fetching_bundle || version <= self.fold.version() {
             return;
@@ -101,7 +100,7 @@
             Ok(PeerBundle::Update(update)) => self.fold.advance(&update),
             Ok(PeerBundle::Snapshot(snapshot)) => self.fold.adopt(*snapshot),
             Err(error) => {
-                log::warn!(error:% = error; "a peer's bundle can't be read");
+                log::warn!(error:% = error; "can't decode a bundle from a peer");
                 return;
             }
         };
@@ -115,10 +114,10 @@
         self.publish();
     }
 
-    /// Returns what a peer needs that holds `version`.
+    /// Returns the bundle, or its changes, for a peer that holds `version`.
     ///
-    /// An instance that still reads the stream has passed old versions only,
-    /// and hands none of them on.
+    /// Returns `None` while this instance is still reading the stream, because
+    /// it knows only old versions until then.
     pub(super) fn bundle_for_peer(&self, version: Version) -> Option<Bytes> {
         if !self.ready.get() {
             return None;
@@ -133,9 +132,9 @@
 
     fn log_fold_result(next: &Next) {
         match next {
-            Next::InForce(version) => log::info!(version = version; "bundle folded"),
+            Next::InForce(version) => log::info!(version = version; "bundle version applied"),
             Next::Refused(refusal) => log::warn!(reason:% = refusal; "bundle refused"),
-            Next::Waiting => log::warn!("bundle records were dropped; asking peers"),
+            Next::Waiting => log::warn!("bundle records missing from the log; waiting for peers"),
             Next::Ignored => {}
         }
     }
--- a/crates/router/src/control/cost.rs
+++ b/crates/router/src/control/cost.rs
@@ -1,12 +1,12 @@
-//! Counts what control traffic costs on the wire, and claims apart from it.
+//! Counts the bytes of control traffic, and those of claims separately.
 //!
-//! Each kind has a connector of its own, which counts the bytes that pass its
-//! sockets with an estimate of packet headers. What peers send on their own
-//! connections is counted by their connectors there; the half of it that
-//! passes here is counted by message in `gossip.rs`.
+//! Each kind of traffic has its own connector, which counts the bytes on its
+//! sockets and adds an estimate of packet headers. Connections that peers open
+//! are counted by the peers' connectors; the bytes of their gossip at this
+//! instance are counted per message in `gossip.rs`.
 //!
-//! Claims are part of serving unrepeatable requests and grow with them, so
-//! they have a counter of their own and no part in the control budget.
+//! Claims are part of serving unrepeatable requests and grow with their number,
+//! so they are counted separately and are not part of the control budget.
 
 use super::Control;
 use godwitpost_process::metrics::Traffic;
@@ -21,7 +21,7 @@
 }
 
 impl Control {
-    /// Moves the counters on by what passed since the last call.
+    /// Adds the bytes since the last call to the metrics.
     pub(super) fn count_traffic(&mut self) {
         let now = ByteCounts {
             peers: self.io.peers.wire_bytes() + self.shared.control_connector.wire_bytes(),
--- a/crates/router/src/control/gossip.rs
+++ b/crates/router/src/control/gossip.rs
@@ -1,4 +1,4 @@
-//! Carries the gossip of `godwitpost_state::gossip` to peers and back.
+//! Exchanges the messages of `godwitpost_state::gossip` with peers.
 
 mod pack;
 
@@ -24,20 +24,21 @@
 use crate::shared::Shared;
 use godwitpost_process::metrics::Traffic;
 
-/// The path that gossip is taken on.
+/// Path for gossip messages.
 pub(crate) const PATH: &str = "/peer/v1/gossip";
 
-/// Bytes of one message that are read; the pump keeps to about 1,000.
+/// Limit on the size of a received message; the pump sends about 1,000 bytes.
 pub(crate) const MAX_MESSAGE_BYTES: usize = 4 << 10;
 
-/// How long an answer may take. Under the pump's period, so that a silent
-/// peer is accused before its next turn.
+/// Timeout of a response. Shorter than the pump's period, so that a silent peer
+/// is suspected before its next turn.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// What came of one exchange.
+/// The result of one exchange.
 enum Exchange {
     Answered(Message, usize),
-    /// The peer is there, but its budget forbids an answer.
+    /// The peer is reachable, but its budget does not allow a response, or the
+    /// response could not be decoded.
     Deferred,
     Unreachable,
 }
@@ -67,7 +68,8 @@
         }
     }
 
-    /// Takes a peer's message; returns ours unless the budget forbids.
+    /// Applies a peer's message and returns the response, or `None` if the budget
+    /// is exhausted.
     pub(super) fn handle_gossip_request(
         &mut self,
         now: Moment,
@@ -85,7 +87,7 @@
         Some(response)
     }
 
-    /// Takes what a peer answered, or that it didn't.
+    /// Applies a peer's response, or records that the peer is unreachable.
     pub(super) fn handle_gossip_response(
         &mut self,
         now: Moment,
@@ -113,7 +115,7 @@
         Bytes::from(bytes)
     }
 
-    // None without a bundle: no request is admitted then.
+    // Empty without a bundle, because no requests are admitted then.
     fn current_demands(&self, now: Moment) -> Vec<Demand> {
         let snapshot = self.shared.snapshot();
         let Some(bundle) = snapshot.bundle.as_ref() else {
@@ -148,7 +150,8 @@
         });
     }
 
-    // Gossip names a pool by one number; the endpoints known here say which.
+    // Gossip identifies a pool by one number. The pool itself is found among those
+    // of the known endpoints.
     fn to_summary(&self, source: InstanceId, load: &Load) -> Option<Summary> {
         let mut pools = self.endpoints.endpoints().flat_map(|endpoint| {
             let models = endpoint.models.iter().copied();
@@ -181,7 +184,7 @@
     let response = match sent.await {
         Ok(response) => response,
         Err(error) => {
-            log::debug!(instance:% = instance.name, error:% = error; "no gossip");
+            log::debug!(instance:% = instance.name, error:% = error; "gossip exchange failed");
             return Exchange::Unreachable;
         }
     };
@@ -195,7 +198,7 @@
     match Message::decode(&bytes) {
         Ok(message) => Exchange::Answered(message, bytes.len()),
         Err(error) => {
-            log::warn!(instance:% = instance.name, error:% = error; "gossip can't be read");
+            log::warn!(instance:% = instance.name, error:% = error; "can't decode gossip from a peer");
             Exchange::Deferred
         }
     }
@@ -211,8 +214,8 @@
     }
 }
 
-// Service and model ids are hashes already; the rotation keeps a pool apart
-// from the one with the two exchanged.
+// Service and model ids are already hashes. The rotation gives a pool another
+// number than the pool with the two ids swapped.
 const fn pool_number(pool: Pool) -> u64 {
     pool.service ^ pool.model.rotate_left(1)
 }
--- a/crates/router/src/control/gossip/pack.rs
+++ b/crates/router/src/control/gossip/pack.rs
@@ -1,5 +1,5 @@
-//! Quarantine evidence in gossip's fixed size, five fields and 48 bytes, and
-//! demand with its rate in whole numbers.
+//! Packs quarantine evidence into gossip's fixed size, five fields in 48 bytes,
+//! and demands with integer rates.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
 const CLEAN: u64 = 1;
 const SURVIVED: u64 = 2;
 
-/// Bytes of a digest; the fields of eight bytes follow it.
+/// Bytes of a digest; fields of eight bytes each follow it.
 const DIGEST_BYTES: usize = 16;
 
-/// Parts of a request a second that a rate is told in.
+/// Packed rates are in units of 1/1000 requests per second.
 const RATE_SCALE: f32 = 1000.0;
 
 /// Packs a piece of evidence.
@@ -34,7 +34,7 @@
     packed
 }
 
-/// Reads a packed piece.
+/// Unpacks a piece of evidence.
 pub(super) fn unpack_evidence(packed: &gossip::Evidence) -> Evidence {
     let mut digest = [0; DIGEST_BYTES];
     digest.copy_from_slice(&packed[..DIGEST_BYTES]);
@@ -71,7 +71,7 @@
     }
 }
 
-/// Reads a packed demand.
+/// Unpacks a workspace's demand.
 #[expect(
     clippy::cast_precision_loss,
     reason = "a rate needs no more than 24 bits"
--- a/crates/router/src/control/gossip/pack/tests.rs
+++ b/crates/router/src/control/gossip/pack/tests.rs
@@ -3,7 +3,7 @@
 use godwitpost_decide::quarantine::{Evidence, Kind};
 
 #[test]
-fn evidence_survives_the_packing() {
+fn packed_evidence_unpacks_to_the_same() {
     for kind in [Kind::Crashed, Kind::Clean, Kind::Survived] {
         let evidence = Evidence {
             digest: *b"0123456789abcdef",
--- a/crates/router/src/control/models.rs
+++ b/crates/router/src/control/models.rs
@@ -1,10 +1,10 @@
-//! The models that owned engines have, by their own word.
+//! Models that owned engines report.
 //!
-//! The platform's list lags; an engine that took an order has other models
-//! than the list says for seconds. Each owner asks its engines for reports
-//! anyway, and the report goes before the list in the owner's view. Other
-//! instances go by the list: a request that they send for a model that the
-//! engine hasn't got is passed on by its owner.
+//! The platform's list lags: for seconds after an order it names models that
+//! the engine no longer has. Each owner polls its engines for reports anyway,
+//! and in its view a report takes precedence over the list. Other instances use
+//! the list; if they send a request for a model that the engine lacks, the
+//! owner forwards it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,11 +16,12 @@
 
 use super::orders;
 
-/// How long a report goes before the list: five reports. After that the
-/// endpoint has another owner, or is silent, and the list knows better.
+/// How long a report takes precedence over the list: the time of five reports.
+/// After that the endpoint has another owner or does not respond, and the list
+/// is more recent.
 const REPORT_MAX_AGE: Duration = Duration::from_secs(10);
 
-/// What owned engines reported last.
+/// The last reports of owned engines.
 #[derive(Debug, Default)]
 pub(super) struct Models {
     reported: BTreeMap<EndpointId, Reported>,
@@ -34,7 +35,7 @@
 }
 
 impl Models {
-    /// Takes the models of a report; returns whether they changed.
+    /// Records the models of a report and returns whether they changed.
     pub(super) fn record_report(
         &mut self,
         now: Moment,
@@ -55,12 +56,12 @@
         known.is_none_or(|known| known.models != models)
     }
 
-    /// Returns an engine with the models that it has by its own word, if that
-    /// is fresh; other endpoints as they are.
+    /// Returns an engine with the models of its report, if that is recent enough.
     ///
-    /// The failure: a plain service's back end names models in its report. It
-    /// would be taken out of its service, whose requests ask for none, and the
-    /// callers hear that there is no endpoint.
+    /// Other endpoints are returned unchanged. A plain service's endpoint may
+    /// name models in its report; applying them would remove it from the pool
+    /// of its service, whose requests name no model, and callers would be told
+    /// that there is no endpoint.
     pub(super) fn apply_reported_models(
         &self,
         now: Moment,
--- a/crates/router/src/control/models/tests.rs
+++ b/crates/router/src/control/models/tests.rs
@@ -1,4 +1,4 @@
-//! An engine's own word goes before the list, for as long as it is fresh.
+//! An engine's recent report takes precedence over the list.
 
 use godwitpost_types::endpoint::Standing;
 
@@ -30,10 +30,10 @@
     }
 }
 
-// An editor's draft is refused by an engine that was ordered to load another
-// model: the list still names the old one.
+// Guards against requests to an engine that has loaded another model while the
+// list still names the old one.
 #[test]
-fn a_fresh_report_goes_before_the_list() {
+fn recent_report_takes_precedence_over_the_list() {
     let mut models = Models::default();
     let now = Duration::from_secs(100);
     let reported = ["tagger@3".to_owned()];
@@ -45,10 +45,10 @@
     assert_eq!(stale.models, endpoint().models);
 }
 
-// An engine restarts with other models; what it said in its former life must
+// An engine restarts with other models. A report of its earlier incarnation must
 // not hide them.
 #[test]
-fn a_former_lifes_report_counts_for_nothing() {
+fn report_of_an_earlier_incarnation_is_ignored() {
     let mut models = Models::default();
     let now = Duration::from_secs(100);
     models.record_report(now, ENGINE, &report(1), &[]);
@@ -60,10 +60,11 @@
     );
 }
 
-// Stock checks stall though their service is up: its back ends name models in
-// their reports, out of a template for engines, and leave their own pool.
+// Endpoints of a plain service name models in their reports, copied from an
+// engine's template. Applying them would remove the endpoints from their pool
+// and stall the service's requests although it is up.
 #[test]
-fn models_that_a_plain_service_reports_change_nothing() {
+fn models_reported_by_a_plain_service_are_ignored() {
     let mut models = Models::default();
     let now = Duration::from_secs(100);
     models.record_report(now, ENGINE, &report(2), &["tagger@3".to_owned()]);
--- a/crates/router/src/control/orders.rs
+++ b/crates/router/src/control/orders.rs
@@ -1,15 +1,15 @@
-//! Leases and orders: brings engines to the models that the bundle wants.
+//! Leases and orders: makes engines load the models that the bundle wants.
 //!
-//! Each service with engines has one lease, and one instance, the rendezvous
-//! winner among those live in its own view, tries to hold it. Two instances
-//! whose views differ both try, and the log's order says who holds it. The
-//! holder compares the bundle with the engines' reports through
-//! `godwitpost_state::order` and sends each order under the lease's fencing
-//! number, after a look at its own clock.
+//! Each service with engines has one lease. An instance tries to hold it if it
+//! is the rendezvous winner among the instances that are live in its own view.
+//! Two instances with different views may both try; the order of the log
+//! decides which one holds the lease. The holder compares the bundle with the
+//! engines' reports through `godwitpost_state::order`. It sends each order with
+//! the lease's fencing number, after it has checked its clock.
 //!
-//! The holder doesn't own most of the engines, so it asks them for reports
-//! itself, at a bounded rate (`reports.rs`). Nothing here waits: calls run as
-//! tasks, and what they bring comes back as events.
+//! The holder doesn't own most of the engines, so it polls them for reports
+//! itself, at a bounded rate (`reports.rs`). Nothing here blocks: calls run as
+//! tasks, and their results come back as events.
 
 mod lease;
 mod reports;
@@ -39,20 +39,21 @@
 /// Period of checks of leases and orders; loads take minutes.
 const CHECK_PERIOD: Duration = Duration::from_millis(500);
 
-/// How often a holder plans. At 3,300 engines and 35 models a plan sorts the
-/// engines for each model, some tens of milliseconds in all.
+/// Period of a holder's planning. A plan sorts the engines for each model; with
+/// 3,300 engines and 35 models that takes some tens of milliseconds in all.
 const PLAN_PERIOD: Duration = Duration::from_secs(2);
 
-/// How long a new bundle version is in force before a model that it dropped is
-/// unloaded. The version is in force everywhere within 6 s; requests that came
-/// in under the last one get the rest to end.
+/// Delay between a new bundle version and unloading the models that it dropped.
+/// The version is in force everywhere within 6 s; the rest is for requests that
+/// were accepted under the previous version to end.
 const UNLOAD_DELAY: Duration = Duration::from_secs(30);
 
-/// What a service's share of the weight store is taken to be.
+/// Limits on a service's use of the weight store.
 ///
-/// The store's rate isn't known here, and engines repeat a refused pull by
-/// themselves. Two loads under way bound what a service asks of the store; a
-/// refused one stays under way, so while the store refuses no more start.
+/// The store's rate isn't known here, and engines retry a refused pull by
+/// themselves. At most two loads run at a time, which bounds a service's
+/// requests to the store. A refused load still counts as running, so no more
+/// loads start while the store refuses.
 const PLANNER_LIMITS: Limits = Limits {
     max_concurrent_loads: 2,
     min_load_interval: Duration::from_secs(5),
@@ -68,7 +69,7 @@
     version_since: Moment,
 }
 
-/// One service that engines are ordered for.
+/// Lease and orders of one service.
 #[derive(Debug)]
 struct ServiceOrders {
     holder: Holder,
@@ -78,19 +79,19 @@
     logged_blocked: Vec<String>,
 }
 
-/// What came of an order.
+/// The result of sending an order.
 #[derive(Debug)]
 pub(crate) enum SendResult {
-    /// The engine took it.
+    /// The engine accepted the order.
     Accepted,
-    /// The engine has obeyed a greater fencing number.
+    /// The engine has already accepted a greater fencing number.
     FenceRefused(Option<Offset>),
-    /// Whether it arrived isn't known, or the engine refused it.
+    /// The engine refused the order, or it isn't known whether it arrived.
     Failed(String),
 }
 
 impl Control {
-    /// Keeps the leases, and gives the orders that are due under them.
+    /// Maintains the leases and sends the orders that are due under them.
     pub(super) fn run_orders(&mut self, now: Moment) {
         if since(now, self.orders.last_check) < CHECK_PERIOD {
             return;
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Gives up all leases, because this instance leaves.
+    /// Releases all leases, because this instance is leaving.
     pub(super) fn release_leases(&mut self, now: Moment) {
         let services: Vec<ServiceId> = self.orders.services.keys().copied().collect();
         for service in services {
@@ -146,7 +147,7 @@
             let wanted = engines.is_some_and(|service| service.kind == Kind::Engine);
             let candidate = wanted && !leaving && is_candidate(*service, view);
             ordered.holder.set_candidate(candidate);
-            // One that is not wanted any more is kept until it has released.
+            // A service that is no longer wanted stays until its lease is released.
             wanted || ordered.holder.held_since().is_some()
         });
     }
@@ -163,14 +164,14 @@
                 Next::Read { from, limit } => {
                     tokio::spawn(lease::read(self.io.clone(), service, from, limit));
                 }
-                // The next look comes soon enough.
+                // The next periodic check is soon enough.
                 Next::Wait(_) => break,
             }
         }
         ordered.update_fence(now, service);
     }
 
-    /// Takes the log's answer to a lease's call.
+    /// Applies the log's response to a lease's call.
     pub(super) fn apply_lease_call(&mut self, now: Moment, service: ServiceId, call: Call) {
         let Some(ordered) = self.orders.services.get_mut(&service) else {
             return;
@@ -179,7 +180,7 @@
         match call {
             Call::Appended(ticket, Ok(_)) => holder.appended(now, ticket),
             Call::Appended(ticket, Err(error)) => {
-                log::debug!(error:% = error; "lease not appended");
+                log::debug!(error:% = error; "could not append a lease record to the log");
                 let failure = if error.may_have_taken_effect() {
                     AppendFailure::Unknown
                 } else {
@@ -189,7 +190,7 @@
             }
             Call::Read(limit, Ok(page)) => holder.apply_page(now, &page_of(page, limit)),
             Call::Read(_, Err(error)) => {
-                log::debug!(error:% = error; "leases not read");
+                log::debug!(error:% = error; "could not read leases from the log");
                 holder.read_failed(now);
             }
         }
@@ -218,7 +219,7 @@
         let blocked: Vec<String> = plan.blocked.iter().map(ToString::to_string).collect();
         if blocked != ordered.logged_blocked {
             for reason in &blocked {
-                log::warn!(reason:% = reason; "wanted models can't be reached");
+                log::warn!(reason:% = reason; "can't load the models that the bundle wants");
             }
             ordered.logged_blocked = blocked;
         }
@@ -237,7 +238,7 @@
         }
     }
 
-    /// Takes what came of an order.
+    /// Applies the result of an order.
     pub(super) fn apply_order_result(
         &mut self,
         service: ServiceId,
@@ -247,12 +248,13 @@
     ) {
         match sent {
             SendResult::Accepted => return,
-            // The lease's records say who holds it; until this instance has
-            // read them its clock stops it.
+            // The lease's records say which instance holds it. Until this
+            // instance has read them, its clock bounds how long it sends
+            // orders.
             SendResult::FenceRefused(highest) => {
-                log::warn!(fence = fence, highest:? = highest; "an engine refused an order's fencing number");
+                log::warn!(fence = fence, highest:? = highest; "engine refused an order because of its fencing number");
             }
-            SendResult::Failed(reason) => log::warn!(reason:% = reason; "order not taken"),
+            SendResult::Failed(reason) => log::warn!(reason:% = reason; "order failed"),
         }
         if let Some(ordered) = self.orders.services.get_mut(&service)
             && ordered.fence == Some(fence)
@@ -263,33 +265,33 @@
 }
 
 impl ServiceOrders {
-    // Logs a lease that came or went.
+    // Updates the fencing number and logs if the lease was acquired or lost.
     fn update_fence(&mut self, now: Moment, service: ServiceId) {
         let fence = self.holder.may_order(now);
         if fence == self.fence {
             return;
         }
         match fence {
-            Some(fence) => log::info!(service = service, fence = fence; "lease held"),
-            None => log::info!(service = service; "lease given up"),
+            Some(fence) => log::info!(service = service, fence = fence; "lease acquired"),
+            None => log::info!(service = service; "lease no longer held"),
         }
         self.fence = fence;
     }
 }
 
-// Whether the local instance should hold a service's lease.
+// Returns whether the local instance should hold a service's lease.
 fn is_candidate(service: ServiceId, view: &view::View) -> bool {
     let instances = view.instances();
     let live = instances.filter(|instance| instance.standing == Standing::Live);
     hash::winner(service, live.map(|instance| instance.id)) == Some(view.local())
 }
 
-// What the planner has to know of the bundle: the service's models.
+// Returns the part of the bundle that the planner needs: the service's models.
 //
-// An endpoint that serves a model beyond its replicas keeps it, and is rolled
-// like the others. The failure that this guards against: routers place by the
-// platform's list, which lags; an engine freed of a model would be sent
-// requests for it for seconds, and refuse them.
+// Engines that serve a model beyond its number of replicas keep it and are
+// updated like the others. Routers place requests by the platform's list, which
+// lags; an engine that unloaded the model would get requests for it for seconds
+// and refuse them.
 fn wanted_models(service: ServiceId, policy: &Policy, views: &[View]) -> Policy {
     let models = policy.models.iter().filter(|(_, m)| m.service == service);
     let models = models.map(|(&id, model)| {
@@ -306,7 +308,8 @@
     }
 }
 
-// An engine is told names; one that the bundle dropped is known from reports.
+// Orders name models. The name of a model that the bundle dropped is taken from
+// the engine's report.
 fn order_body(order: &Order, policy: &Policy, reports: &Reports) -> Option<serde_json::Value> {
     let body = match &order.action {
         Action::Load { model, weights } => {
@@ -322,7 +325,7 @@
 }
 
 impl super::Io {
-    // Sends an order in a task of its own.
+    // Sends an order in its own task.
     fn spawn_order(
         &self,
         now: Moment,
@@ -334,7 +337,7 @@
         let Some(endpoint) = view.endpoint(order.endpoint).cloned() else {
             return;
         };
-        log::info!(endpoint:% = endpoint.name, order:% = body; "order");
+        log::info!(endpoint:% = endpoint.name, order:% = body; "sending an order to an engine");
         let (io, fence) = (self.clone(), order.fence);
         tokio::spawn(send::send_order(io, now, service, endpoint, fence, body));
     }
--- a/crates/router/src/control/orders/lease.rs
+++ b/crates/router/src/control/orders/lease.rs
@@ -1,6 +1,6 @@
 //! Calls to the log about leases.
 //!
-//! Only candidates read the stream, once per renewal and without waiting.
+//! Only candidates read the stream, once per renewal and without a long poll.
 
 use std::time::Duration;
 
@@ -11,15 +11,16 @@
 
 use super::super::{Event, Io};
 
-/// Records that are read rather than searched for; one page.
+/// Upper bound of records between the found offset and the stream's end; one
+/// page.
 const MAX_TAIL_RECORDS: Offset = 1000;
 
-/// The log's answer to a lease's call.
+/// The log's response to a lease's call.
 #[derive(Debug)]
 pub(crate) enum Call {
-    /// To an append, by its ticket.
+    /// Response to an append, with its ticket.
     Appended(u64, Result<Appended, append::Error>),
-    /// To a read of so many records.
+    /// Response to a read, with the limit on its records.
     Read(u32, Result<Page, log_read::Error>),
 }
 
@@ -35,9 +36,9 @@
     drop(io.events.send(event).await);
 }
 
-// A new candidate needs the end of the stream only: a lease renews itself
-// every few seconds, and the fold vouches for nothing before its first record.
-// A day of five services' leases is 86,400 records, some 10 MB.
+// A new candidate needs only the end of the stream: leases are renewed every few
+// seconds, and the fold relies on nothing before its first record. A day of
+// leases of five services is 86,400 records, some 10 MB.
 async fn read_page(log: &Client, from: Offset, limit: u32) -> Result<Page, log_read::Error> {
     if from > 0 {
         return read_at(log, from, limit).await;
@@ -45,14 +46,14 @@
     let first = read_at(log, 0, 1).await?;
     let start = find_tail(log, first.first).await?;
     let mut page = read_at(log, start, limit).await?;
-    // What was passed over counts as dropped, so that the fold trusts no
-    // lease that it can't have seen.
+    // Skipped records count as dropped, so that the fold does not rely on a
+    // lease whose records it has not read.
     page.first = page.first.max(start);
     Ok(page)
 }
 
-// Finds an offset less than a page before the stream's end: doubling steps
-// until the end is passed, then halving.
+// Finds an offset at most a page before the stream's end: doubles the step
+// until it is past the end, then bisects.
 async fn find_tail(log: &Client, first: Offset) -> Result<Offset, log_read::Error> {
     let (mut low, mut step) = (first, MAX_TAIL_RECORDS);
     while has_record_at(log, low + step).await? {
--- a/crates/router/src/control/orders/reports.rs
+++ b/crates/router/src/control/orders/reports.rs
@@ -1,9 +1,9 @@
-//! What engines report of their models, swept at a bounded rate.
+//! Reports of engines on their models, polled at a bounded rate.
 //!
-//! A holder plans for engines that others own. Weighed were reports through
-//! gossip, which every instance would pay for, and asking the owners; asking
-//! the engines themselves costs only the holder, and the platform's list
-//! stands in until an engine has answered.
+//! A lease's holder plans for engines that other instances own. Reports through
+//! gossip would cost every instance bytes, and polling the owners would cost
+//! them; polling the engines costs only the holder. The platform's list is used
+//! until an engine has responded.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -17,31 +17,33 @@
 
 use super::super::{Control, probe};
 
-/// Bytes a second that a holder spends on reports of engines that it doesn't
-/// own: a sixth of the letter's 6 KB. 3,300 engines at 600 bytes take 33
-/// minutes; loads start at 5 s apart, so the sweep isn't what a roll waits for.
+/// Bytes per second that a holder spends on reports of engines that it doesn't
+/// own: a sixth of the control budget of 6 KB. Polling 3,300 engines at 600
+/// bytes each takes 33 minutes. Loads start 5 s apart, so polling isn't what
+/// delays a rollout.
 const SWEEP_BYTES_PER_SECOND: u64 = 1_000;
 
-/// Bytes that may be spent at once after a quiet time: 13 reports.
+/// Bytes that may be spent at once after an idle time: 13 reports.
 const MAX_SWEEP_BURST_BYTES: u64 = 8_000;
 
-/// What one report is taken to cost until its size is known: heads, TCP/IP
-/// headers, and a body with a few models.
+/// Assumed size of a report until it is known: heads, TCP/IP headers, and a body
+/// with a few models.
 const ESTIMATED_REPORT_BYTES: u64 = 600;
 
-/// The least time between two reports of one engine. Ten engines asked every
-/// five seconds cost 1.2 KB/s, the rate above about.
+/// Minimum time between two reports of one engine. Polling ten engines every
+/// five seconds takes 1.2 KB/s, about [`SWEEP_BYTES_PER_SECOND`].
 const MIN_REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How soon an engine with an order is asked again.
+/// Minimum time between two reports of an engine that got an order.
 const MIN_INTERVAL_AFTER_ORDER: Duration = Duration::from_secs(1);
 
-/// How long an engine counts as it reported last while it doesn't answer.
+/// How long the last report of an engine that doesn't respond is used.
 ///
-/// Shorter, and a flapping engine's models would be loaded elsewhere.
+/// With a shorter time, the models of an engine that is briefly unreachable
+/// would be loaded elsewhere.
 const UNRESPONSIVE_GRACE: Duration = Duration::from_secs(30);
 
-/// The reports that this instance knows.
+/// The engine reports that this instance has, and its byte allowance.
 #[derive(Debug, Default)]
 pub(super) struct Reports {
     engines: BTreeMap<EndpointId, Engine>,
@@ -52,7 +54,7 @@
 #[derive(Debug, Default)]
 struct Engine {
     last_request: Option<Moment>,
-    // Since when it has not answered, if so.
+    // When the engine first failed to respond, if it has not responded since.
     unresponsive_since: Option<Moment>,
     expedited: bool,
     report: Option<Reported>,
@@ -61,12 +63,12 @@
 #[derive(Debug)]
 struct Reported {
     report: Report,
-    // As the engine names them.
+    // In the engine's spelling, each `name@weights`.
     models: Vec<String>,
 }
 
 impl Control {
-    /// Asks engines of the services whose leases are held.
+    /// Polls engines of the services whose leases are held.
     pub(super) fn sweep_reports(&mut self, now: Moment, view: &view::View) {
         let services = self.orders.services.iter();
         let held = services.filter(|(_, ordered)| ordered.holder.may_order(now).is_some());
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Takes a swept engine's report, or its silence.
+    /// Applies a polled engine's report, or records that it did not respond.
     pub(in crate::control) fn apply_sweep_report(
         &mut self,
         now: Moment,
@@ -97,7 +99,8 @@
             .record_report(id, response.report, models);
     }
 
-    /// Takes the models of an owned engine's report, which costs nothing more.
+    /// Records the models of an owned engine's report, which takes no extra
+    /// request.
     pub(in crate::control) fn record_owned_report(
         &mut self,
         now: Moment,
@@ -105,7 +108,7 @@
         report: Report,
         models: Vec<String>,
     ) {
-        // Only a holder needs them; the others would only keep them.
+        // Only a lease's holder uses them; others would only use up memory.
         if self.orders.reports.engines.contains_key(&id) {
             self.orders.reports.record_request(now, id);
             self.orders.reports.record_report(id, report, models);
@@ -114,8 +117,8 @@
 }
 
 impl Reports {
-    /// Returns the engines to ask now, those with orders and those never asked
-    /// first, and forgets the ones that are not `engines`.
+    /// Returns the engines to poll now, those with orders first and then those not
+    /// polled yet. Drops the state of engines not in `engines`.
     fn due<'e>(&mut self, now: Moment, engines: &[&'e Endpoint]) -> Vec<&'e Endpoint> {
         let refill = since(now, self.refilled).as_millis();
         let refill = u64::try_from(refill).unwrap_or(u64::MAX);
@@ -154,14 +157,14 @@
         due
     }
 
-    /// Has an engine asked soon: it got an order.
+    /// Shortens the time to an engine's next report, because it got an order.
     pub(super) fn expedite(&mut self, id: EndpointId) {
         if let Some(engine) = self.engines.get_mut(&id) {
             engine.expedited = true;
         }
     }
 
-    /// Returns the service's endpoints as the planner wants them.
+    /// Returns the service's endpoints in the form that the planner takes.
     pub(super) fn views(
         &self,
         now: Moment,
@@ -180,7 +183,7 @@
         let unresponsive = engine.and_then(|engine| engine.unresponsive_since);
         let unresponsive = unresponsive.is_some_and(|from| since(now, from) >= UNRESPONSIVE_GRACE);
         let report = engine.and_then(|engine| engine.report.as_ref());
-        // A former life's models are gone with it.
+        // Models of an earlier incarnation are no longer loaded.
         let report = report.filter(|r| r.report.incarnation >= endpoint.incarnation);
         let (reported_at, loaded) = match report {
             Some(reported) => (reported.report.taken, parse_models(&reported.models)),
@@ -199,7 +202,7 @@
         }
     }
 
-    /// Returns the name by which an engine reports a model.
+    /// Returns the name under which an engine reports a model.
     pub(super) fn model_name(&self, endpoint: EndpointId, model: ModelId) -> Option<&str> {
         let reported = self.engines.get(&endpoint)?.report.as_ref()?;
         let mut names = reported.models.iter().map(|model| split_model(model).0);
@@ -236,7 +239,7 @@
         engine.report = Some(Reported { report, models });
     }
 
-    // Takes off what a report cost beyond the estimate.
+    // Deducts a report's bytes beyond the estimate from the allowance.
     const fn charge(&mut self, bytes: u64) {
         self.allowance = self
             .allowance
@@ -244,9 +247,9 @@
     }
 }
 
-// The list names no weights that can be relied on: an engine that has not
-// answered yet is taken to have the wanted ones, so that nothing is loaded
-// anew on the list's word alone.
+// The list has no reliable information on weights. An engine that has not
+// responded yet is assumed to have the wanted ones, so that nothing is reloaded
+// because of the list alone.
 fn listed_models(endpoint: &Endpoint, policy: &Policy) -> BTreeMap<ModelId, String> {
     let models = endpoint.models.iter();
     models
@@ -254,7 +257,7 @@
         .collect()
 }
 
-// Reads a report's models, each `name@weights`.
+// Parses a report's models, each `name@weights`.
 fn parse_models(models: &[String]) -> BTreeMap<ModelId, String> {
     let parts = models.iter().map(|model| {
         let (name, weights) = split_model(model);
@@ -263,9 +266,9 @@
     parts.collect()
 }
 
-/// Splits a model from its weights.
+/// Splits a reported model into its name and its weights.
 ///
-/// A bare name has weights that nobody knows, which are never the wanted ones.
+/// A name alone has unknown weights, which never equal the wanted ones.
 pub(in crate::control) fn split_model(model: &str) -> (&str, &str) {
     model.split_once('@').unwrap_or((model, ""))
 }
--- a/crates/router/src/control/orders/send.rs
+++ b/crates/router/src/control/orders/send.rs
@@ -13,21 +13,21 @@
 use super::SendResult;
 use crate::body;
 
-/// The path of orders.
+/// Path for orders at an engine.
 const ORDERS_PATH: &str = "/v1/orders";
 
-/// How long an engine may take to answer. With [`MAX_SEND_DELAY`] it stays within the
-/// margin that a lease's holder keeps, three seconds.
+/// Timeout of an engine's response. Together with [`MAX_SEND_DELAY`] it is within
+/// the safety margin of a lease's holder, three seconds.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long after the look at the lease an order may leave.
+/// Maximum time between checking the lease and sending an order.
 ///
-/// The failure: the process is paused between the look and the sending, the
-/// lease ends, and an engine that ignores fencing numbers obeys the order of
-/// a holder that is none any more.
+/// Without it, a process that is paused between the two could send an order
+/// after its lease has ended, and an engine that ignores fencing numbers would
+/// obey it.
 const MAX_SEND_DELAY: Duration = Duration::from_millis(500);
 
-/// Bytes of an answer that are read.
+/// Limit on the size of a response.
 const MAX_RESPONSE_BYTES: usize = 4 << 10;
 
 #[derive(Deserialize)]
@@ -35,7 +35,7 @@
     fence: Option<Offset>,
 }
 
-/// Sends an order that the lease allowed at `allowed`.
+/// Sends an order; `allowed` is when the lease was checked.
 pub(super) async fn send_order(
     io: Io,
     allowed: Moment,
@@ -45,7 +45,9 @@
     body: serde_json::Value,
 ) {
     let sent = if since(io.now(), allowed) > MAX_SEND_DELAY {
-        SendResult::Failed("this instance was paused; the order is planned anew".to_owned())
+        SendResult::Failed(
+            "this instance was paused before sending; the order will be planned again".to_owned(),
+        )
     } else {
         post(&io, &endpoint, &body).await
     };
@@ -75,7 +77,9 @@
             let conflict = serde_json::from_slice::<Conflict>(&bytes);
             SendResult::FenceRefused(conflict.ok().and_then(|conflict| conflict.fence))
         }
-        Ok(response) => SendResult::Failed(format!("the engine answered {}", response.status())),
+        Ok(response) => {
+            SendResult::Failed(format!("the engine responded with {}", response.status()))
+        }
         Err(error) => SendResult::Failed(error.to_string()),
     }
 }
--- a/crates/router/src/control/probe.rs
+++ b/crates/router/src/control/probe.rs
@@ -1,4 +1,4 @@
-//! Asks the list and the owned endpoints how they are.
+//! Polls the platform's list and the owned endpoints.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,51 +16,52 @@
 use super::{Control, Event, Io};
 use crate::body;
 
-/// How long the list holds a call while nothing in it changes.
+/// Long poll time of the list: how long it holds a call without changes.
 const LIST_POLL_TIME: Duration = Duration::from_secs(5);
 
-/// The pause after a call that failed, and between calls to a list that knows
-/// no revisions and so answers at once.
+/// Pause after a failed call, and between calls to a list without revisions,
+/// which responds at once.
 const LIST_RETRY_PAUSE: Duration = Duration::from_secs(1);
 
-/// Bytes a second that cache events of all owned engines may cost.
+/// Bytes per second for cache events of all owned engines.
 const CACHE_EVENT_BYTES_PER_SECOND: usize = 1_000;
 
 /// Period of checks for probes that are due.
 const CHECK_PERIOD: Duration = Duration::from_millis(500);
 
-/// The least time between two reports of one owned endpoint.
+/// Minimum time between two reports of an owned endpoint.
 const MIN_REPORT_PERIOD: Duration = Duration::from_secs(2);
 
-/// The longest time between two reports, whatever the number of endpoints.
-/// Beyond the connector's four seconds for an idle connection each report
-/// would open a new one, which costs more bytes than it saves.
+/// Maximum time between two reports, whatever the number of endpoints. The
+/// connector closes connections that are idle for four seconds, so with a longer
+/// time each report would open a new one, which costs more bytes than it saves.
 const MAX_REPORT_PERIOD: Duration = Duration::from_millis(3500);
 
-/// Bytes a second that reports of all owned endpoints may cost. With a fixed
-/// two seconds the ten endpoints of the letter's size cost 3.5 KB.
+/// Bytes per second for reports of all owned endpoints. With a fixed period of
+/// two seconds, the ten endpoints that an instance of a full-size fleet owns
+/// would take 3.5 KB.
 const REPORT_BYTES_PER_SECOND: usize = 2_000;
 
-/// Bytes of one report on the wire with all headers, as measured there.
+/// Size of one report on the wire, with all headers.
 const ESTIMATED_REPORT_BYTES: usize = 700;
 
-/// How long an endpoint may take to answer a probe.
+/// Timeout of a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Bytes of a probe's answer that are read.
+/// Limit on the size of a response to a probe.
 const MAX_PROBE_RESPONSE_BYTES: usize = 256 << 10;
 
-/// When each owned endpoint was last asked, and how far its events were read.
+/// Times of the last probes of owned endpoints, and offsets of their cache events.
 #[derive(Debug, Default)]
 pub(super) struct Probes {
     last_check: Moment,
     last_probe: BTreeMap<EndpointId, Moment>,
-    // When an engine's cache events are next asked for.
+    // When to request an engine's next cache events.
     cache_events_due: BTreeMap<EndpointId, Moment>,
     cache_positions: BTreeMap<EndpointId, (Incarnation, Offset)>,
 }
 
-/// An engine's cache events from an offset on.
+/// An engine's cache events, starting at an offset.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct CachePage {
     next: Offset,
@@ -92,18 +93,18 @@
     models: Option<Vec<String>>,
 }
 
-/// What an endpoint answered when asked for its report.
+/// An endpoint's response to a request for its report.
 #[derive(Clone, Debug)]
 pub(crate) struct ReportResponse {
     /// The report.
     pub(super) report: Report,
-    /// The models that it names, each `name@weights`; plain services name none.
+    /// The models that it lists, each `name@weights`; plain services list none.
     pub(super) models: Option<Vec<String>>,
-    /// The answer's size on the wire, about.
+    /// The approximate size of the response on the wire.
     pub(super) bytes: usize,
 }
 
-/// Follows the list for ever.
+/// Follows the platform's list until the control thread ends.
 pub(super) async fn follow_list(io: Io, client: list::Client) {
     let mut watch = Watch::new(client);
     loop {
@@ -115,7 +116,7 @@
                     return;
                 }
             }
-            Err(error) => log::debug!(error:% = error; "instance list not read"),
+            Err(error) => log::debug!(error:% = error; "could not read the instance list"),
         }
         if pause {
             io.timer.until(io.now() + LIST_RETRY_PAUSE).await;
@@ -124,7 +125,7 @@
 }
 
 impl Control {
-    /// Asks the owned endpoints that are due.
+    /// Probes the owned endpoints that are due.
     pub(super) fn probe_endpoints(&mut self, now: Moment) {
         if since(now, self.probes.last_check) < CHECK_PERIOD {
             return;
@@ -178,8 +179,8 @@
             .with(|owner| owner.apply_report(endpoint, report));
     }
 
-    /// Takes in cache events, for each model that the engine has: they name a
-    /// prefix and no model, and a chat stays with one model.
+    /// Applies cache events to each model that the engine has: they name a prefix
+    /// but no model, and a chat stays with one model.
     pub(super) fn apply_cache_events(&mut self, id: EndpointId, page: &CachePage, bytes: usize) {
         let Some(endpoint) = self.endpoints.get(id) else {
             return;
@@ -206,7 +207,7 @@
 }
 
 impl Probes {
-    // A new incarnation counts its events from the start.
+    // A new incarnation numbers its events from 0.
     fn next_event_offset(&self, endpoint: &Endpoint) -> Option<Offset> {
         if endpoint.models.is_empty() {
             return None;
@@ -217,8 +218,8 @@
         }
     }
 
-    // A page after a gap is taken as it is: what the lost events would have
-    // said shows in the order of the evictions that did arrive.
+    // A page after a gap is applied as it is: what the lost events contained can
+    // be inferred from the order of the evictions that did arrive.
     fn record_position(&mut self, endpoint: &Endpoint, page: &CachePage) {
         let before = self.next_event_offset(endpoint).unwrap_or(0);
         let place = (endpoint.incarnation, page.next.max(before));
@@ -259,7 +260,7 @@
     }
 }
 
-/// Asks an endpoint that another instance owns for its report.
+/// Fetches the report of an endpoint that another instance owns.
 pub(super) async fn fetch_sweep_report(io: Io, endpoint: Endpoint) {
     let response = fetch_report(&io, &endpoint).await;
     drop(
@@ -285,11 +286,11 @@
     })
 }
 
-/// Bytes of a probe beside its answer's body: two HTTP heads of about 120, and
+/// Bytes of a probe besides its response body: two HTTP heads of about 120, and
 /// TCP/IP headers with the acknowledgements.
 const PROBE_OVERHEAD_BYTES: usize = 400;
 
-// Returns how long `bytes` last at a rate.
+// Returns how long sending `bytes` takes at `rate` bytes per second.
 fn duration_at_rate(bytes: usize, rate: usize) -> Duration {
     Duration::from_millis((bytes * 1000 / rate) as u64)
 }
@@ -312,7 +313,7 @@
     let size = PROBE_OVERHEAD_BYTES + path.len() + bytes.len();
     serde_json::from_slice::<T>(&bytes)
         .inspect_err(|error| {
-            log::debug!(endpoint:% = endpoint.name, error:% = error; "probe can't be read");
+            log::debug!(endpoint:% = endpoint.name, error:% = error; "can't decode an endpoint's response to a probe");
         })
         .ok()
         .map(|value| (value, size))
--- a/crates/router/src/control/publish.rs
+++ b/crates/router/src/control/publish.rs
@@ -1,4 +1,4 @@
-//! Publishes a new picture when something in it changed, and only then.
+//! Publishes a new snapshot whenever something in it has changed.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use super::Control;
 use crate::shared::{Bundle, Snapshot};
 
-/// What was published last.
+/// The last published state.
 pub(super) struct Published {
     own: Instance,
     instances: Vec<Instance>,
@@ -68,7 +68,7 @@
         self.published.version = version;
     }
 
-    // The version to serve under: none while the stream is still being read.
+    // The version to serve under; 0 while the stream is still being read.
     fn serving_version(&self) -> Version {
         if self.ready.get() {
             self.fold.version()
@@ -77,8 +77,8 @@
         }
     }
 
-    // The own instance stays in its view while it leaves, so that the view
-    // knows its region; a leaving instance owns nothing.
+    // The local instance stays in its own view while it leaves, so that the view
+    // knows its region. A leaving instance owns no endpoints.
     fn instances(&self) -> Vec<Instance> {
         let mut instances: Vec<Instance> = self.roster.instances().cloned().collect();
         if !instances.iter().any(|i| i.id == self.published.own.id) {
--- a/crates/router/src/control/renew.rs
+++ b/crates/router/src/control/renew.rs
@@ -1,4 +1,4 @@
-//! Appends the bundle in force again before the log drops its record.
+//! Appends the current bundle again before the log drops its records.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use super::{Control, Event};
 
 impl Control {
-    /// Appends a checkpoint if one is due and this instance's turn.
+    /// Appends a checkpoint if one is due and it is this instance's turn.
     pub(super) fn renew_bundle(&mut self, now: Moment) {
         if self.renewal_running || renew::decide(&self.renewal_view(now)) != Next::Append {
             return;
@@ -26,10 +26,10 @@
         tokio::spawn(async move {
             for record in records {
                 let Ok(bytes) = record.encode() else { break };
-                // A part that may be missing leaves the checkpoint incomplete;
-                // another try follows when no whole one shows.
+                // If a record may be missing, the checkpoint is incomplete. It
+                // is tried again unless a complete one appears.
                 if let Err(error) = io.log.append(STREAM, Bytes::from(bytes)).await {
-                    log::warn!(error:% = error; "bundle not renewed");
+                    log::warn!(error:% = error; "could not append a bundle checkpoint");
                     break;
                 }
             }
--- a/crates/router/src/handover.rs
+++ b/crates/router/src/handover.rs
@@ -1,9 +1,10 @@
-//! Tells other owners where chats have their context.
+//! Sends other owners the locations of chats' cached contexts.
 //!
-//! Homes move when the list of instances changes, and all of an instance's
-//! when it leaves; and a chat that was placed away from its home is told to
-//! the home's owner. A peer that can't be reached goes without: the chats it
-//! owns start cold there, which costs a prefill and no answer.
+//! The owners of chats change with the list of instances, and for all chats of
+//! an instance when it leaves. If a chat was placed away from its home, the
+//! owner of the home is informed too. Locations for a peer that can't be reached
+//! are dropped: the chats that it owns start without their context there, which
+//! costs a prefill but no response.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,17 +18,17 @@
 use crate::relay::peer;
 use crate::shared::Shared;
 
-/// The path that chat locations are taken on.
+/// Path for chat locations.
 pub(crate) const PATH: &str = "/peer/v1/handover";
 
-/// How long a peer may take to accept one message of locations.
+/// Timeout of one message of locations.
 const SEND_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Returns some of the chats that belong to other owners now; `None` if there
-/// are none left.
+/// Returns the next batch of chats that now belong to other owners; `None` if
+/// none are left.
 ///
-/// The owner bounds how many, so that a change of the list costs each instance
-/// a trickle and no burst.
+/// The owner bounds the batch, so that a change of the list does not cause a
+/// burst of traffic at each instance.
 pub(crate) fn next_batch(shared: &Shared) -> Option<Vec<(InstanceId, Location)>> {
     shared.owner.with(Owner::next_handover_batch)
 }
@@ -43,14 +44,14 @@
     }
 }
 
-/// Hands over all, as on a graceful stop.
+/// Sends all locations, as part of a graceful shutdown.
 pub(crate) async fn send_all(shared: &Shared) {
     while let Some(due) = next_batch(shared) {
         send_batch(shared, due).await;
     }
 }
 
-/// Tells an owner where chats have their context.
+/// Sends an owner the locations of chats.
 pub(crate) async fn send_locations(shared: &Shared, owner: InstanceId, locations: &[Location]) {
     let snapshot = shared.snapshot();
     let instance = snapshot.view.instance(owner);
@@ -63,6 +64,6 @@
         .control_connector
         .send(instance.peer_address, request, SEND_TIMEOUT);
     if let Err(error) = sent.await {
-        log::warn!(instance:% = instance.name, error:% = error; "chats not handed over");
+        log::warn!(instance:% = instance.name, error:% = error; "could not hand over chat locations");
     }
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,8 +1,9 @@
-//! The router: callers on one side, endpoints on the other, peers beside.
+//! The router: relays requests from callers to endpoints, with other instances
+//! as peers.
 //!
-//! [`start`] runs one; `docs/ARCHITECTURE.md` says where a request goes, file
-//! by file. Decisions are taken by `godwitpost-decide` and `godwitpost-state`;
-//! what is here carries bytes and time to them and does what they say.
+//! [`start`] runs one; `docs/ARCHITECTURE.md` describes the path of a request
+//! through the files. `godwitpost-decide` and `godwitpost-state` hold the logic;
+//! this crate passes them bytes and time and carries out their decisions.
 
 mod body;
 mod claims;
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -46,7 +46,7 @@
 
 fn run(settings: Settings) -> u8 {
     if let Err(error) = logging::start(settings.log_level) {
-        eprintln!("no log: {error}");
+        eprintln!("can't start logging: {error}");
     }
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -59,7 +59,7 @@
 }
 
 async fn until_signal(settings: Settings) -> std::io::Result<u8> {
-    // Before anything listens, so that no signal is lost.
+    // Registered before anything listens, so that no signal is lost.
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let running = start(settings).map_err(std::io::Error::other)?;
@@ -83,7 +83,7 @@
     Ok(match stopped {
         ShutdownResult::Whole => EXIT_DONE,
         ShutdownResult::Cut { requests } => {
-            log::warn!(requests = requests; "requests in flight were cut");
+            log::warn!(requests = requests; "shutdown aborted requests in flight");
             if hurried {
                 EXIT_ABORTED
             } else {
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -1,4 +1,4 @@
-//! What the router's three ports answer: callers, peers and operators.
+//! Request handlers of the router's three ports: callers, peers and operators.
 
 pub(crate) mod callers;
 pub(crate) mod operators;
@@ -8,14 +8,14 @@
 
 use godwitpost_process::serve::Limits;
 
-/// How long a connection may take to send its next head.
+/// Timeout of reading a request's head.
 ///
-/// hyper counts the time that a connection is idle, too. Balancers keep idle
-/// connections for up to a minute; one that is closed under them just as they
-/// send an order leaves its fate unknown, so this is longer.
+/// hyper includes the time that a connection is idle. Balancers keep idle
+/// connections for up to a minute. If the router closed one just as a balancer
+/// sends an order on it, the order's outcome would be unknown; so this is longer.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(75);
 
-/// Returns the limits of a port whose heads have at most `head_bytes`.
+/// Returns the limits of a port that accepts heads of up to `head_bytes`.
 pub(crate) const fn limits(head_bytes: usize) -> Limits {
     Limits {
         head_within: None,
--- a/crates/router/src/serve/callers.rs
+++ b/crates/router/src/serve/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' port: checks what comes in and sees it answered.
+//! The callers' port: validates requests and responds to them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,10 +24,10 @@
 use crate::shared::{Bundle, InFlight, Shared};
 use godwitpost_process::metrics::{Labels, Metrics};
 
-/// How long a caller may take to send a body.
+/// Timeout of reading a request's body.
 const BODY_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Answers one request.
+/// Handles one request.
 pub(crate) async fn answer(shared: Arc<Shared>, request: Request<Incoming>) -> Response<Body> {
     let version = request.version();
     let mut response = match request.uri().path() {
@@ -35,7 +35,8 @@
         "/readyz" => readiness(&shared),
         _ => handle_request(&shared, request).await,
     };
-    // The balancer's list lags; connections that stay open would bring more.
+    // The balancer's list lags, so it would send more requests on connections
+    // that stay open.
     if shared.is_leaving() && version < Version::HTTP_2 {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
@@ -118,7 +119,8 @@
     Ok((response, permit))
 }
 
-// An endpoint that failed may have done half of it or nothing.
+// After a server error, the endpoint may have run the request in part or not at
+// all.
 fn outcome_of(status: StatusCode) -> Outcome {
     if status.is_server_error() {
         Outcome::Unknown
@@ -127,7 +129,7 @@
     }
 }
 
-/// Keeps the counts of a request until its answer's last byte.
+/// Counts a request as in flight until the last byte of its response.
 fn track_response(
     shared: &Arc<Shared>,
     response: Response<Body>,
@@ -177,7 +179,7 @@
 }
 
 fn head_bytes(headers: &HeaderMap) -> usize {
-    // A colon, a space and a line end for each.
+    // A colon, a space and a line end per header.
     const FRAMING: usize = 4;
     headers
         .iter()
@@ -193,7 +195,7 @@
     let limit = shared.settings.limits.body_bytes;
     let length = parts.headers.get(CONTENT_LENGTH);
     let length: Option<usize> = length.and_then(|value| value.to_str().ok()?.parse().ok());
-    // Said beforehand, it need not be read first.
+    // A declared length above the limit is refused without reading the body.
     if length.is_some_and(|length| length > limit) {
         return Err(body_problem(&body::Error::TooLarge(limit)));
     }
@@ -234,7 +236,7 @@
     .with_retry_after(Duration::from_secs(2))
 }
 
-/// A workspace's leave to have one more request; given back when dropped.
+/// A workspace's admission of one request; released on drop.
 #[derive(Debug)]
 struct Permit {
     shared: Arc<Shared>,
--- a/crates/router/src/serve/operators.rs
+++ b/crates/router/src/serve/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' port: metrics, and what this instance knows.
+//! The operators' port: metrics and the state of this instance.
 
 use std::net::SocketAddr;
 
@@ -39,7 +39,7 @@
     at_ms: u64,
 }
 
-/// Answers one request of an operator.
+/// Handles an operator's request.
 pub(crate) fn answer(shared: &Shared, request: &Request<Incoming>) -> Response<Body> {
     if request.method() != Method::GET {
         return plain(
--- a/crates/router/src/serve/peers.rs
+++ b/crates/router/src/serve/peers.rs
@@ -1,4 +1,4 @@
-//! The peers' port: only sealed messages of the fleet's instances count.
+//! The peers' port: accepts only messages sealed by the fleet's instances.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,13 +26,14 @@
 use crate::relay::{AttemptResult, Job, owner, peer};
 use crate::shared::Shared;
 
-/// Bytes of a message beside the caller's body: its head in the frame.
+/// Limit on the size of a message besides the caller's body: its head in the
+/// frame.
 const MAX_FRAME_HEAD_BYTES: usize = 256 << 10;
 
-/// How long a peer may take to send its message.
+/// Timeout of reading a peer's message.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Answers one message.
+/// Handles one message.
 pub(crate) async fn answer(shared: Arc<Shared>, request: Request<Incoming>) -> Response<Body> {
     let (parts, incoming) = request.into_parts();
     let limit = shared.settings.limits.body_bytes + MAX_FRAME_HEAD_BYTES;
@@ -49,7 +50,7 @@
     response
 }
 
-// Strangers are refused and counted, and learn nothing but that.
+// A message without a valid seal is counted and refused without details.
 #[expect(clippy::result_large_err, reason = "the refusal is the answer itself")]
 fn authenticate(shared: &Shared, parts: &Parts, bytes: &Bytes) -> Result<(), Response<Body>> {
     let path = parts
@@ -119,7 +120,7 @@
     if let Ok(load) = HeaderValue::from_str(&dispatch::load_text(&summary)) {
         headers.insert(header::LOAD, load);
     }
-    // A stream that is relayed here is in flight here until its end.
+    // A stream that this instance relays is in flight until it ends.
     response.map(|body| {
         Relay::new(body, EndDetection::Framed, move |_end| drop(in_flight)).boxed_unsync()
     })
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -1,9 +1,9 @@
-//! What one router is told at its start, in YAML.
+//! Settings of one router, read from YAML at its start.
 //!
-//! Settings say where a router is and whom it talks to. What it does with
-//! requests is the bundle's to say. The file is checked as a whole before
-//! anything starts: each mistake is reported with its line, key and remedy,
-//! and a [`Settings`] can't be invalid.
+//! Settings define where a router is and which addresses it uses; the bundle
+//! defines how requests are handled. The whole file is checked before anything
+//! starts: each mistake is reported with its line, key and remedy, and a
+//! [`Settings`] is always valid.
 
 use std::fmt::{self, Write as _};
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
 pub struct Settings {
     /// The instance's name, as on the platform's list.
     pub name: String,
-    /// This life of the instance; by default its start in milliseconds.
+    /// The incarnation of the instance; by default its start time in milliseconds.
     pub incarnation: Incarnation,
     /// The name of its availability zone.
     pub zone: String,
@@ -43,18 +43,18 @@
     pub platform: Platform,
     /// Public keys that may sign the fleet's first bundle.
     pub root_keys: Vec<[u8; PUBLIC_KEY_BYTES]>,
-    /// The key that instances of the fleet know each other by.
+    /// The key with which instances of the fleet authenticate each other.
     pub fleet_key: auth::Key,
-    /// Bounds on what callers may send.
+    /// Limits on callers' requests.
     pub limits: Limits,
-    /// How long the balancer may go on sending callers to an instance whose
-    /// `/readyz` fails.
+    /// How long the balancer may keep sending requests to an instance after its
+    /// `/readyz` starts to fail.
     pub balancer_lag: Duration,
-    /// How long a graceful shutdown may take in all.
+    /// Maximum duration of a graceful shutdown.
     pub drain: Duration,
-    /// How much is logged.
+    /// The most verbose level that is logged.
     pub log_level: LevelFilter,
-    /// Threads that carry traffic, beside the one of control state.
+    /// Number of traffic threads, besides the control thread.
     pub threads: usize,
 }
 
@@ -78,32 +78,32 @@
     pub list: SocketAddr,
     /// The weight store.
     pub weights: Option<SocketAddr>,
-    /// How long the log keeps records; the bundle is renewed well before.
+    /// How long the log retains records; the bundle is renewed well before.
     pub retention: Duration,
 }
 
-/// Bounds on what callers may send.
+/// Limits on callers' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub head_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Requests in flight on this instance.
+    /// Maximum number of requests in flight on this instance.
     pub streams: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            // Stock clients send heads of a few hundred bytes; 16 KiB leaves
-            // room for proxies' additions and bounds memory at 10,000 idle
-            // connections to 160 MB.
+            // Common clients send heads of a few hundred bytes; 16 KiB leaves
+            // room for headers that proxies add, and bounds the memory of
+            // 10,000 idle connections to 160 MB.
             head_bytes: 16 << 10,
             // A prompt of 250,000 tokens is about a megabyte of JSON.
             body_bytes: 4 << 20,
-            // 17,000 requests a second over 320 instances, each open for up
-            // to 20 s, are about 1,100; this leaves four times that.
+            // 17,000 requests per second over 320 instances, each open for up
+            // to 20 s, are about 1,100 per instance; this is four times that.
             streams: 4096,
         }
     }
@@ -114,8 +114,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the file can't be read or has mistakes; of these it
-    /// names all.
+    /// Returns an error if the file can't be read, or one that names all mistakes
+    /// in it.
     pub fn load(path: &std::path::Path) -> Result<Self, Error> {
         Self::parse(&settings::load(path)?)
     }
--- a/crates/router/src/settings/read.rs
+++ b/crates/router/src/settings/read.rs
@@ -1,4 +1,4 @@
-//! Reads each key of a settings file into its checked value.
+//! Parses and validates each key of a settings file.
 
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -12,22 +12,22 @@
 use super::{Limits, Listen, PUBLIC_KEY_BYTES, Platform, Settings};
 use godwitpost_process::settings::low::{Level, Mistake, duration};
 
-/// The log's retention unless the settings say otherwise: the shortest that
-/// still leaves its outages of half an hour room.
+/// Default retention of the log: the shortest that still allows for outages of
+/// half an hour.
 const DEFAULT_RETENTION: Duration = Duration::from_hours(1);
 
-/// The balancer's lag unless the settings say otherwise: a probe every few
-/// seconds that has to fail twice.
+/// Default lag of the balancer: it probes every few seconds, and a probe has to
+/// fail twice.
 const DEFAULT_BALANCER_LAG: Duration = Duration::from_secs(5);
 
-/// Waits at a graceful shutdown unless the settings say otherwise: longer
-/// than the longest deadline of the example bundles, 60 s.
+/// Default limit on a graceful shutdown: longer than the longest deadline of the
+/// example bundles, 60 s.
 const DEFAULT_DRAIN_LIMIT: Duration = Duration::from_secs(90);
 
-/// Traffic threads unless the settings say otherwise; instances are small.
+/// Default number of traffic threads; instances are small.
 const DEFAULT_THREADS: usize = 2;
 
-/// The keys of each level, in the order that `--print-settings` gives them.
+/// The keys at the top level, in the order of `--print-settings`.
 const TOP_KEYS: [&str; 15] = [
     "name",
     "incarnation",
@@ -158,7 +158,8 @@
         Ok(text) => match auth::Key::parse(&text) {
             Some(key) => return Some(key),
             None => {
-                mistakes.push(file.mistake(&format!("names a file that wants {FLEET_KEY_FORMAT}")));
+                mistakes
+                    .push(file.mistake(&format!("names a file that must hold {FLEET_KEY_FORMAT}")));
             }
         },
     }
@@ -167,8 +168,8 @@
 
 fn read_limits(mut level: Level, mistakes: &mut Vec<Mistake>) -> Limits {
     let mut limits = Limits::default();
-    // Below 8 KiB hyper refuses to set its buffer; above 1 MiB a few hundred
-    // connections would fill a small instance.
+    // hyper refuses a buffer below 8 KiB; above 1 MiB a few hundred connections
+    // would use up the memory of a small instance.
     let head = "bytes from 8192 to 1048576";
     let read_head = |t: &str| t.parse().ok().filter(|n| (8192..=1 << 20).contains(n));
     if let Some(read) = level.optional("head_bytes", head, read_head, mistakes) {
--- a/crates/router/src/settings/tests.rs
+++ b/crates/router/src/settings/tests.rs
@@ -41,10 +41,10 @@
     assert_eq!(settings.limits, super::Limits::default());
 }
 
-// An operator mends one line, starts again, and meets the next mistake, while
-// the instance stays out of the fleet. All are told at once instead.
+// With one mistake reported at a time, an operator would have to restart the
+// instance once for each, and it would stay out of the fleet meanwhile.
 #[test]
-fn all_mistakes_come_at_once_with_line_key_and_remedy() {
+fn all_mistakes_are_reported_with_line_key_and_remedy() {
     let text = text()
         .replace("name: otaru-1", "name: otaru 1")
         .replace("127.0.0.1:8081", "8081")
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn one_port_for_two_is_a_mistake() {
+fn shared_port_is_a_mistake() {
     let text = text().replace("127.0.0.1:8081", "127.0.0.1:8080");
     assert_eq!(
         mistakes(&text),
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_key_given_twice_is_refused() {
+fn duplicate_key_is_refused() {
     let text = format!("{}zone: kushiro\n", text());
     assert!(matches!(Settings::parse(&text), Err(Error::Yaml(_))));
 }
@@ -91,9 +91,9 @@
     assert!(!format!("{settings:?}").contains("255, 254"));
 }
 
-// A mistake in the key's own line must not put the key into the log.
+// A mistake in the key's line must not put the key into the log.
 #[test]
-fn a_mistyped_secret_is_not_in_the_message() {
+fn mistyped_secret_is_not_in_the_message() {
     let text = text().replace(&format!("fleet_key: {KEY}"), "fleet_key: hush-hush");
     assert!(!mistakes(&text).join("").contains("hush"));
     let text = format!("{text}\t: [");
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn what_is_printed_parses_to_the_same_settings() {
+fn printed_settings_parse_to_the_same_settings() {
     let settings = Settings::parse(&text()).unwrap();
     let printed = settings.print().replace("hidden", KEY);
     assert_eq!(Settings::parse(&printed).unwrap(), settings);
--- a/crates/router/src/shutdown.rs
+++ b/crates/router/src/shutdown.rs
@@ -1,6 +1,7 @@
-//! A graceful shutdown: nothing in flight is cut, and owned chats move on.
+//! Graceful shutdown: requests in flight are finished, and owned chats are
+//! handed over.
 //!
-//! `godwitpost_state::drain` says what to do when; this carries it out.
+//! `godwitpost_state::drain` decides the steps; this module carries them out.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,22 +13,22 @@
 use crate::handover;
 use crate::shared::Shared;
 
-/// How often the shutdown looks at what is in flight.
+/// Period of checks for requests in flight.
 const POLL_PERIOD: Duration = Duration::from_millis(20);
 
 /// How a graceful shutdown ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownResult {
-    /// Nothing was in flight any more.
+    /// All requests in flight were finished.
     Whole,
-    /// The limit passed, or a second signal came, with requests in flight.
+    /// The limit passed or a second signal arrived with requests in flight.
     Cut {
-        /// How many were cut.
+        /// How many requests were cut off.
         requests: usize,
     },
 }
 
-/// Shuts down; `hurry` turns true when a second signal comes.
+/// Shuts down; `hurry` becomes true when a second signal arrives.
 pub(crate) async fn run(
     shared: Arc<Shared>,
     closing: watch::Sender<bool>,
@@ -36,7 +37,7 @@
     let mut drain = Drain::new(Limits {
         balancer_lag: shared.settings.balancer_lag,
         hard_limit: shared.settings.drain,
-        // A second signal is an operator who can't wait.
+        // A second signal ends the shutdown at once.
         second_signal_limit: Duration::ZERO,
     });
     drain.handle_signal(shared.now());
--- a/crates/router/tests/binary.rs
+++ b/crates/router/tests/binary.rs
@@ -1,4 +1,4 @@
-//! The binary: exit codes, secrets, and the end by a signal.
+//! The binary: exit codes, hidden secrets, and shutdown on a signal.
 
 use std::io::{BufRead as _, BufReader};
 use std::path::PathBuf;
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn check_tells_every_mistake_and_starts_nothing() {
+fn check_reports_every_mistake_and_starts_nothing() {
     let good = settings("good.yaml", |text| text);
     let output = router(&["--check"], &good).output().unwrap();
     assert_eq!(text(&output), (Some(0), String::new()));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_port_that_is_taken_is_told_with_exit_code_1() {
+fn port_in_use_is_reported_with_exit_code_1() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = taken.local_addr().unwrap().to_string();
     let path = settings("taken.yaml", |text| {
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_signal_ends_it_gracefully_with_exit_code_0() {
+fn signal_causes_a_graceful_shutdown_with_exit_code_0() {
     let path = settings("signal.yaml", |text| text);
     let mut child = router(&[], &path).stdout(Stdio::piped()).spawn().unwrap();
     wait_for("listening callers=127.0.0.1:", &mut child);
@@ -93,5 +93,5 @@
         .lines()
         .map_while(Result::ok)
         .any(|l| l.contains(said));
-    assert!(found, "the router ended before it said {said:?}");
+    assert!(found, "the router exited before it logged {said:?}");
 }
--- a/crates/router/tests/router/engine_orders.rs
+++ b/crates/router/tests/router/engine_orders.rs
@@ -17,7 +17,7 @@
     plains: 0,
 };
 
-/// Far above a lease's term, a successor's wait and three loads, 45 s in all.
+/// Far above a lease's duration, a successor's wait and three loads, 45 s in all.
 const MAX_LEASE_WAIT: Duration = Duration::from_mins(3);
 
 /// Returns the router that holds the lease, with its fencing number.
@@ -40,8 +40,8 @@
     wanted().unwrap()
 }
 
-// The first lease may go to a router whose view was not whole yet, and be given
-// up at once. One that is renewed is known to its holder, and stays.
+// The first lease may go to a router whose view is not complete yet, which
+// releases it at once. A lease that was renewed is known to its holder and stays.
 async fn wait_for_renewal(fleet: &Fleet) -> (u64, Offset) {
     let renewed = || {
         let (holder, fence) = holder(fleet)?;
@@ -74,7 +74,7 @@
     engines.flat_map(engine::Running::orders).collect()
 }
 
-/// Sends an order as a holder of the past would; returns the status.
+/// Sends an order as a former holder would and returns the status.
 async fn send_stale_order(fleet: &Fleet, engine: usize, fence: Offset, weights: &str) -> u16 {
     let order = serde_json::json!({
         "fence": fence,
@@ -96,11 +96,10 @@
     assert_eq!((status.as_u16(), outcome(&headers)), (200, "ran"), "{text}");
 }
 
-// An operator raises a model's weights at noon. Every engine has to come to
-// the new ones, each pulled once from the store, and editors who draft all
-// the while must not get one refusal.
+// An operator changes a model's weights. Every engine must load the new ones,
+// pulling them once from the store, and no request may fail meanwhile.
 #[tokio::test(flavor = "multi_thread")]
-async fn new_weights_reach_every_engine_and_no_request_fails_meanwhile() {
+async fn new_weights_reach_every_engine_without_failed_requests() {
     let fleet = Fleet::start(SIZE).await;
     fleet.roll_weights("8");
     let mut drafts = 0;
@@ -123,20 +122,20 @@
     assert_eq!(fleet.store.pulls(), ["writer/8"; SIZE.engines]);
 }
 
-// The holder of the lease crashes in the middle of a roll. Another router has
-// to finish it, and an order of the dead one that was still under way must
-// not bring the old weights back.
+// The lease's holder crashes in the middle of a rollout. Another router must
+// finish it, and a late order of the crashed holder must not bring the old
+// weights back.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_killed_holder_is_succeeded_and_its_fence_refused() {
+async fn killed_holder_is_succeeded_and_its_fence_refused() {
     let mut fleet = Fleet::start(SIZE).await;
     fleet.roll_weights("8");
-    wait_until_within(MAX_LEASE_WAIT, "the roll has begun", async || {
+    wait_until_within(MAX_LEASE_WAIT, "the rollout has begun", async || {
         !orders(&fleet).is_empty()
     })
     .await;
     let (first, old) = wait_for_holder(&fleet, None).await;
     remove_router(&mut fleet, first).kill();
-    wait_until_within(MAX_LEASE_WAIT, "the roll is finished", async || {
+    wait_until_within(MAX_LEASE_WAIT, "the rollout is finished", async || {
         count_with_model(&fleet, "writer@8") == SIZE.engines
     })
     .await;
@@ -152,12 +151,12 @@
     assert_eq!(count_with_model(&fleet, "writer@8"), SIZE.engines);
 }
 
-// Two routers give orders for a moment: the first was paused with an order in
-// its hands, and its lease went to another meanwhile. The engine ignores
-// fencing numbers and obeys the late order. The holder sees the wrong weights
-// in its report and declares the right ones again.
+// Two routers send orders at the same time: the first was paused before it sent
+// one, and its lease went to another meanwhile. The engine ignores fencing
+// numbers and obeys the late order. The holder must see the wrong weights in the
+// engine's report and order the wanted ones again.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_ignores_numbers_ends_in_the_wanted_state() {
+async fn engine_that_ignores_fencing_numbers_ends_in_the_wanted_state() {
     let mut fleet = Fleet::start(SIZE).await;
     for engine in &fleet.engines {
         engine
@@ -174,7 +173,7 @@
             record.holder == first && record.operation == Operation::Release(old)
         })
     });
-    assert!(released, "a graceful stop gives the lease back");
+    assert!(released, "a graceful shutdown releases the lease");
     assert_eq!(send_stale_order(&fleet, 0, old, "6").await, 202);
     wait_until("the engine obeys", async || {
         count_with_model(&fleet, "writer@6") == 1
@@ -192,11 +191,11 @@
     assert_eq!((last.fence, last.wanted), (fence, wanted));
 }
 
-// The log is down for long. Nobody can know who holds the lease, so an engine
-// that went astray gets no order, and drafts go on. When the log is back, so
-// are the orders.
+// The log is down for long, so no router can know that it holds the lease. An
+// engine with wrong weights must get no order, and chats must succeed. Once the
+// log is back, orders are sent again.
 #[tokio::test(flavor = "multi_thread")]
-async fn with_the_log_down_no_order_goes_out_and_chats_go_on() {
+async fn with_the_log_down_no_order_is_sent_and_chats_succeed() {
     let fleet = Fleet::start(SIZE).await;
     for engine in &fleet.engines {
         engine
@@ -205,14 +204,14 @@
     }
     let (_, fence) = wait_for_renewal(&fleet).await;
     fleet.log.faults().change(|faults| faults.down = true);
-    // Whoever holds the lease now has lost it after a term.
+    // The current holder's lease expires within this time.
     tokio::time::sleep(LEASE_DURATION).await;
     assert_eq!(send_stale_order(&fleet, 0, fence, "6").await, 202);
     wait_until("the engine obeys", async || {
         count_with_model(&fleet, "writer@6") == 1
     })
     .await;
-    // A holder would see it in the next reports, within seconds.
+    // A holder would see the weights in the next reports, within seconds.
     let end = tokio::time::Instant::now() + LEASE_DURATION;
     let mut drafts = 0;
     while tokio::time::Instant::now() < end {
@@ -227,13 +226,12 @@
     .await;
 }
 
-// The list still names a model at an engine that is free of it: it was ordered
-// to load something else. A caller would get the engine's 404 for a model that
-// the bundle has.
+// The list still names a model at an engine that was ordered to unload it. A
+// caller must not get the engine's 404 for a model that the bundle has.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_without_the_model_costs_no_caller_its_answer() {
+async fn engine_without_the_model_causes_no_failed_request() {
     let fleet = Fleet::start(SIZE).await;
-    // Its reports say nothing of it either: they lag.
+    // Its reports lag as well and still name the model.
     fleet.engines[0]
         .faults()
         .change(|faults| faults.report_lag = Duration::from_mins(1));
--- a/crates/router/tests/router/faults.rs
+++ b/crates/router/tests/router/faults.rs
@@ -1,4 +1,4 @@
-//! Instances and endpoints that go, with and without a word.
+//! Instances and endpoints that leave or crash, and other faults.
 
 use std::time::Duration;
 
@@ -17,11 +17,11 @@
     plains: 2,
 };
 
-// A router crashes, and the platform's list names it for seconds more. Chats
-// and orders whose owner or batcher it was still come in at the others, and
-// each of them has to be answered.
+// A router crashes, and the platform's list names it for some seconds more.
+// Chats and orders whose owner or batcher it was still arrive at the other
+// routers, and each of them must succeed.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_crashed_router_costs_the_others_no_request() {
+async fn crashed_router_causes_no_failures_at_other_routers() {
     let mut fleet = Fleet::start(SIZE).await;
     fleet.routers.remove(0).kill();
     for n in 0..16 {
@@ -38,10 +38,10 @@
     }
 }
 
-// An engine says that it is leaving before the list does. Its chats go
-// elsewhere at once, and no caller notices.
+// An engine announces that it is leaving before the list does. Its chats must be
+// placed elsewhere at once, without failures for callers.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leaving_engine_gets_no_new_work_and_callers_notice_nothing() {
+async fn leaving_engine_gets_no_requests_and_callers_get_no_errors() {
     let fleet = Fleet::start(SIZE).await;
     fleet.engines[0]
         .faults()
@@ -55,17 +55,17 @@
     assert!(fleet.engines[0].runs().is_empty());
 }
 
-// An engine mixes up two answers. A draft of another workspace on an editor's
-// page would be worse than none.
+// An engine mixes up two responses. A caller must not get one of another
+// workspace's request.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_answer_to_another_request_never_reaches_a_caller() {
+async fn response_to_another_request_never_reaches_a_caller() {
     let fleet = Fleet::start(Size { engines: 1, ..SIZE }).await;
     fleet.ask(0, chat("first", 4)).await;
     fleet.engines[0]
         .faults()
         .change(|faults| faults.cross = 1.0);
-    // The first attempt gets the answer to `first` and is given up; the
-    // second one repeats the first's own.
+    // The first attempt gets the response to `first` and is abandoned; the
+    // second attempt gets the response to the first one.
     let (status, _, body) = fleet.ask(1, chat("second", 4)).await;
     let text = String::from_utf8_lossy(&body);
     assert_eq!(status, 200, "{text}");
@@ -76,15 +76,16 @@
     assert_eq!(fleet.engines[0].runs().len(), 3);
 }
 
-// A request's deadline passes while the engine works on it. Nobody can say
-// that it was not run.
+// A request's deadline passes while the engine works on it. It must not be
+// reported as not run.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_deadline_that_passes_at_the_engine_leaves_the_fate_unknown() {
+async fn deadline_that_passes_at_the_engine_makes_the_outcome_unknown() {
     let fleet = Fleet::start(Size { engines: 1, ..SIZE }).await;
     fleet.engines[0]
         .faults()
         .change(|faults| faults.slow = Duration::from_mins(1));
-    // A third would find the engine closed for its two failures, and wait.
+    // A third request would have to wait, because the engine is closed after two
+    // failures.
     for router in 0..2 {
         let mut request = chat(&format!("slow {router}"), 4);
         request
@@ -95,10 +96,10 @@
     }
 }
 
-// A shop's terminal loses its connection while its order runs. The order runs
-// to its end, once, and the shop gets the answer when it sends the key again.
+// A caller loses its connection while its order runs. The order must run to its
+// end, once, and the caller must get the response when it sends the key again.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_order_whose_caller_goes_away_runs_once_and_its_answer_is_kept() {
+async fn order_of_a_disconnected_caller_runs_once_and_its_response_is_cached() {
     let fleet = Fleet::start(SIZE).await;
     for plain in &fleet.plains {
         plain
@@ -125,10 +126,10 @@
     assert_eq!(runs(), 1);
 }
 
-// The log is down when a second version is handed about: an operator reached
-// one router's log before, and the others have to get it from that router.
+// A router starts while the log is down. It can't read the bundle stream and has
+// to get the bundle from another router.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_router_that_starts_with_the_log_down_gets_the_bundle_from_a_peer() {
+async fn router_that_starts_with_the_log_down_gets_the_bundle_from_a_peer() {
     let mut fleet = Fleet::start(SIZE).await;
     fleet.log.faults().change(|faults| faults.down = true);
     fleet.add_router(3, &Private::from_seed(&[3; 32]));
@@ -142,7 +143,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_second_version_is_in_force_on_each_router_and_the_first_never_again() {
+async fn second_version_replaces_the_first_for_good_on_each_router() {
     let fleet = Fleet::start(SIZE).await;
     let first = fleet.log.records("bundles")[0].clone();
     fleet.roll_after(1);
@@ -169,9 +170,9 @@
 }
 
 // An engine crashes while it computes the prompt, before the first token. The
-// editor waits a little longer and gets the draft from another engine.
+// request must be retried at another engine.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_crash_before_the_first_token_is_repeated_elsewhere() {
+async fn request_is_retried_elsewhere_after_a_crash_before_the_first_token() {
     let fleet = Fleet::start(SIZE).await;
     for engine in &fleet.engines {
         engine
@@ -195,10 +196,11 @@
     assert_eq!(words(&body).len(), 4);
 }
 
-// An answer in one piece is cut off, and its engine ends it as if it were
-// whole. Only its syntax shows that; the caller gets another engine's.
+// An engine truncates a response that is not streamed and ends it as if it were
+// complete. Only the syntax of the body shows it. The caller must not get the
+// truncated response.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_truncated_answer_in_one_piece_is_not_passed_on() {
+async fn truncated_response_is_not_relayed() {
     let fleet = Fleet::start(SIZE).await;
     for engine in &fleet.engines[..2] {
         engine.faults().change(|faults| {
@@ -223,11 +225,11 @@
     }
 }
 
-// One prompt crashes each engine that runs it, and its caller sends it again
-// through another router. Two engines are lost to it and no third; and while
-// it may have run, the caller is not told that it wasn't.
+// A prompt crashes each engine that runs it, and its caller sends it again
+// through other routers. It must not crash more than two engines, and the first
+// response must not claim that it was not run.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_prompt_that_crashes_engines_costs_two_of_them() {
+async fn prompt_that_crashes_engines_crashes_at_most_two() {
     let fleet = Fleet::start(Size { engines: 8, ..SIZE }).await;
     for engine in &fleet.engines {
         engine.faults().change(|faults| {
@@ -249,10 +251,10 @@
     }
 }
 
-// The log drops records after a while. All routers are replaced at once, and
-// none has kept anything: the bundle must still be there to be found.
+// The log drops records after its retention, and all routers are replaced at
+// once without any state. The bundle must still be in the log.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_bundle_outlives_its_record_and_all_routers() {
+async fn bundle_outlasts_its_first_record_and_all_routers() {
     let mut fleet = Fleet::start_with(SIZE, Duration::from_secs(3)).await;
     wait_until("the bundle is appended again", async || {
         fleet.log.records("bundles").len() > 1
@@ -262,21 +264,22 @@
     fleet.routers.drain(..).for_each(Running::kill);
     fleet.add_router(4, &Private::from_seed(&[3; 32]));
     let late = fleet.routers[0].callers_address();
-    wait_until("a router without memory is ready", async || {
+    wait_until("a router without state is ready", async || {
         fleet.get(late, "/readyz").await.0 == 200
     })
     .await;
 }
 
-// A router starts with empty memory and reads weeks of versions. Serving on
-// its way, it would show callers bundles that the fleet left long ago.
+// A router starts without state and reads weeks of versions. If it served
+// before it has read them all, it would apply bundles that were replaced long
+// ago.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_router_that_still_reads_the_stream_serves_under_no_old_version() {
-    // More than are read at once.
+async fn router_that_is_reading_the_stream_serves_under_no_old_version() {
+    // More than one page.
     const LAST: u64 = 1050;
     let mut fleet = Fleet::start(Size { routers: 0, ..SIZE }).await;
     (1..LAST).for_each(|version| fleet.roll_after(version));
-    // Between two pages is time enough to look.
+    // Leaves time to check the version between two pages.
     let slow = Duration::from_millis(200);
     fleet.log.faults().change(|faults| faults.slow = slow);
     fleet.add_router(0, &Private::from_seed(&[3; 32]));
@@ -291,11 +294,11 @@
     .await;
 }
 
-// A service ends its answer by closing the connection, and nothing says
-// whether that is the whole of it. A stock list must not be taken for whole,
-// and an order's confirmation not for one.
+// A service ends its response by closing the connection, so that nothing shows
+// whether the response is complete. A list must not be relayed as complete, and
+// an order must not be reported as run.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_that_ends_with_its_connection_is_not_vouched_for() {
+async fn response_that_ends_with_its_connection_is_not_relayed_as_complete() {
     let fleet = Fleet::start(Size { plains: 0, ..SIZE }).await;
     let service = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     fleet.list_plain("unframed", service.local_addr().unwrap());
@@ -328,11 +331,11 @@
     assert_eq!(outcome(&headers), "unknown");
 }
 
-// A router is started while the list is down. It has the bundle from the log
-// and calls itself ready; the balancer sends it callers, and all of them hear
-// that there is no endpoint, which the routers beside it have.
+// A router starts while the list is down and reads the bundle from the log. If
+// it were ready with the bundle alone, the balancer would send it requests, and
+// all of them would fail because it knows no endpoint.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_router_is_not_ready_before_it_has_read_the_list() {
+async fn router_is_not_ready_before_it_has_read_the_list() {
     let mut fleet = Fleet::start(SIZE).await;
     fleet.list.faults().change(|faults| faults.down = true);
     fleet.add_router(9, &Private::from_seed(&[3; 32]));
--- a/crates/router/tests/router/fleet.rs
+++ b/crates/router/tests/router/fleet.rs
@@ -1,4 +1,5 @@
-//! A small fleet: a log, a list, endpoints and routers under a signed bundle.
+//! A small fleet for tests: a log, a list, endpoints and routers with a signed
+//! bundle.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -25,12 +26,12 @@
 /// The fleet's key in base64.
 pub(crate) const FLEET_KEY: &str = "AAECAwQFBgcICQoLDA0ODxAREhMUFRYXGBkaGxwdHh8=";
 
-/// The bound on all waiting; only a fault comes near it.
+/// Bound on all waits, far above what they take without a fault.
 const MAX_WAIT: Duration = Duration::from_secs(20);
 
 const ZONES: [&str; 4] = ["sapporo", "asahikawa", "otaru", "kushiro"];
 
-/// How many of each a fleet has.
+/// The numbers of a fleet's routers and endpoints.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Size {
     pub(crate) routers: usize,
@@ -38,7 +39,7 @@
     pub(crate) plains: usize,
 }
 
-/// A fleet that is ready.
+/// A running fleet.
 pub(crate) struct Fleet {
     pub(crate) log: log::Running,
     pub(crate) list: list::Running,
@@ -56,8 +57,8 @@
         Self::start_with(size, Duration::from_hours(1)).await
     }
 
-    /// Starts a fleet whose routers are told that the log keeps records for
-    /// so long.
+    /// Starts a fleet whose routers assume that the log retains records for
+    /// `retention`.
     pub(crate) async fn start_with(size: Size, retention: Duration) -> Self {
         let key = Private::from_seed(&[3; 32]);
         let log = log::start(any_port(), log::Faults::default())
@@ -67,7 +68,8 @@
             .await
             .unwrap();
         let store = weights::start(any_port(), weights::Faults::default());
-        // Nobody may read half of the list: who joins later is on probation.
+        // No router may read an incomplete list: instances that join later are on
+        // probation.
         list.faults().change(|faults| faults.down = true);
         let mut fleet = Self {
             engines: Vec::new(),
@@ -154,7 +156,7 @@
         self.append(&Change::sign(None, &bundle(key), "asahikawa", key));
     }
 
-    /// Rolls the second version, with other weights of the model.
+    /// Publishes version 2, with other weights of the model.
     pub(crate) fn roll_weights(&self, weights: &str) {
         let key = Private::from_seed(&[3; 32]);
         let mut second = bundle(&key);
@@ -165,7 +167,7 @@
         self.append(&Change::sign(Some(&first), &second, "asahikawa", &key));
     }
 
-    /// Rolls the version after `version`, which differs in its claim window.
+    /// Publishes the version after `version`, which differs in its claim window.
     pub(crate) fn roll_after(&self, version: u64) {
         let key = Private::from_seed(&[3; 32]);
         let at = |version: u64| {
@@ -206,7 +208,8 @@
         }
     }
 
-    /// Sends a request to a router's callers and returns the answer's head.
+    /// Sends a request to a router's callers' port and returns the response once
+    /// its head has arrived.
     pub(crate) async fn send(
         &self,
         router: usize,
@@ -216,7 +219,7 @@
         self.client.send(address, request, MAX_WAIT).await
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete response.
     pub(crate) async fn ask(
         &self,
         router: usize,
@@ -264,7 +267,7 @@
         .unwrap()
 }
 
-/// Returns a key that is dated now.
+/// Returns an idempotency key with the current time.
 pub(crate) fn key(last: u16) -> String {
     let now = std::time::SystemTime::now();
     let millis = now
@@ -278,7 +281,7 @@
     )
 }
 
-/// Returns the outcome that a head tells.
+/// Returns the outcome in a response's headers.
 pub(crate) fn outcome(headers: &HeaderMap) -> &str {
     headers["godwitpost-outcome"].to_str().unwrap()
 }
@@ -304,12 +307,12 @@
     (parts.status, parts.headers, bytes)
 }
 
-/// Waits until something holds; the bound is far above what it takes.
+/// Waits until a condition holds, for at most [`MAX_WAIT`].
 pub(crate) async fn wait_until(what: &str, holds: impl AsyncFnMut() -> bool) {
     wait_until_within(MAX_WAIT, what, holds).await;
 }
 
-/// Waits until something holds that takes the terms of leases.
+/// Waits until a condition holds, for at most `bound`.
 pub(crate) async fn wait_until_within(
     bound: Duration,
     what: &str,
@@ -317,7 +320,7 @@
 ) {
     let start = tokio::time::Instant::now();
     while !holds().await {
-        assert!(start.elapsed() < bound, "waited in vain until {what}");
+        assert!(start.elapsed() < bound, "timed out waiting until {what}");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
--- a/crates/router/tests/router/main.rs
+++ b/crates/router/tests/router/main.rs
@@ -1,4 +1,5 @@
-//! Whole routers against the stand-ins, in one process on loopback.
+//! Complete routers with stand-in endpoints and platform, in one process on
+//! loopback.
 
 mod callers;
 mod chats;
--- a/crates/router/tests/router/orders.rs
+++ b/crates/router/tests/router/orders.rs
@@ -1,4 +1,4 @@
-//! Orders: at most once, and the truth about their fate.
+//! Orders: run at most once, with a true outcome.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_order_sent_again_through_each_router_runs_once() {
+async fn order_resent_through_each_router_runs_once() {
     let fleet = Fleet::start(SIZE).await;
     let key = key(1);
     let (status, headers, first) = fleet.ask(0, order(&key, "40 guides")).await;
@@ -34,11 +34,11 @@
     assert_eq!(runs(&fleet, &key), 1);
 }
 
-// The Sounkyo guides were billed double: the order ran, its answer was lost,
-// and the shop sent it again. The first caller has to hear that nobody knows,
-// and the second must not make it run again.
+// Guards against an order that is billed twice: it ran, its response was lost,
+// and the caller sent it again. The first response must report the outcome as
+// unknown, and the second request must not run the order again.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_order_whose_answer_was_lost_is_unknown_and_never_runs_again() {
+async fn order_with_a_lost_response_is_unknown_and_never_runs_again() {
     let fleet = Fleet::start(SIZE).await;
     for plain in &fleet.plains {
         plain.faults().change(|faults| faults.lose_answers = 1.0);
@@ -56,10 +56,11 @@
     assert_eq!(runs(&fleet, &key), 1);
 }
 
-// The log's answer to a claim is lost after it took effect. A router that
-// took that for a failure and claimed anew would lose to itself, or run twice.
+// The log's response to a claim is lost after the claim was appended. A router
+// that assumed a failure and claimed again would lose to its own first claim, or
+// run the order twice.
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_answers_of_the_log_neither_lose_nor_repeat_an_order() {
+async fn lost_responses_of_the_log_neither_lose_nor_repeat_an_order() {
     let fleet = Fleet::start(SIZE).await;
     fleet
         .log
@@ -75,10 +76,10 @@
     }
 }
 
-// The log is down for long. Orders can't be claimed, so they are refused as
-// not run and are not run; drafts need no claim and go on.
+// The log is down for long. Orders can't be claimed, so they must be refused as
+// not run; chats need no claim and must still succeed.
 #[tokio::test(flavor = "multi_thread")]
-async fn with_the_log_down_orders_are_not_run_and_chats_go_on() {
+async fn with_the_log_down_orders_are_refused_and_chats_succeed() {
     let fleet = Fleet::start(SIZE).await;
     fleet.log.faults().change(|faults| faults.down = true);
     let key = key(3);
@@ -94,33 +95,36 @@
     assert_eq!((status.as_u16(), outcome(&headers)), (200, "ran"));
 }
 
-// A shop's order is told unknown. It sends the key again while nothing can be
-// claimed, hears not run, and places the order anew under another key: the
-// guides are billed twice. Only a word that speaks for the whole key may be
-// taken for the order's fate, so each not run says whom it speaks for.
+// An order's outcome is unknown. Its caller sends the key again while nothing can
+// be claimed, is told not-run, and orders again under another key: the order is
+// billed twice. So each not-run outcome states its scope, and only one for the
+// whole key is the order's outcome.
 #[tokio::test(flavor = "multi_thread")]
-async fn not_run_speaks_for_a_key_only_where_no_attempt_can_have_run() {
+async fn not_run_covers_a_key_only_if_no_attempt_can_have_run() {
     let mut fleet = Fleet::start(SIZE).await;
-    // Their ports refuse connections from here on: provably nothing is sent.
+    // Their ports refuse connections from now on, so nothing can be sent.
     fleet.plains.clear();
     let key = key(5);
     let (_, headers, body) = fleet.ask(0, order(&key, "40 guides")).await;
     let text = String::from_utf8_lossy(&body).into_owned();
     assert_eq!(outcome(&headers), "not-run", "{text}");
     assert_eq!(headers["godwitpost-outcome-scope"], "key", "{text}");
-    wait_until("the key's fate is known to other instances", async || {
-        let (status, headers, _) = fleet.ask(1, order(&key, "40 guides")).await;
-        status == 409
-            && outcome(&headers) == "not-run"
-            && headers["godwitpost-outcome-scope"] == "key"
-    })
+    wait_until(
+        "the key's outcome is known to other instances",
+        async || {
+            let (status, headers, _) = fleet.ask(1, order(&key, "40 guides")).await;
+            status == 409
+                && outcome(&headers) == "not-run"
+                && headers["godwitpost-outcome-scope"] == "key"
+        },
+    )
     .await;
 }
 
-// A key from before the claim window is sent. The log may have forgotten that
-// it ran, so calling it not run would invite a second order.
+// A key is older than the claim window. The log may have dropped the record that
+// it ran, and reporting it as not run could cause a second order.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_expired_key_is_unknown_and_not_run_now() {
+async fn expired_key_is_unknown_and_not_run() {
     let fleet = Fleet::start(SIZE).await;
     let old = "01890000-0000-7000-8000-000000000001";
     let (status, headers, body) = fleet.ask(0, order(old, "40 guides")).await;
@@ -131,7 +135,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_with_another_body_is_refused() {
+async fn key_with_another_body_is_refused() {
     let fleet = Fleet::start(SIZE).await;
     let key = key(4);
     fleet.ask(0, order(&key, "40 guides")).await;
@@ -140,10 +144,10 @@
     assert_eq!(runs(&fleet, &key), 1);
 }
 
-// Two shops and a timer send one reprint commitment at the same moment through
-// different routers. Each is told something true, and it runs once.
+// Several callers send one key at the same moment through different routers. The
+// order must run once, and each caller must get a true outcome.
 #[tokio::test(flavor = "multi_thread")]
-async fn one_key_at_once_through_all_routers_runs_once() {
+async fn key_sent_concurrently_through_all_routers_runs_once() {
     let fleet = Fleet::start(SIZE).await;
     for plain in &fleet.plains {
         plain
@@ -154,11 +158,11 @@
         let key = key(200 + n);
         let ask = |router| fleet.ask(router, order(&key, "reprint"));
         let (a, b, c) = tokio::join!(ask(0), ask(1), ask(2));
-        let told: Vec<&str> = [&a, &b, &c]
+        let outcomes: Vec<&str> = [&a, &b, &c]
             .map(|(_, headers, _)| outcome(headers))
             .to_vec();
-        assert!(told.contains(&"ran"), "{told:?}");
-        assert!(!told.contains(&"not-run"), "{told:?}");
+        assert!(outcomes.contains(&"ran"), "{outcomes:?}");
+        assert!(!outcomes.contains(&"not-run"), "{outcomes:?}");
         assert_eq!(runs(&fleet, &key), 1);
     }
 }
--- a/crates/router/tests/router/peers.rs
+++ b/crates/router/tests/router/peers.rs
@@ -1,4 +1,4 @@
-//! The peers' port refuses strangers.
+//! The peers' port refuses messages without a valid seal.
 
 use std::time::Duration;
 
@@ -13,10 +13,10 @@
     plains: 1,
 };
 
-// Someone who reaches the peers' port, but has no key of the fleet, sends a
-// forged dispatch. Taken for an instance's, it would run past all limits.
+// A sender without the fleet's key reaches the peers' port and forges messages.
+// A forged dispatch that was accepted would bypass all limits.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_forged_message_is_refused_and_counted() {
+async fn forged_message_is_refused_and_counted() {
     let fleet = Fleet::start(SIZE).await;
     let now = std::time::SystemTime::now();
     let now = now.duration_since(std::time::UNIX_EPOCH).unwrap();
--- a/crates/router/tests/router/shutdown.rs
+++ b/crates/router/tests/router/shutdown.rs
@@ -1,4 +1,4 @@
-//! A graceful shutdown cuts nothing.
+//! A graceful shutdown cuts off no request.
 
 use godwitpost_router::ShutdownResult;
 use http_body_util::BodyExt as _;
@@ -11,15 +11,14 @@
     plains: 0,
 };
 
-// Operators replace routers in the middle of the day. Each one that stops has
-// streams of its own callers and relays streams that came in elsewhere; an
-// editor would lose a draft with either.
+// Guards against streams cut off while routers are replaced. A router that stops
+// has streams of its own callers and relays streams for other instances.
 #[tokio::test(flavor = "multi_thread")]
-async fn stopping_each_router_in_turn_cuts_no_stream() {
+async fn stopping_routers_cuts_off_no_stream() {
     let mut fleet = Fleet::start(SIZE).await;
     let mut streams = Vec::new();
     for n in 0..12 {
-        // At 200 tokens a second: two seconds, ten times the balancer's lag.
+        // Two seconds at 200 tokens per second, ten times the balancer's lag.
         let request = chat(&format!("draft {n}"), 400);
         let response = fleet.send(n % SIZE.routers, request).await.unwrap();
         assert_eq!(response.status(), 200);
@@ -40,7 +39,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn while_leaving_callers_are_served_and_told_to_close() {
+async fn leaving_router_serves_callers_and_closes_connections() {
     let mut fleet = Fleet::start(SIZE).await;
     let leaving = fleet.routers.remove(0);
     let address = leaving.callers_address();
