--- a/crates/router/src/control/probe.rs
+++ b/crates/router/src/control/probe.rs
@@ -139,8 +139,8 @@
         )
         .clamp(MIN_REPORT_PERIOD, MAX_REPORT_PERIOD);
         for endpoint in owned {
-            let asked = self.probes.last_probe.get(&endpoint.id);
-            if asked.is_some_and(|at| since(now, *at) < period) {
+            let last_probe = self.probes.last_probe.get(&endpoint.id);
+            if last_probe.is_some_and(|at| since(now, *at) < period) {
                 continue;
             }
             self.probes.last_probe.insert(endpoint.id, now);
@@ -222,8 +222,8 @@
     // be inferred from the order of the evictions that did arrive.
     fn record_position(&mut self, endpoint: &Endpoint, page: &CachePage) {
         let before = self.next_event_offset(endpoint).unwrap_or(0);
-        let place = (endpoint.incarnation, page.next.max(before));
-        self.cache_positions.insert(endpoint.id, place);
+        let position = (endpoint.incarnation, page.next.max(before));
+        self.cache_positions.insert(endpoint.id, position);
     }
 }
 
--- a/crates/router/src/running.rs
+++ b/crates/router/src/running.rs
@@ -157,7 +157,7 @@
 ) -> Vec<JoinHandle<()>> {
     let head = shared.settings.limits.head_bytes;
     let of = Arc::clone(shared);
-    let answer = move |request| callers::answer(Arc::clone(&of), request);
+    let answer = move |request| callers::handle(Arc::clone(&of), request);
     let callers_port = traffic.spawn(run(
         callers_port,
         serve::limits(head),
@@ -167,7 +167,7 @@
     // Peers and operators are answered to the very end: other instances still
     // relay streams through here, and gossip says that this one is leaving.
     let of = Arc::clone(shared);
-    let answer = move |request| peers::answer(Arc::clone(&of), request);
+    let answer = move |request| peers::handle(Arc::clone(&of), request);
     let peers_port = traffic.spawn(run(
         peers_port,
         serve::limits(head),
@@ -175,7 +175,7 @@
         answer,
     ));
     let of = Arc::clone(shared);
-    let answer = move |request| ready(operators::answer(&of, &request));
+    let answer = move |request| ready(operators::handle(&of, &request));
     let operators_port = run(
         operators_port,
         serve::limits(head),
--- a/crates/router/src/serve/callers.rs
+++ b/crates/router/src/serve/callers.rs
@@ -28,7 +28,7 @@
 const BODY_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// Handles one request.
-pub(crate) async fn answer(shared: Arc<Shared>, request: Request<Incoming>) -> Response<Body> {
+pub(crate) async fn handle(shared: Arc<Shared>, request: Request<Incoming>) -> Response<Body> {
     let version = request.version();
     let mut response = match request.uri().path() {
         "/healthz" => probe_response(StatusCode::OK, "alive\n"),
--- a/crates/router/src/serve/operators.rs
+++ b/crates/router/src/serve/operators.rs
@@ -40,7 +40,7 @@
 }
 
 /// Handles an operator's request.
-pub(crate) fn answer(shared: &Shared, request: &Request<Incoming>) -> Response<Body> {
+pub(crate) fn handle(shared: &Shared, request: &Request<Incoming>) -> Response<Body> {
     if request.method() != Method::GET {
         return plain(
             StatusCode::METHOD_NOT_ALLOWED,
--- a/crates/router/src/serve/peers.rs
+++ b/crates/router/src/serve/peers.rs
@@ -34,7 +34,7 @@
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Handles one message.
-pub(crate) async fn answer(shared: Arc<Shared>, request: Request<Incoming>) -> Response<Body> {
+pub(crate) async fn handle(shared: Arc<Shared>, request: Request<Incoming>) -> Response<Body> {
     let (parts, incoming) = request.into_parts();
     let limit = shared.settings.limits.body_bytes + MAX_FRAME_HEAD_BYTES;
     let read = tokio::time::timeout(MESSAGE_TIMEOUT, body::collect(incoming, limit)).await;
@@ -51,7 +51,10 @@
 }
 
 // A message without a valid seal is counted and refused without details.
-#[expect(clippy::result_large_err, reason = "the refusal is the answer itself")]
+#[expect(
+    clippy::result_large_err,
+    reason = "the refusal is the response itself"
+)]
 fn authenticate(shared: &Shared, parts: &Parts, bytes: &Bytes) -> Result<(), Response<Body>> {
     let path = parts
         .uri
@@ -132,14 +135,14 @@
     };
     let mut verdict = Verdict::Unavailable;
     for item in items {
-        let asked = matches!(item, Item::Claim(_));
-        let (reply, answer) = oneshot::channel();
+        let is_claim = matches!(item, Item::Claim(_));
+        let (reply, response) = oneshot::channel();
         let event = Event::Claim { item, reply };
         if shared.control.send(event).await.is_err() {
             break;
         }
-        if asked {
-            verdict = answer.await.unwrap_or(Verdict::Unavailable);
+        if is_claim {
+            verdict = response.await.unwrap_or(Verdict::Unavailable);
         }
     }
     let bytes = rmp_serde::to_vec(&verdict).unwrap_or_default();
@@ -161,12 +164,12 @@
     let Ok(message) = Message::decode(bytes) else {
         return empty_response(StatusCode::BAD_REQUEST);
     };
-    let (reply, answer) = oneshot::channel();
+    let (reply, response) = oneshot::channel();
     let event = Event::GossipRequest(message, bytes.len(), reply);
     if shared.control.send(event).await.is_err() {
         return empty_response(StatusCode::SERVICE_UNAVAILABLE);
     }
-    match answer.await {
+    match response.await {
         Ok(Some(bytes)) => Response::new(body::full(bytes)),
         Ok(None) => empty_response(StatusCode::TOO_MANY_REQUESTS),
         Err(_gone) => empty_response(StatusCode::SERVICE_UNAVAILABLE),
@@ -195,12 +198,12 @@
         .query()
         .and_then(|query| query.strip_prefix("since=")?.parse().ok())
         .unwrap_or(0);
-    let (reply, answer) = oneshot::channel();
+    let (reply, response) = oneshot::channel();
     let event = Event::BundleRequest(since, reply);
     if shared.control.send(event).await.is_err() {
         return empty_response(StatusCode::SERVICE_UNAVAILABLE);
     }
-    match answer.await {
+    match response.await {
         Ok(Some(bytes)) => Response::new(body::full(bytes)),
         _ => empty_response(StatusCode::NOT_FOUND),
     }
--- a/crates/router/src/settings/read.rs
+++ b/crates/router/src/settings/read.rs
@@ -149,7 +149,7 @@
         return key.map(|read| read.value);
     };
     if let Some(key) = top.optional("fleet_key", FLEET_KEY_FORMAT, auth::Key::parse, mistakes) {
-        mistakes.push(key.mistake("stands beside `fleet_key_file`; keep one of them"));
+        mistakes.push(key.mistake("can't be combined with `fleet_key_file`; keep one of them"));
     }
     match std::fs::read_to_string(&file.value) {
         Err(error) => mistakes.push(file.mistake(&format!(
--- a/crates/router/tests/binary.rs
+++ b/crates/router/tests/binary.rs
@@ -44,24 +44,24 @@
     let bad = settings("bad.yaml", |text| {
         text.replace("zone: otaru", "zone: ''") + "colour: red\n"
     });
-    let (code, said) = text(&router(&["--check"], &bad).output().unwrap());
+    let (code, output) = text(&router(&["--check"], &bad).output().unwrap());
     assert_eq!(code, Some(2));
     assert!(
-        said.contains("line 2: `zone`") && said.contains("line 10: `colour`"),
-        "{said}"
+        output.contains("line 2: `zone`") && output.contains("line 10: `colour`"),
+        "{output}"
     );
 }
 
 #[test]
 fn print_settings_hides_the_key() {
     let path = settings("print.yaml", |text| text);
-    let (code, said) = text(&router(&["--print-settings"], &path).output().unwrap());
+    let (code, output) = text(&router(&["--print-settings"], &path).output().unwrap());
     assert_eq!(code, Some(0));
     assert!(
-        said.contains("drain: 90000ms") && said.contains("fleet_key: hidden"),
-        "{said}"
+        output.contains("drain: 90000ms") && output.contains("fleet_key: hidden"),
+        "{output}"
     );
-    assert!(!said.contains(KEY));
+    assert!(!output.contains(KEY));
 }
 
 #[test]
@@ -71,9 +71,9 @@
     let path = settings("taken.yaml", |text| {
         text.replacen("127.0.0.1:0", &address, 1)
     });
-    let (code, said) = text(&router(&[], &path).output().unwrap());
+    let (code, output) = text(&router(&[], &path).output().unwrap());
     assert_eq!(code, Some(1));
-    assert!(said.contains(&address), "{said}");
+    assert!(output.contains(&address), "{output}");
 }
 
 #[test]
@@ -87,11 +87,11 @@
     assert_eq!(child.wait().unwrap().code(), Some(0));
 }
 
-fn wait_for(said: &str, child: &mut Child) {
-    let output = BufReader::new(child.stdout.take().unwrap());
-    let found = output
+fn wait_for(expected: &str, child: &mut Child) {
+    let lines = BufReader::new(child.stdout.take().unwrap());
+    let found = lines
         .lines()
         .map_while(Result::ok)
-        .any(|l| l.contains(said));
-    assert!(found, "the router exited before it logged {said:?}");
+        .any(|l| l.contains(expected));
+    assert!(found, "the router exited before it logged {expected:?}");
 }
--- a/crates/router/tests/router/callers.rs
+++ b/crates/router/tests/router/callers.rs
@@ -72,7 +72,7 @@
         ),
     ];
     for (status, reason, request) in cases {
-        let (got, headers, body) = fleet.ask(0, request).await;
+        let (got, headers, body) = fleet.send_and_read(0, request).await;
         let problem: serde_json::Value = serde_json::from_slice(&body).unwrap();
         assert_eq!(
             problem["type"],
@@ -98,7 +98,7 @@
     headers.insert("godwitpost-internal-sender", "router-9".parse().unwrap());
     headers.insert("godwitpost-internal-attempt", "1".parse().unwrap());
     headers.insert("x-request-id", "mine".parse().unwrap());
-    let (status, headers, _) = fleet.ask(0, request).await;
+    let (status, headers, _) = fleet.send_and_read(0, request).await;
     assert_eq!(status, 200);
     assert!(
         headers
--- a/crates/router/tests/router/chats.rs
+++ b/crates/router/tests/router/chats.rs
@@ -16,7 +16,7 @@
 async fn a_chat_streams_whole_through_each_router() {
     let fleet = Fleet::start(SIZE).await;
     for router in 0..SIZE.routers {
-        let (status, headers, body) = fleet.ask(router, chat("ice lines", 8)).await;
+        let (status, headers, body) = fleet.send_and_read(router, chat("ice lines", 8)).await;
         assert_eq!(status, 200, "{}", String::from_utf8_lossy(&body));
         assert_eq!(outcome(&headers), "ran");
         assert_eq!(headers["godwitpost-version"], "1");
--- a/crates/router/tests/router/engine_orders.rs
+++ b/crates/router/tests/router/engine_orders.rs
@@ -91,7 +91,7 @@
 
 async fn send_draft(fleet: &Fleet, n: usize) {
     let request = chat(&format!("draft {n}"), 2);
-    let (status, headers, body) = fleet.ask(n % fleet.routers.len(), request).await;
+    let (status, headers, body) = fleet.send_and_read(n % fleet.routers.len(), request).await;
     let text = String::from_utf8_lossy(&body);
     assert_eq!((status.as_u16(), outcome(&headers)), (200, "ran"), "{text}");
 }
@@ -101,7 +101,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn new_weights_reach_every_engine_without_failed_requests() {
     let fleet = Fleet::start(SIZE).await;
-    fleet.roll_weights("8");
+    fleet.publish_weights("8");
     let mut drafts = 0;
     wait_until_within(
         MAX_LEASE_WAIT,
@@ -128,7 +128,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_holder_is_succeeded_and_its_fence_refused() {
     let mut fleet = Fleet::start(SIZE).await;
-    fleet.roll_weights("8");
+    fleet.publish_weights("8");
     wait_until_within(MAX_LEASE_WAIT, "the rollout has begun", async || {
         !orders(&fleet).is_empty()
     })
--- a/crates/router/tests/router/faults.rs
+++ b/crates/router/tests/router/faults.rs
@@ -26,11 +26,13 @@
     fleet.routers.remove(0).kill();
     for n in 0..16 {
         let router = n % 2;
-        let (status, headers, body) = fleet.ask(router, chat(&format!("draft {n}"), 2)).await;
+        let (status, headers, body) = fleet
+            .send_and_read(router, chat(&format!("draft {n}"), 2))
+            .await;
         let text = String::from_utf8_lossy(&body);
         assert_eq!((status.as_u16(), outcome(&headers)), (200, "ran"), "{text}");
         let key = key(100 + u16::try_from(n).unwrap());
-        let (status, headers, body) = fleet.ask(router, order(&key, "guides")).await;
+        let (status, headers, body) = fleet.send_and_read(router, order(&key, "guides")).await;
         let text = String::from_utf8_lossy(&body);
         assert_eq!((status.as_u16(), outcome(&headers)), (200, "ran"), "{text}");
         let runs = fleet.plains.iter().map(|p| p.runs("POST /orders", &key));
@@ -48,7 +50,7 @@
         .change(|faults| faults.leaving = true);
     for n in 0..12 {
         let request = chat(&format!("draft {n}"), 2);
-        let (status, headers, body) = fleet.ask(n % SIZE.routers, request).await;
+        let (status, headers, body) = fleet.send_and_read(n % SIZE.routers, request).await;
         let text = String::from_utf8_lossy(&body);
         assert_eq!((status.as_u16(), outcome(&headers)), (200, "ran"), "{text}");
     }
@@ -60,13 +62,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn response_to_another_request_never_reaches_a_caller() {
     let fleet = Fleet::start(Size { engines: 1, ..SIZE }).await;
-    fleet.ask(0, chat("first", 4)).await;
+    fleet.send_and_read(0, chat("first", 4)).await;
     fleet.engines[0]
         .faults()
         .change(|faults| faults.cross = 1.0);
     // The first attempt gets the response to `first` and is abandoned; the
     // second attempt gets the response to the first one.
-    let (status, _, body) = fleet.ask(1, chat("second", 4)).await;
+    let (status, _, body) = fleet.send_and_read(1, chat("second", 4)).await;
     let text = String::from_utf8_lossy(&body);
     assert_eq!(status, 200, "{text}");
     let sent = chat("second", 4).into_body().collect().await.unwrap();
@@ -91,7 +93,7 @@
         request
             .headers_mut()
             .insert("prefer", "wait=1".parse().unwrap());
-        let (status, headers, _) = fleet.ask(router, request).await;
+        let (status, headers, _) = fleet.send_and_read(router, request).await;
         assert_eq!((status.as_u16(), outcome(&headers)), (504, "unknown"));
     }
 }
@@ -114,12 +116,12 @@
     let address = fleet.routers[0].callers_address();
     let client = fleet.client.clone();
     let request = order(&key, "guides");
-    let asking =
+    let sending =
         tokio::spawn(async move { client.send(address, request, Duration::from_secs(20)).await });
     wait_until("the order runs", async || runs() == 1).await;
-    asking.abort();
-    wait_until("its answer is kept", async || {
-        let (_, headers, _) = fleet.ask(1, order(&key, "guides")).await;
+    sending.abort();
+    wait_until("its response is cached", async || {
+        let (_, headers, _) = fleet.send_and_read(1, order(&key, "guides")).await;
         outcome(&headers) == "ran" && headers.contains_key("godwitpost-replayed")
     })
     .await;
@@ -138,7 +140,7 @@
         fleet.get(late, "/readyz").await.0 == 200
     })
     .await;
-    let (status, _, _) = fleet.ask(3, chat("ice lines", 2)).await;
+    let (status, _, _) = fleet.send_and_read(3, chat("ice lines", 2)).await;
     assert_eq!(status, 200);
 }
 
@@ -146,7 +148,7 @@
 async fn second_version_replaces_the_first_for_good_on_each_router() {
     let fleet = Fleet::start(SIZE).await;
     let first = fleet.log.records("bundles")[0].clone();
-    fleet.roll_after(1);
+    fleet.publish_version_after(1);
     for router in &fleet.routers {
         let operators = router.operators_address();
         wait_until("the second version is in force", async || {
@@ -179,7 +181,7 @@
             .faults()
             .change(|faults| faults.slow = Duration::from_millis(300));
     }
-    let asking = fleet.ask(0, chat("ice lines", 4));
+    let sending = fleet.send_and_read(0, chat("ice lines", 4));
     let crashing = async {
         let running = || {
             fleet
@@ -190,7 +192,7 @@
         wait_until("the draft runs", async || running().is_some()).await;
         running().unwrap().crash(Duration::from_secs(1));
     };
-    let ((status, headers, body), ()) = tokio::join!(asking, crashing);
+    let ((status, headers, body), ()) = tokio::join!(sending, crashing);
     let text = String::from_utf8_lossy(&body);
     assert_eq!((status.as_u16(), outcome(&headers)), (200, "ran"), "{text}");
     assert_eq!(words(&body).len(), 4);
@@ -215,12 +217,12 @@
         let text = String::from_utf8(body.to_vec()).unwrap();
         let text = text.replace("\"stream\":true", "\"stream\":false");
         let request = http::Request::from_parts(parts, crate::fleet::full(&text));
-        let (status, _, body) = fleet.ask(n % SIZE.routers, request).await;
-        let answer = serde_json::from_slice::<serde_json::Value>(&body).unwrap();
+        let (status, _, body) = fleet.send_and_read(n % SIZE.routers, request).await;
+        let response = serde_json::from_slice::<serde_json::Value>(&body).unwrap();
         if status == 200 {
-            assert_eq!(answer["digest"], digest::of(text.as_bytes()));
+            assert_eq!(response["digest"], digest::of(text.as_bytes()));
         } else {
-            assert_eq!(answer["outcome"], "unknown");
+            assert_eq!(response["outcome"], "unknown");
         }
     }
 }
@@ -241,10 +243,10 @@
     for prompt in 0..4 {
         let poison = || chat(&format!("poison {prompt}"), 4);
         let before = crashes();
-        let (_, headers, _) = fleet.ask(0, poison()).await;
+        let (_, headers, _) = fleet.send_and_read(0, poison()).await;
         assert_eq!(outcome(&headers), "unknown");
         for router in [1, 2, 0] {
-            let (status, _, _) = fleet.ask(router, poison()).await;
+            let (status, _, _) = fleet.send_and_read(router, poison()).await;
             assert!(!status.is_success());
         }
         assert!(crashes() - before <= 2, "prompt {prompt}");
@@ -278,7 +280,7 @@
     // More than one page.
     const LAST: u64 = 1050;
     let mut fleet = Fleet::start(Size { routers: 0, ..SIZE }).await;
-    (1..LAST).for_each(|version| fleet.roll_after(version));
+    (1..LAST).for_each(|version| fleet.publish_version_after(version));
     // Leaves time to check the version between two pages.
     let slow = Duration::from_millis(200);
     fleet.log.faults().change(|faults| faults.slow = slow);
@@ -306,8 +308,8 @@
         while let Ok((mut stream, _)) = service.accept().await {
             let mut head = [0; 4096];
             assert!(stream.read(&mut head).await.unwrap() > 0);
-            let answer = b"HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nhalf";
-            stream.write_all(answer).await.unwrap();
+            let response = b"HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nhalf";
+            stream.write_all(response).await.unwrap();
         }
     });
     let stock = || {
@@ -317,17 +319,17 @@
             .unwrap()
     };
     wait_until(
-        "the service is known and its answer breaks off",
+        "the service is known and its response breaks off",
         async || {
             let response = fleet.send(0, stock()).await.unwrap();
             let status = response.status();
-            let whole = response.into_body().collect().await;
-            assert!(status == 503 || whole.is_err(), "{status}");
+            let body = response.into_body().collect().await;
+            assert!(status == 503 || body.is_err(), "{status}");
             status == 200
         },
     )
     .await;
-    let (_, headers, _) = fleet.ask(0, order(&key(8), "guides")).await;
+    let (_, headers, _) = fleet.send_and_read(0, order(&key(8), "guides")).await;
     assert_eq!(outcome(&headers), "unknown");
 }
 
@@ -358,7 +360,7 @@
     })
     .await;
     let (status, _, _) = fleet
-        .ask(fleet.routers.len() - 1, chat("ice lines", 4))
+        .send_and_read(fleet.routers.len() - 1, chat("ice lines", 4))
         .await;
     assert_eq!(status, 200);
 }
--- a/crates/router/tests/router/fleet.rs
+++ b/crates/router/tests/router/fleet.rs
@@ -87,7 +87,7 @@
         for n in 0..size.plains {
             fleet.add_plain(n).await;
         }
-        fleet.roll(&key);
+        fleet.publish_bundle(&key);
         for n in 0..size.routers {
             fleet.add_router(n, &key);
         }
@@ -152,12 +152,12 @@
         .unwrap()
     }
 
-    fn roll(&self, key: &Private) {
+    fn publish_bundle(&self, key: &Private) {
         self.append(&Change::sign(None, &bundle(key), "asahikawa", key));
     }
 
     /// Publishes version 2, with other weights of the model.
-    pub(crate) fn roll_weights(&self, weights: &str) {
+    pub(crate) fn publish_weights(&self, weights: &str) {
         let key = Private::from_seed(&[3; 32]);
         let mut second = bundle(&key);
         let first = Tree::new(entry::split(&second));
@@ -168,7 +168,7 @@
     }
 
     /// Publishes the version after `version`, which differs in its claim window.
-    pub(crate) fn roll_after(&self, version: u64) {
+    pub(crate) fn publish_version_after(&self, version: u64) {
         let key = Private::from_seed(&[3; 32]);
         let at = |version: u64| {
             let mut bundle = bundle(&key);
@@ -220,7 +220,7 @@
     }
 
     /// Sends a request and reads the complete response.
-    pub(crate) async fn ask(
+    pub(crate) async fn send_and_read(
         &self,
         router: usize,
         request: Request<Body>,
--- a/crates/router/tests/router/orders.rs
+++ b/crates/router/tests/router/orders.rs
@@ -22,11 +22,11 @@
 async fn order_resent_through_each_router_runs_once() {
     let fleet = Fleet::start(SIZE).await;
     let key = key(1);
-    let (status, headers, first) = fleet.ask(0, order(&key, "40 guides")).await;
+    let (status, headers, first) = fleet.send_and_read(0, order(&key, "40 guides")).await;
     assert_eq!(status, 200, "{}", String::from_utf8_lossy(&first));
     assert_eq!(outcome(&headers), "ran");
     for router in 0..SIZE.routers {
-        let (status, headers, again) = fleet.ask(router, order(&key, "40 guides")).await;
+        let (status, headers, again) = fleet.send_and_read(router, order(&key, "40 guides")).await;
         assert_eq!(outcome(&headers), "ran");
         assert_eq!(headers["godwitpost-replayed"], "true");
         assert_eq!((status.as_u16(), &again), (200, &first));
@@ -44,13 +44,13 @@
         plain.faults().change(|faults| faults.lose_answers = 1.0);
     }
     let key = key(2);
-    let (_, headers, _) = fleet.ask(0, order(&key, "40 guides")).await;
+    let (_, headers, _) = fleet.send_and_read(0, order(&key, "40 guides")).await;
     assert_eq!(outcome(&headers), "unknown");
     for plain in &fleet.plains {
         plain.faults().change(|faults| faults.lose_answers = 0.0);
     }
     for router in 0..SIZE.routers {
-        let (status, headers, _) = fleet.ask(router, order(&key, "40 guides")).await;
+        let (status, headers, _) = fleet.send_and_read(router, order(&key, "40 guides")).await;
         assert_eq!((status.as_u16(), outcome(&headers)), (409, "unknown"));
     }
     assert_eq!(runs(&fleet, &key), 1);
@@ -69,7 +69,7 @@
     for n in 0..4 {
         let key = key(10 + n);
         let router = usize::from(n) % SIZE.routers;
-        let (status, headers, body) = fleet.ask(router, order(&key, "guides")).await;
+        let (status, headers, body) = fleet.send_and_read(router, order(&key, "guides")).await;
         let text = String::from_utf8_lossy(&body);
         assert_eq!((status.as_u16(), outcome(&headers)), (200, "ran"), "{text}");
         assert_eq!(runs(&fleet, &key), 1);
@@ -83,7 +83,7 @@
     let fleet = Fleet::start(SIZE).await;
     fleet.log.faults().change(|faults| faults.down = true);
     let key = key(3);
-    let (status, headers, body) = fleet.ask(1, order(&key, "40 guides")).await;
+    let (status, headers, body) = fleet.send_and_read(1, order(&key, "40 guides")).await;
     assert_eq!((status.as_u16(), outcome(&headers)), (503, "not-run"));
     assert_eq!(headers["content-type"], "application/problem+json");
     assert!(headers.contains_key("retry-after"));
@@ -91,7 +91,7 @@
     let problem: serde_json::Value = serde_json::from_slice(&body).unwrap();
     assert_eq!(problem["type"], "urn:godwitpost:claims-unavailable");
     assert_eq!(runs(&fleet, &key), 0);
-    let (status, headers, _) = fleet.ask(1, chat("ice lines", 4)).await;
+    let (status, headers, _) = fleet.send_and_read(1, chat("ice lines", 4)).await;
     assert_eq!((status.as_u16(), outcome(&headers)), (200, "ran"));
 }
 
@@ -105,14 +105,14 @@
     // Their ports refuse connections from now on, so nothing can be sent.
     fleet.plains.clear();
     let key = key(5);
-    let (_, headers, body) = fleet.ask(0, order(&key, "40 guides")).await;
+    let (_, headers, body) = fleet.send_and_read(0, order(&key, "40 guides")).await;
     let text = String::from_utf8_lossy(&body).into_owned();
     assert_eq!(outcome(&headers), "not-run", "{text}");
     assert_eq!(headers["godwitpost-outcome-scope"], "key", "{text}");
     wait_until(
         "the key's outcome is known to other instances",
         async || {
-            let (status, headers, _) = fleet.ask(1, order(&key, "40 guides")).await;
+            let (status, headers, _) = fleet.send_and_read(1, order(&key, "40 guides")).await;
             status == 409
                 && outcome(&headers) == "not-run"
                 && headers["godwitpost-outcome-scope"] == "key"
@@ -127,7 +127,7 @@
 async fn expired_key_is_unknown_and_not_run() {
     let fleet = Fleet::start(SIZE).await;
     let old = "01890000-0000-7000-8000-000000000001";
-    let (status, headers, body) = fleet.ask(0, order(old, "40 guides")).await;
+    let (status, headers, body) = fleet.send_and_read(0, order(old, "40 guides")).await;
     let problem: serde_json::Value = serde_json::from_slice(&body).unwrap();
     assert_eq!(problem["type"], "urn:godwitpost:key-expired");
     assert_eq!((status.as_u16(), outcome(&headers)), (400, "unknown"));
@@ -138,8 +138,8 @@
 async fn key_with_another_body_is_refused() {
     let fleet = Fleet::start(SIZE).await;
     let key = key(4);
-    fleet.ask(0, order(&key, "40 guides")).await;
-    let (status, headers, _) = fleet.ask(2, order(&key, "41 guides")).await;
+    fleet.send_and_read(0, order(&key, "40 guides")).await;
+    let (status, headers, _) = fleet.send_and_read(2, order(&key, "41 guides")).await;
     assert_eq!((status.as_u16(), outcome(&headers)), (422, "not-run"));
     assert_eq!(runs(&fleet, &key), 1);
 }
@@ -156,8 +156,8 @@
     }
     for n in 0..6 {
         let key = key(200 + n);
-        let ask = |router| fleet.ask(router, order(&key, "reprint"));
-        let (a, b, c) = tokio::join!(ask(0), ask(1), ask(2));
+        let send = |router| fleet.send_and_read(router, order(&key, "reprint"));
+        let (a, b, c) = tokio::join!(send(0), send(1), send(2));
         let outcomes: Vec<&str> = [&a, &b, &c]
             .map(|(_, headers, _)| outcome(headers))
             .to_vec();
--- a/crates/router/tests/router/peers.rs
+++ b/crates/router/tests/router/peers.rs
@@ -37,11 +37,11 @@
         };
         Key::new([9; 32]).seal(&message, now, request.headers_mut());
         let address = fleet.routers[0].peers_address();
-        let answer = fleet
+        let response = fleet
             .client
             .send(address, request, Duration::from_secs(5))
             .await;
-        let (status, _, body) = read_response(answer.unwrap()).await;
+        let (status, _, body) = read_response(response.unwrap()).await;
         assert_eq!((status.as_u16(), body.len()), (401, 0), "{path}");
     }
     let operators = fleet.routers[0].operators_address();
--- a/crates/router/tests/router/resume.rs
+++ b/crates/router/tests/router/resume.rs
@@ -36,7 +36,7 @@
     }
     // One prompt has one owner, so two of three go over another instance.
     for router in 0..SIZE.routers {
-        let (status, _, body) = fleet.ask(router, chat("sea ice", 20)).await;
+        let (status, _, body) = fleet.send_and_read(router, chat("sea ice", 20)).await;
         assert_eq!(status, 200);
         let sent = chat("sea ice", 20).into_body().collect().await.unwrap();
         let digest = digest::of(&sent.to_bytes());
--- a/crates/router/tests/router/shutdown.rs
+++ b/crates/router/tests/router/shutdown.rs
@@ -30,8 +30,12 @@
         .map(|router| tokio::spawn(router.stop_gracefully()))
         .collect();
     for stream in streams {
-        let whole = stream.await.unwrap().expect("no stream is cut").to_bytes();
-        assert_eq!(words(&whole).len(), 400);
+        let body = stream
+            .await
+            .unwrap()
+            .expect("no stream is cut off")
+            .to_bytes();
+        assert_eq!(words(&body).len(), 400);
     }
     for stopped in stopping {
         assert_eq!(stopped.await.unwrap(), ShutdownResult::Whole);
