--- a/crates/bench/src/direct/instance.rs
+++ b/crates/bench/src/direct/instance.rs
@@ -1,10 +1,10 @@
 //! One instance that is driven: what it knows, and how it places by that.
 
 use godwitpost_decide::health::Access;
-use godwitpost_direct::book::{Book, Look};
+use godwitpost_direct::book::{EndpointStats, LoadEstimate};
 use godwitpost_direct::dialect::Part;
 use godwitpost_direct::holders::Directory;
-use godwitpost_direct::place::{Candidate, Choice, Pick, Prefix, Rest, pick};
+use godwitpost_direct::place::{Affinity, Candidate, Choice, Pick, Unavailable, pick};
 use godwitpost_types::clock::Moment;
 use godwitpost_types::id::EndpointId;
 
@@ -20,13 +20,13 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Outlook {
     pub(super) candidates: Vec<Candidate>,
-    pub(super) rest: Rest,
+    pub(super) rest: Unavailable,
 }
 
 /// An instance.
 #[derive(Debug, Default)]
 pub(super) struct Instance {
-    pub(super) book: Book,
+    pub(super) book: EndpointStats,
     pub(super) directory: Directory,
 }
 
@@ -39,41 +39,41 @@
         form: Form,
         now: Moment,
     ) -> Outlook {
-        let looks = self.book.look(ids, now);
-        let candidate = |(id, look): (&EndpointId, Look)| {
+        let looks = self.book.estimate(ids, now);
+        let candidate = |(id, look): (&EndpointId, LoadEstimate)| {
             let (load, known) = match form {
-                Form::Idle => (look.seen, 1.0),
+                Form::Idle => (look.observed_load, 1.0),
                 _ => (look.load, look.known),
             };
             Candidate {
                 endpoint: *id,
                 load,
-                spread: look.spread,
-                own: look.own,
-                seen: look.seen,
-                known,
+                load_stddev: look.std_dev,
+                own_requests: look.own_requests,
+                observed_load: look.observed_load,
+                known_fraction: known,
                 slots,
-                near: true,
-                clear: true,
+                same_zone: true,
+                path_clear: true,
                 access: Access::Full,
-                bar: None,
+                exclusion: None,
             }
         };
         Outlook {
             candidates: ids.iter().zip(looks).map(candidate).collect(),
-            rest: Rest::default(),
+            rest: Unavailable::default(),
         }
     }
 
     /// Returns what endpoints have to which nothing is sent.
-    pub(super) fn rest(&self, ids: &[EndpointId], form: Form, now: Moment) -> Rest {
+    pub(super) fn rest(&self, ids: &[EndpointId], form: Form, now: Moment) -> Unavailable {
         if form == Form::Usable {
-            return Rest::default();
+            return Unavailable::default();
         }
-        let looks = self.book.look(ids, now);
-        Rest {
+        let looks = self.book.estimate(ids, now);
+        Unavailable {
             count: u32::try_from(ids.len()).unwrap_or(u32::MAX),
-            load: looks.iter().map(|look| look.seen).sum(),
+            load: looks.iter().map(|look| look.observed_load).sum(),
         }
     }
 
@@ -92,20 +92,22 @@
     ) -> (EndpointId, Choice) {
         let Outlook { candidates, rest } = outlook;
         let prefix = match form {
-            Form::OneLength => Prefix::new(part, f64::from(part.tokens), 0.0, 1.0),
-            Form::NoDemand => Prefix::new(part, USUAL, 0.0, 1.0),
+            Form::OneLength => Affinity::new(part, f64::from(part.tokens), 0.0, 1.0),
+            Form::NoDemand => Affinity::new(part, USUAL, 0.0, 1.0),
             _ => {
                 let all = candidates.iter().map(|one| one.load).sum();
-                let own = candidates.iter().map(|one| self.book.own(one.endpoint));
+                let own = candidates
+                    .iter()
+                    .map(|one| self.book.own_requests(one.endpoint));
                 let own = f64::from(own.sum::<u32>());
-                self.book.prompt(SERVICE, part, (own, all), now)
+                self.book.record_prompt(SERVICE, part, (own, all), now)
             }
         };
         let pick = pick(candidates, *rest, Some(prefix), ALLOWED, draw);
         let Pick::Send { endpoint, choice } = pick else {
             unreachable!("no room at any endpoint");
         };
-        self.book.sent(endpoint);
+        self.book.start_request(endpoint);
         (endpoint, choice)
     }
 }
--- a/crates/decide/src/entry.rs
+++ b/crates/decide/src/entry.rs
@@ -1,10 +1,11 @@
-//! Decisions of the instance that a caller's request lands on.
+//! Decisions of the instance that receives a caller's request.
 //!
-//! [`start`] says where a request goes first. After an attempt failed,
-//! [`Attempts`] says whether it may go again. It may if the ending proves
-//! that nothing ran, or if the request is repeatable; an unrepeatable request
-//! whose fate is unknown never goes again. Retries are paid from a budget of
-//! the workspace and service, so that an outage is not answered by a storm.
+//! [`route`] returns where a request goes first. After a failed attempt,
+//! [`Attempts`] decides whether it may be sent again. It may if the ending
+//! proves that nothing ran, or if the request is repeatable. A request that is
+//! not repeatable and may have run is never sent again. Retries are paid from
+//! a budget per workspace and service, so that an outage does not cause a
+//! retry storm.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -22,35 +23,37 @@
 use crate::refusal::{Reason, Refusal};
 use crate::view::{Pool, View};
 
-/// Where a request goes first.
+/// The first step of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// The local instance owns the endpoint: offer it to the local owner.
+    /// The local instance owns the endpoint; offer the request to the local
+    /// owner.
     Local {
-        /// The endpoint that placement names.
+        /// The endpoint selected by placement.
         endpoint: EndpointId,
     },
-    /// Another instance owns the endpoint: send it there.
+    /// Another instance owns the endpoint; send the request there.
     Forward {
         /// The owner.
         instance: InstanceId,
-        /// The endpoint that placement names.
+        /// The endpoint selected by placement.
         endpoint: EndpointId,
     },
-    /// It can't run.
+    /// It cannot run.
     Refuse(Refusal),
 }
 
-/// Returns where a request goes first; `zone` is the entry instance's.
+/// Returns where a request goes first; `zone` is the zone of the entry
+/// instance.
 #[must_use]
-pub fn start(view: &View, policy: &Policy, request: &Request, zone: ZoneId) -> Next {
-    match check(policy, request) {
+pub fn route(view: &View, policy: &Policy, request: &Request, zone: ZoneId) -> Next {
+    match find_violation(policy, request) {
         Some(reason) => Next::Refuse(Refusal::new(reason)),
         None => place(view, request, zone, &[]),
     }
 }
 
-fn check(policy: &Policy, request: &Request) -> Option<Reason> {
+fn find_violation(policy: &Policy, request: &Request) -> Option<Reason> {
     let Some(workspace) = policy.workspaces.get(&request.workspace) else {
         return Some(Reason::UnknownWorkspace);
     };
@@ -61,10 +64,10 @@
     (!allowed).then_some(Reason::Forbidden)
 }
 
-// The first endpoint in the chat's order that has not failed this request;
-// the first of all if every one has.
+// Selects the first endpoint in the chat's order that has not failed this
+// request, or the first of all if every one has.
 fn place(view: &View, request: &Request, zone: ZoneId, failed: &[EndpointId]) -> Next {
-    let mut ranked = view.ranked(Pool::of(request), request.chat, zone);
+    let mut ranked = view.ranked(Pool::for_request(request), request.chat, zone);
     let Some(home) = ranked.next() else {
         return Next::Refuse(Refusal::new(Reason::NoEndpoint));
     };
@@ -82,28 +85,29 @@
     }
 }
 
-/// Attempts that one request may have.
+/// Maximum number of attempts for one request.
 ///
-/// Four reach an endpoint outside a broken zone with near certainty; more
-/// only add to the load of an outage.
-const MOST: u32 = 4;
+/// Four attempts reach an endpoint outside a failed zone with near certainty;
+/// more would only add to the load of an outage.
+const MAX_ATTEMPTS: u32 = 4;
 
-/// The first wait before an attempt is repeated, before jitter; doubles.
-const BACKOFF: Duration = Duration::from_millis(50);
+/// Maximum delay before the first retry, before jitter; it doubles with each
+/// further retry.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 
-/// What follows a failed attempt.
+/// What to do after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Retry {
-    /// Go again after a wait.
+    /// Send it again after a delay.
     Again {
         /// How long to wait; may be zero.
         after: Duration,
-        /// Where to go then.
+        /// Where to send it then.
         to: Next,
     },
-    /// Answer the caller at once.
+    /// Answer the caller now.
     GiveUp {
-        /// What the caller is told.
+        /// The outcome to report to the caller.
         outcome: Outcome,
         /// When the caller may send it again; goes into `Retry-After`.
         retry_after: Duration,
@@ -115,13 +119,13 @@
 pub struct Attempts {
     count: u32,
     failed: Vec<EndpointId>,
-    unknown: bool,
+    outcome_unknown: bool,
 }
 
 impl Attempts {
-    /// Returns the hop to send along with the next attempt.
+    /// Returns the hop to send with the next attempt.
     ///
-    /// `evidence` is what the local owner knows of the request's digest.
+    /// `evidence` is what the local owner knows about the request's digest.
     #[must_use]
     pub fn hop(&self, zone: ZoneId, endpoint: EndpointId, evidence: Vec<Evidence>) -> Hop {
         Hop {
@@ -131,11 +135,14 @@
         }
     }
 
-    /// Notes that an attempt failed and returns what follows.
+    /// Records a failed attempt and returns what to do next.
     ///
-    /// `endpoint` is where it failed, if it got that far.
-    #[expect(clippy::too_many_arguments, reason = "all of it decides")]
-    pub fn failed(
+    /// `endpoint` is the endpoint where it failed, if it got that far.
+    #[expect(
+        clippy::too_many_arguments,
+        reason = "every argument affects the decision"
+    )]
+    pub fn record_failure(
         &mut self,
         now: Moment,
         view: &View,
@@ -146,15 +153,15 @@
         budgets: &mut Budgets,
         rng: &mut impl Rng,
     ) -> Retry {
-        self.note(endpoint, ending);
-        if !self.may_repeat(request, ending) || self.count >= MOST {
+        self.record_attempt(endpoint, ending);
+        if !self.may_retry(request, ending) || self.count >= MAX_ATTEMPTS {
             return self.give_up();
         }
         let after = backoff(self.count, ending, rng);
         if now + after >= request.deadline {
             return self.give_up();
         }
-        if !budgets.spend(now, request.workspace, request.service) {
+        if !budgets.try_withdraw(now, request.workspace, request.service) {
             return self.give_up();
         }
         match place(view, request, zone, &self.failed) {
@@ -163,23 +170,24 @@
         }
     }
 
-    fn note(&mut self, endpoint: Option<EndpointId>, ending: Ending) {
+    fn record_attempt(&mut self, endpoint: Option<EndpointId>, ending: Ending) {
         self.count += 1;
-        self.unknown |= !ending.proves_not_run();
+        self.outcome_unknown |= !ending.proves_not_run();
         self.failed.extend(endpoint);
     }
 
-    fn may_repeat(&self, request: &Request, ending: Ending) -> bool {
+    fn may_retry(&self, request: &Request, ending: Ending) -> bool {
         match ending {
             Ending::Done | Ending::Abandoned | Ending::Timeout => false,
             Ending::Broken => request.repeatable(),
-            _ => request.repeatable() || !self.unknown,
+            _ => request.repeatable() || !self.outcome_unknown,
         }
     }
 
-    // One attempt of unknown fate makes the whole request's fate unknown.
+    // A single attempt with an unknown outcome makes the outcome of the
+    // request unknown.
     fn give_up(&self) -> Retry {
-        let outcome = if self.unknown {
+        let outcome = if self.outcome_unknown {
             Outcome::Unknown
         } else {
             Outcome::NotRun
@@ -191,71 +199,77 @@
     }
 }
 
-// Full jitter. An endpoint that is leaving says nothing about the others, so
-// the first repeat after it goes at once.
+// Uses full jitter. An endpoint that is leaving tells nothing about the
+// others, so the first retry after that is sent at once.
 fn backoff(count: u32, ending: Ending, rng: &mut impl Rng) -> Duration {
     if ending == Ending::Leaving && count == 1 {
         return Duration::ZERO;
     }
-    let most = BACKOFF * 2_u32.pow(count.min(6) - 1);
-    most.mul_f64(rng.random::<f64>())
+    let ceiling = INITIAL_BACKOFF * 2_u32.pow(count.min(6) - 1);
+    ceiling.mul_f64(rng.random::<f64>())
 }
 
-/// Part of a budget that each first attempt earns.
+/// Retry tokens that each first attempt adds to the budget.
 ///
 /// A tenth bounds the load that retries add in an outage to 10%.
-const EARNED: f64 = 0.1;
+const TOKENS_PER_REQUEST: f64 = 0.1;
 
-/// The most that a budget holds, which a quiet workspace starts with.
-const HELD: f64 = 10.0;
+/// Maximum number of retry tokens in a budget; a budget starts full.
+const MAX_TOKENS: f64 = 10.0;
 
-/// What a budget earns a second, so that an idle one recovers.
-const RECOVERED: f64 = 0.1;
+/// Retry tokens added per second, so that an idle budget recovers.
+const REFILL_PER_SECOND: f64 = 0.1;
 
-/// Budgets of retries, by workspace and service.
+/// Retry budgets by workspace and service.
 #[derive(Clone, Debug, Default)]
 pub struct Budgets {
-    spent: BTreeMap<(WorkspaceId, ServiceId), Account>,
+    buckets: BTreeMap<(WorkspaceId, ServiceId), TokenBucket>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Account {
-    held: f64,
-    used: Moment,
+struct TokenBucket {
+    tokens: f64,
+    last_refill: Moment,
 }
 
-impl Account {
-    fn settle(&mut self, now: Moment) {
-        let recovered = since(now, self.used).as_secs_f64() * RECOVERED;
-        self.held = (self.held + recovered).min(HELD);
-        self.used = now;
+impl TokenBucket {
+    fn refill(&mut self, now: Moment) {
+        let recovered = since(now, self.last_refill).as_secs_f64() * REFILL_PER_SECOND;
+        self.tokens = (self.tokens + recovered).min(MAX_TOKENS);
+        self.last_refill = now;
     }
 }
 
 impl Budgets {
-    /// Notes a first attempt, which earns a part of a retry.
-    pub fn earn(&mut self, workspace: WorkspaceId, service: ServiceId) {
+    /// Records a first attempt, which adds a fraction of a retry to the
+    /// budget.
+    pub fn deposit(&mut self, workspace: WorkspaceId, service: ServiceId) {
         let key = (workspace, service);
-        if let Some(account) = self.spent.get_mut(&key) {
-            account.held += EARNED;
-            if account.held >= HELD {
-                self.spent.remove(&key);
+        if let Some(bucket) = self.buckets.get_mut(&key) {
+            bucket.tokens += TOKENS_PER_REQUEST;
+            if bucket.tokens >= MAX_TOKENS {
+                self.buckets.remove(&key);
             }
         }
     }
 
-    /// Spends one retry; returns whether there was one.
-    pub fn spend(&mut self, now: Moment, workspace: WorkspaceId, service: ServiceId) -> bool {
-        let full = Account {
-            held: HELD,
-            used: now,
+    /// Takes one retry from the budget and returns whether there was one.
+    pub fn try_withdraw(
+        &mut self,
+        now: Moment,
+        workspace: WorkspaceId,
+        service: ServiceId,
+    ) -> bool {
+        let full = TokenBucket {
+            tokens: MAX_TOKENS,
+            last_refill: now,
         };
-        let account = self.spent.entry((workspace, service)).or_insert(full);
-        account.settle(now);
-        if account.held < 1.0 {
+        let bucket = self.buckets.entry((workspace, service)).or_insert(full);
+        bucket.refill(now);
+        if bucket.tokens < 1.0 {
             return false;
         }
-        account.held -= 1.0;
+        bucket.tokens -= 1.0;
         true
     }
 }
--- a/crates/decide/src/limit.rs
+++ b/crates/decide/src/limit.rs
@@ -1,9 +1,9 @@
-//! Limits of a workspace over the whole fleet, kept without coordination.
+//! Workspace limits over the whole fleet, enforced without coordination.
 //!
-//! Each instance enforces a local share. Shares start at an even part of the
-//! limit, times a slack for unevenly spread callers. While a word of every
-//! other instance is fresh, they follow the demand told instead.
-//! `docs/design/limits.md` says what else was weighed.
+//! Each instance enforces a local share of the limit. A share starts as an
+//! even part of the limit times a factor for unevenly spread callers. While a
+//! recent report of every other instance is known, shares follow the reported
+//! demand instead. `docs/design/limits.md` compares the alternatives.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -15,62 +15,66 @@
 
 use crate::refusal::{Reason, Refusal};
 
-/// How long a word on demand counts, from when it came.
+/// How long a demand report is used after it was received.
 ///
-/// Peers are met once a round, in a new order each round: with a contact a
-/// second, eight instances meet within 13 seconds at worst.
-const FRESH: Duration = Duration::from_secs(15);
+/// Each round of gossip contacts all peers once, in a new random order. With
+/// one contact per second, eight instances meet within 13 seconds at worst.
+const DEMAND_MAX_AGE: Duration = Duration::from_secs(15);
 
-/// A local share before any demand was heard, in even parts of the limit.
+/// Factor on the even part of the limit that gives the local share while
+/// demand is unknown.
 ///
-/// Balancers spread connections, not requests: with six instances, a busy
-/// connection easily brings one instance twice its part.
-const SLACK: f64 = 2.0;
+/// Load balancers spread connections, not requests. With six instances, a busy
+/// connection easily brings one instance twice its even part.
+const DEFAULT_SHARE_FACTOR: f64 = 2.0;
 
-/// The least rate share, in requests a second; a share of nothing would
-/// never be used and so never be seen to be needed.
-const LEAST: f64 = 1.0;
+/// Minimum local share of the rate, in requests per second. A share of zero
+/// would never be used, so the need for it would never show.
+const MIN_RATE_SHARE: f64 = 1.0;
 
-/// Demands in one word at most; with 20 bytes each they fit beside the rest
-/// of a gossip message.
-pub const TOLD: usize = 8;
+/// Maximum number of demands in one report. At 20 bytes each, they fit beside
+/// the rest of a gossip message.
+pub const MAX_DEMANDS: usize = 8;
 
-/// The part of an even share under which demand is not told.
+/// Fraction of an even share below which demand is not reported.
 ///
-/// What is not told is taken for none, so the fleet may admit this part of
-/// the limit beyond it.
-pub const QUIET: f64 = 0.25;
+/// Demand that is not reported counts as none, so the fleet may admit this
+/// fraction of the limit beyond it.
+pub const MIN_REPORTED_PRESSURE: f64 = 0.25;
 
-/// The least time that demand is measured over, just under a gossip period.
-const MEASURED: Duration = Duration::from_millis(900);
+/// Minimum interval over which demand is measured, just under a gossip period.
+const MIN_MEASURE_INTERVAL: Duration = Duration::from_millis(900);
 
-/// Measures, a second apart, that a demand has to last to be proven.
+/// Number of samples, a second apart, over which demand must last to count as
+/// sustained.
 ///
-/// By then most of six instances were told of it, at two meetings a second.
-const PROOF: usize = 5;
+/// By then most of six instances have been told of it, at two gossip contacts
+/// per second.
+const SUSTAINED_SAMPLES: usize = 5;
 
-/// A share at most, in proven demand.
+/// Maximum local share as a multiple of the sustained demand.
 ///
-/// Without it a surge that reaches all instances at once would meet shares
-/// that each still hold the whole limit, until the instances hear of it.
-const GROWTH: f64 = 2.0;
+/// Without this limit, a surge that reaches all instances at once would find
+/// each share still at the whole limit until the instances hear of it.
+const MAX_SUSTAINED_FACTOR: f64 = 2.0;
 
-/// What one instance saw a workspace ask for.
+/// The demand of one workspace as seen by one instance.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
-    /// The workspace.
+    /// The workspace concerned.
     pub workspace: WorkspaceId,
-    /// Requests a second, smoothed over some seconds, refused ones included.
+    /// Requests per second, smoothed over some seconds, including refused
+    /// ones.
     pub rate: f32,
-    /// Admitted requests at once.
+    /// Number of admitted requests that are running.
     pub running: u32,
 }
 
-// All that one source told last; a workspace that is missing from it is quiet
-// there, unless the word was full and may have had no room for it.
+// The latest report of one instance. A workspace that is missing from it has
+// little demand there, unless the report was full and had no room for it.
 #[derive(Clone, Debug)]
-struct Word {
-    heard: Moment,
+struct DemandReport {
+    received: Moment,
     full: bool,
     demands: BTreeMap<WorkspaceId, Demand>,
 }
@@ -78,16 +82,16 @@
 #[derive(Clone, Debug, Default)]
 struct Meter {
     tokens: f64,
-    filled: Moment,
+    last_fill: Moment,
     running: u32,
     rate: f64,
-    counted: u32,
-    past: VecDeque<(f64, u32)>,
+    requests: u32,
+    samples: VecDeque<(f64, u32)>,
 }
 
-// What all others told of one workspace, summed.
+// The sum of what all other instances reported for one workspace.
 #[derive(Clone, Copy, Debug, Default)]
-struct Others {
+struct PeerDemand {
     rate: f64,
     running: f64,
 }
@@ -96,17 +100,18 @@
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
     meters: BTreeMap<WorkspaceId, Meter>,
-    words: BTreeMap<InstanceId, Word>,
-    rated: Moment,
+    reports: BTreeMap<InstanceId, DemandReport>,
+    measured_at: Moment,
 }
 
 impl Limits {
-    /// Admits a request of a workspace or refuses it; `instances` are live.
+    /// Admits or refuses a request of a workspace; `instances` is the number
+    /// of live instances.
     ///
     /// # Errors
     ///
-    /// Returns the refusal if the local share of the rate or of the requests
-    /// at once is used up.
+    /// Returns a refusal if the local share of the rate or of the concurrent
+    /// requests is used up.
     pub fn admit(
         &mut self,
         now: Moment,
@@ -114,10 +119,10 @@
         workspace: &Workspace,
         instances: usize,
     ) -> Result<(), Refusal> {
-        let others = self.others(now, id, instances);
+        let peers = self.peer_demand(now, id, instances);
         let meter = self.meters.entry(id).or_default();
-        meter.counted += 1;
-        let rate = meter.rate_share(workspace.rate, others, instances);
+        meter.requests += 1;
+        let rate = meter.rate_share(workspace.rate, peers, instances);
         meter.fill(now, rate);
         if meter.tokens < 1.0 {
             let wait = Duration::from_secs_f64(((1.0 - meter.tokens) / rate).clamp(0.001, 60.0));
@@ -126,7 +131,9 @@
                 retry_after: wait,
             });
         }
-        if f64::from(meter.running) >= meter.room(workspace.concurrency, others, instances) {
+        if f64::from(meter.running)
+            >= meter.concurrency_share(workspace.concurrency, peers, instances)
+        {
             return Err(Refusal::new(Reason::Concurrency));
         }
         meter.tokens -= 1.0;
@@ -134,15 +141,16 @@
         Ok(())
     }
 
-    /// Notes that an admitted request ended, however it did.
-    pub fn done(&mut self, id: WorkspaceId) {
+    /// Records that an admitted request ended, whatever its result.
+    pub fn release(&mut self, id: WorkspaceId) {
         if let Some(meter) = self.meters.get_mut(&id) {
             meter.running = meter.running.saturating_sub(1);
         }
     }
 
-    /// Returns the demand to tell the others: the [`TOLD`] workspaces that
-    /// press most on their even share, and none under [`QUIET`] of it.
+    /// Returns the demand to report to the other instances: the
+    /// [`MAX_DEMANDS`] workspaces with the highest demand relative to their
+    /// even share, and none under [`MIN_REPORTED_PRESSURE`] of it.
     pub fn demands(
         &mut self,
         now: Moment,
@@ -150,61 +158,61 @@
         instances: usize,
     ) -> Vec<Demand> {
         self.measure(now);
-        let mut pressed: Vec<(f64, Demand)> = Vec::new();
+        let mut by_pressure: Vec<(f64, Demand)> = Vec::new();
         for (id, meter) in &self.meters {
             let Some(workspace) = workspaces.get(id) else {
                 continue;
             };
             let pressure = meter.pressure(workspace, instances);
-            if pressure >= QUIET {
-                pressed.push((pressure, meter.demand(*id)));
+            if pressure >= MIN_REPORTED_PRESSURE {
+                by_pressure.push((pressure, meter.demand(*id)));
             }
         }
-        pressed.sort_by(|(a, _), (b, _)| b.total_cmp(a));
-        pressed.truncate(TOLD);
-        pressed.into_iter().map(|(_, demand)| demand).collect()
+        by_pressure.sort_by(|(a, _), (b, _)| b.total_cmp(a));
+        by_pressure.truncate(MAX_DEMANDS);
+        by_pressure.into_iter().map(|(_, demand)| demand).collect()
     }
 
-    /// Takes in all that another instance told at once, in place of what it
-    /// told before.
-    pub fn learn(&mut self, now: Moment, source: InstanceId, demands: &[Demand]) {
-        let word = Word {
-            heard: now,
-            full: demands.len() >= TOLD,
+    /// Replaces what another instance reported before with its new report.
+    pub fn record_demands(&mut self, now: Moment, source: InstanceId, demands: &[Demand]) {
+        let report = DemandReport {
+            received: now,
+            full: demands.len() >= MAX_DEMANDS,
             demands: demands.iter().map(|d| (d.workspace, *d)).collect(),
         };
-        self.words.insert(source, word);
+        self.reports.insert(source, report);
     }
 
     fn measure(&mut self, now: Moment) {
-        let span = since(now, self.rated);
-        if span < MEASURED {
+        let elapsed = since(now, self.measured_at);
+        if elapsed < MIN_MEASURE_INTERVAL {
             return;
         }
-        self.rated = now;
+        self.measured_at = now;
         let idle = |meter: &Meter| meter.running == 0 && meter.rate < 0.01;
         for meter in self.meters.values_mut() {
-            meter.measure(span.as_secs_f64());
+            meter.measure(elapsed.as_secs_f64());
         }
         self.meters.retain(|_, meter| !idle(meter));
-        self.words.retain(|_, word| since(now, word.heard) < FRESH);
+        self.reports
+            .retain(|_, report| since(now, report.received) < DEMAND_MAX_AGE);
     }
 
-    // Nothing unless every other instance's word is known: a sum over some of
-    // them would leave each instance more of the limit than there is.
-    fn others(&self, now: Moment, id: WorkspaceId, instances: usize) -> Option<Others> {
-        let mut sum = Others::default();
+    // Returns `None` unless a report of every other instance is known. A
+    // partial sum would leave each instance more of the limit than there is.
+    fn peer_demand(&self, now: Moment, id: WorkspaceId, instances: usize) -> Option<PeerDemand> {
+        let mut sum = PeerDemand::default();
         let mut known = 1;
-        for word in self.words.values() {
-            if since(now, word.heard) >= FRESH {
+        for report in self.reports.values() {
+            if since(now, report.received) >= DEMAND_MAX_AGE {
                 continue;
             }
-            match word.demands.get(&id) {
+            match report.demands.get(&id) {
                 Some(demand) => {
                     sum.rate += f64::from(demand.rate);
                     sum.running += f64::from(demand.running);
                 }
-                None if word.full => continue,
+                None if report.full => continue,
                 None => {}
             }
             known += 1;
@@ -215,51 +223,55 @@
 
 impl Meter {
     fn fill(&mut self, now: Moment, rate: f64) {
-        let first = self.filled == Moment::ZERO;
-        let span = if first {
+        let first = self.last_fill == Moment::ZERO;
+        let elapsed = if first {
             1.0
         } else {
-            since(now, self.filled).as_secs_f64()
+            since(now, self.last_fill).as_secs_f64()
         };
-        self.filled = now;
-        // A second's worth may come at once.
-        self.tokens = (self.tokens + span * rate).min(rate.max(1.0));
+        self.last_fill = now;
+        // Allows a burst of one second's worth of requests.
+        self.tokens = (self.tokens + elapsed * rate).min(rate.max(1.0));
     }
 
-    fn measure(&mut self, span: f64) {
-        let rate = f64::from(self.counted) / span;
-        self.counted = 0;
-        // Half of the newest second: smooth enough to share by, and a surge
-        // shows within two seconds.
+    fn measure(&mut self, elapsed: f64) {
+        let rate = f64::from(self.requests) / elapsed;
+        self.requests = 0;
+        // The newest second has a weight of one half. That is smooth enough to
+        // compute shares from, and a surge still shows within two seconds.
         self.rate += (rate - self.rate) * 0.5;
-        self.past.push_back((self.rate, self.running));
-        if self.past.len() > PROOF {
-            self.past.pop_front();
+        self.samples.push_back((self.rate, self.running));
+        if self.samples.len() > SUSTAINED_SAMPLES {
+            self.samples.pop_front();
         }
     }
 
-    fn rate_share(&self, limit: f64, others: Option<Others>, instances: usize) -> f64 {
-        let others = others.map(|others| others.rate);
-        let proven = self.proven(|past| past.0);
-        share(limit, self.rate, others, proven, instances).max(LEAST.min(limit))
+    fn rate_share(&self, limit: f64, peers: Option<PeerDemand>, instances: usize) -> f64 {
+        let peers = peers.map(|peers| peers.rate);
+        let sustained = self.sustained(|sample| sample.0);
+        share(limit, self.rate, peers, sustained, instances).max(MIN_RATE_SHARE.min(limit))
     }
 
-    fn room(&self, limit: u32, others: Option<Others>, instances: usize) -> f64 {
-        let others = others.map(|others| others.running);
-        let proven = self.proven(|past| f64::from(past.1));
+    fn concurrency_share(&self, limit: u32, peers: Option<PeerDemand>, instances: usize) -> f64 {
+        let peers = peers.map(|peers| peers.running);
+        let sustained = self.sustained(|sample| f64::from(sample.1));
         let (limit, running) = (f64::from(limit), f64::from(self.running));
-        share(limit, running, others, proven, instances).max(1.0)
+        share(limit, running, peers, sustained, instances).max(1.0)
     }
 
-    // The demand that lasted through all of the last measures.
-    fn proven(&self, figure: impl Fn(&(f64, u32)) -> f64) -> f64 {
-        if self.past.len() < PROOF {
+    // Returns the demand that lasted through all recent samples, or 0 while
+    // there are too few of them.
+    fn sustained(&self, figure: impl Fn(&(f64, u32)) -> f64) -> f64 {
+        if self.samples.len() < SUSTAINED_SAMPLES {
             return 0.0;
         }
-        self.past.iter().map(figure).fold(f64::INFINITY, f64::min)
+        self.samples
+            .iter()
+            .map(figure)
+            .fold(f64::INFINITY, f64::min)
     }
 
-    // The larger of the two demands in even shares.
+    // Returns the larger of the two demands, in units of the even share.
     #[expect(clippy::cast_precision_loss, reason = "few instances")]
     fn pressure(&self, workspace: &Workspace, instances: usize) -> f64 {
         let rate = self.rate / workspace.rate;
@@ -280,18 +292,19 @@
     }
 }
 
-// What the others leave of the limit, or this instance's part of it by
-// demand if together they ask for more. Unless all are heard: an even part.
+// Returns what the peers leave of the limit or, if total demand exceeds it, a
+// part in proportion to this instance's demand. Without reports of all peers
+// it is an even part times the default factor.
 #[expect(clippy::cast_precision_loss, reason = "few instances")]
-fn share(limit: f64, own: f64, others: Option<f64>, proven: f64, instances: usize) -> f64 {
+fn share(limit: f64, own: f64, peers: Option<f64>, sustained: f64, instances: usize) -> f64 {
     let even = limit / instances.max(1) as f64;
-    let Some(others) = others else {
-        return (even * SLACK).min(limit);
+    let Some(peers) = peers else {
+        return (even * DEFAULT_SHARE_FACTOR).min(limit);
     };
-    let most = (even * SLACK).max(proven * GROWTH);
-    if own + others <= limit {
-        return (limit - others).min(most);
+    let cap = (even * DEFAULT_SHARE_FACTOR).max(sustained * MAX_SUSTAINED_FACTOR);
+    if own + peers <= limit {
+        return (limit - peers).min(cap);
     }
-    let part = limit * own.max(even) / (own.max(even) + others);
-    part.min(most)
+    let part = limit * own.max(even) / (own.max(even) + peers);
+    part.min(cap)
 }
--- a/crates/decide/src/owner.rs
+++ b/crates/decide/src/owner.rs
@@ -1,17 +1,18 @@
 //! The owner of endpoints: the one instance that dispatches to them.
 //!
-//! It sees all traffic to its endpoints, so it knows their work exactly,
-//! keeps it under the bound, queues by class and workspace, and remembers
-//! where chats went. Each call is a few microseconds of table work under the
-//! caller's lock. When two instances take themselves for the owner of one
-//! endpoint, each counts its own work and adds what the endpoint's lagging
-//! report shows beyond it.
+//! The owner sees all traffic to its endpoints. It therefore knows their work
+//! exactly, keeps it under the load bound, queues requests by class and
+//! workspace, and records where chats ran. Each call takes a few microseconds
+//! of table lookups under the caller's lock. When two instances both act as
+//! owner of one endpoint, each counts its own work and adds whatever the
+//! endpoint's delayed report shows beyond that.
 //!
-//! *Not run* rests on [`Owner::cancel`]: it returns true only if the request
-//! was still in the queue, and then no [`Wake`] will ever dispatch it.
+//! The outcome *not run* relies on [`Owner::cancel`]: it returns true only if
+//! the request was still in the queue, and then no [`Wake`] will ever dispatch
+//! it.
 
-mod book;
 mod change;
+mod endpoint;
 mod job;
 mod place;
 mod room;
@@ -26,71 +27,72 @@
 use godwitpost_types::policy::Policy;
 use godwitpost_types::request::Request;
 
-use self::book::{Book, Solo};
+use self::endpoint::{EndpointState, Isolation};
 use self::job::Job;
-use self::room::Shares;
+use self::room::PoolUsage;
 use crate::chats::{self, Location};
 use crate::ending::Ending;
 use crate::health;
 use crate::hop::Hop;
-use crate::load::{Means, Summary};
+use crate::load::{self, Summary};
 use crate::quarantine::{self, Evidence};
 use crate::queue::{Queue, Ticket};
 use crate::refusal::{Reason, Refusal};
 use crate::view::{Pool, View};
 
-/// A number for a request that runs, unique at its owner.
-pub type Attempt = u64;
+/// Identifies a running request; unique at its owner.
+pub type AttemptId = u64;
 
-/// Requests that may wait at one owner for one pool.
+/// Maximum number of requests that wait at one owner for one pool.
 ///
-/// At ten requests a second an owner's queue of this length is far past any
-/// deadline; it bounds memory, at some 300 bytes each, to 300 KB a pool.
-const LONGEST: usize = 1024;
+/// At ten requests per second, a request at the end of a queue of this length
+/// would wait far past any deadline. The bound limits memory to 300 KB per
+/// pool, at about 300 bytes per request.
+const MAX_QUEUED_REQUESTS: usize = 1024;
 
-/// Leave to dispatch a request now.
+/// Permission to dispatch a request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// Names the attempt in [`Owner::finish`], which must be called once.
-    pub attempt: Attempt,
-    /// Where to send it.
+    /// The attempt's id, to be passed to [`Owner::finish`] exactly once.
+    pub attempt: AttemptId,
+    /// The endpoint to send it to.
     pub endpoint: EndpointId,
-    /// Prompt tokens estimated to be cached there.
+    /// Prompt tokens estimated to be cached at the endpoint.
     pub cached: u32,
-    /// The priority to tell the engine; 0 goes first.
+    /// The priority to pass to the engine; 0 is the highest.
     pub priority: u8,
-    /// The owner of the chat's home, if it is another instance: it has to be
-    /// told of the location with [`Owner::located`].
-    pub tell: Option<(InstanceId, Location)>,
+    /// The owner of the chat's home endpoint, if it is another instance. The
+    /// location must be passed to its [`Owner::record_location`].
+    pub notify_home: Option<(InstanceId, Location)>,
 }
 
-/// What to do with a request that was offered.
+/// What to do with an offered request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Next {
     /// Send it to the endpoint now.
     Dispatch(Grant),
-    /// Keep it; a [`Wake`] with this ticket follows, at `until` the latest.
+    /// Keep it. A [`Wake`] with this ticket follows, no later than `until`.
     Wait {
-        /// Its number in the queue.
+        /// Its ticket in the queue.
         ticket: Ticket,
-        /// When it is refused if nothing came before.
+        /// When it is refused if it has not been dispatched.
         until: Moment,
     },
     /// Send it to another owner, with this hop.
     Forward {
-        /// The owner.
+        /// The owner to send it to.
         instance: InstanceId,
-        /// What to send along; names the endpoint.
+        /// The hop to send with it; it names the endpoint.
         hop: Hop,
     },
-    /// It was not run here and won't be.
+    /// It was not run here and will not be.
     Refuse(Refusal),
 }
 
-/// What to do now with a request that waited.
+/// What to do with a request that was waiting.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Wake {
-    /// Its number in the queue, gone now.
+    /// Its ticket, which is no longer in the queue.
     pub ticket: Ticket,
     /// What to do; never [`Next::Wait`].
     pub next: Next,
@@ -108,50 +110,50 @@
 pub struct Owner {
     view: Arc<View>,
     policy: Arc<Policy>,
-    books: BTreeMap<EndpointId, Book>,
-    running: BTreeMap<Attempt, Running>,
+    states: BTreeMap<EndpointId, EndpointState>,
+    running: BTreeMap<AttemptId, Running>,
     queues: BTreeMap<Pool, Queue<Job>>,
     tickets: BTreeMap<Ticket, Pool>,
-    shares: BTreeMap<Pool, Shares>,
+    usage: BTreeMap<Pool, PoolUsage>,
     chats: chats::Table,
-    means: Means,
+    peer_load: load::Table,
     quarantine: quarantine::Table,
-    outbox: Vec<Evidence>,
-    next: u64,
-    tidied: Moment,
-    strays: VecDeque<(Pool, ChatId)>,
-    former: Arc<View>,
+    unsent_evidence: Vec<Evidence>,
+    next_id: u64,
+    last_expiry: Moment,
+    pending_handover: VecDeque<(Pool, ChatId)>,
+    handover_base: Arc<View>,
 }
 
 impl Owner {
-    /// Returns an owner with nothing running.
+    /// Returns an owner with no running requests.
     #[must_use]
     pub fn new(view: Arc<View>, policy: Arc<Policy>) -> Self {
         let mut owner = Self {
-            former: Arc::clone(&view),
+            handover_base: Arc::clone(&view),
             view,
             policy,
-            books: BTreeMap::new(),
+            states: BTreeMap::new(),
             running: BTreeMap::new(),
             queues: BTreeMap::new(),
             tickets: BTreeMap::new(),
-            shares: BTreeMap::new(),
+            usage: BTreeMap::new(),
             chats: chats::Table::default(),
-            means: Means::default(),
+            peer_load: load::Table::default(),
             quarantine: quarantine::Table::default(),
-            outbox: Vec::new(),
-            next: 0,
-            tidied: Moment::ZERO,
-            strays: VecDeque::new(),
+            unsent_evidence: Vec::new(),
+            next_id: 0,
+            last_expiry: Moment::ZERO,
+            pending_handover: VecDeque::new(),
         };
-        owner.open_books();
+        owner.sync_states();
         owner
     }
 
-    /// Decides on a request that arrived with its hop.
+    /// Decides what to do with a request that arrived with this hop.
     pub fn offer(&mut self, now: Moment, request: &Request, hop: &Hop) -> Next {
         for evidence in &hop.evidence {
-            self.quarantine.learn(*evidence);
+            self.quarantine.insert(*evidence);
         }
         match self.admit(now, request, hop) {
             Ok(job) => self.place(now, job, hop),
@@ -159,56 +161,61 @@
         }
     }
 
-    /// Takes in where another owner placed a chat whose home is here.
-    pub fn located(&mut self, location: Location) {
-        self.chats.put(location);
+    /// Records where another owner placed a chat whose home endpoint is owned
+    /// here.
+    pub fn record_location(&mut self, location: Location) {
+        self.chats.insert(location);
     }
 
-    /// Takes in how an attempt ended; returns who goes next.
-    pub fn finish(&mut self, now: Moment, attempt: Attempt, ending: Ending) -> Vec<Wake> {
+    /// Records how an attempt ended and returns the waiting requests to
+    /// proceed with.
+    pub fn finish(&mut self, now: Moment, attempt: AttemptId, ending: Ending) -> Vec<Wake> {
         let Some(running) = self.running.remove(&attempt) else {
             return Vec::new();
         };
-        self.settle(now, attempt, &running, ending);
-        self.judge(now, &running, ending);
-        self.drain(now)
+        self.release(now, attempt, &running, ending);
+        self.record_attempt_evidence(now, &running, ending);
+        self.dispatch_waiting(now)
     }
 
-    fn settle(&mut self, now: Moment, attempt: Attempt, running: &Running, ending: Ending) {
-        if let Some(shares) = self.shares.get_mut(&running.job.pool) {
-            shares.end(&running.job);
+    fn release(&mut self, now: Moment, attempt: AttemptId, running: &Running, ending: Ending) {
+        if let Some(usage) = self.usage.get_mut(&running.job.pool) {
+            usage.remove_running(&running.job);
         }
-        let Some(book) = self.books.get_mut(&running.endpoint) else {
+        let Some(state) = self.states.get_mut(&running.endpoint) else {
             return;
         };
-        book.end(now, running.work);
-        if book.solo == Solo::Running(attempt) {
-            book.solo = Solo::Off;
+        state.remove_request(now, running.work);
+        if state.isolation == Isolation::Running(attempt) {
+            state.isolation = Isolation::Off;
         }
         match ending {
-            Ending::Leaving => book.health.handle(health::Event::Leaving),
-            ending if ending.harms() => book.health.handle(health::Event::Bad(now)),
-            Ending::Done => book.health.handle(health::Event::Good(now)),
+            Ending::Leaving => state.health.handle(health::Event::Leaving),
+            ending if ending.counts_against_health() => {
+                state.health.handle(health::Event::Failure(now));
+            }
+            Ending::Done => state.health.handle(health::Event::Success(now)),
             _ => {}
         }
     }
 
-    // A break is held against the request at once, since its caller may send
-    // it again within milliseconds; a later sign of life takes it back.
-    fn judge(&mut self, now: Moment, running: &Running, ending: Ending) {
-        let Some(book) = self.books.get_mut(&running.endpoint) else {
+    // A broken connection counts as a crash at once, because the caller may
+    // resend the request within milliseconds. A later report that the same
+    // incarnation is alive retracts it.
+    fn record_attempt_evidence(&mut self, now: Moment, running: &Running, ending: Ending) {
+        let Some(state) = self.states.get_mut(&running.endpoint) else {
             return;
         };
-        let incarnation = book.health.incarnation();
+        let incarnation = state.health.incarnation();
         let kind = match ending {
             Ending::Broken => {
-                book.broke = Some(now);
+                state.broken_at = Some(now);
                 quarantine::Kind::Crashed
             }
             Ending::Done if running.job.suspect => quarantine::Kind::Clean,
             _ => return,
         };
-        self.testify(Evidence {
+        self.add_evidence(Evidence {
             digest: running.job.digest,
             endpoint: running.endpoint,
             incarnation,
@@ -217,75 +224,78 @@
         });
     }
 
-    fn testify(&mut self, evidence: Evidence) {
-        if self.quarantine.learn(evidence) {
-            self.outbox.push(evidence);
+    fn add_evidence(&mut self, evidence: Evidence) {
+        if self.quarantine.insert(evidence) {
+            self.unsent_evidence.push(evidence);
         }
     }
 
-    /// Takes a request out of the queue.
+    /// Cancels a waiting request.
     ///
-    /// Returns true only if it still waited; it will never be dispatched
-    /// then, and *not run* is true as far as this instance goes.
+    /// Returns true only if it was still waiting. It will then never be
+    /// dispatched, and *not run* is true as far as this instance is concerned.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
-        self.withdraw(ticket).is_some()
+        self.dequeue(ticket).is_some()
     }
 
-    fn withdraw(&mut self, ticket: Ticket) -> Option<Job> {
+    fn dequeue(&mut self, ticket: Ticket) -> Option<Job> {
         let pool = self.tickets.remove(&ticket)?;
         let job = self.queues.get_mut(&pool)?.remove(ticket)?;
-        self.left(ticket, &job);
+        self.release_ticket(ticket, &job);
         Some(job)
     }
 
-    fn left(&mut self, ticket: Ticket, job: &Job) {
+    fn release_ticket(&mut self, ticket: Ticket, job: &Job) {
         self.tickets.remove(&ticket);
-        if let Some(shares) = self.shares.get_mut(&job.pool) {
-            shares.leave(job);
+        if let Some(usage) = self.usage.get_mut(&job.pool) {
+            usage.remove_waiting(job);
         }
         if job.suspect {
-            let drained = self.books.values_mut();
-            drained
-                .filter(|book| book.solo == Solo::Draining(ticket))
-                .for_each(|book| book.solo = Solo::Off);
+            let states = self.states.values_mut();
+            states
+                .filter(|state| state.isolation == Isolation::Draining(ticket))
+                .for_each(|state| state.isolation = Isolation::Off);
         }
     }
 
-    /// Lets time pass: refuses what waited too long, moves on what came here
-    /// by mistake, tries closed endpoints again. Called about every 100 ms.
+    /// Performs periodic work: refuses requests whose deadline passed,
+    /// reroutes requests for pools that are not owned here, and tries closed
+    /// endpoints again. Called about every 100 ms.
     pub fn tick(&mut self, now: Moment) -> Vec<Wake> {
-        self.tidy(now);
-        for book in self.books.values_mut() {
-            book.health.handle(health::Event::Tick(now));
+        self.expire_tables(now);
+        for state in self.states.values_mut() {
+            state.health.handle(health::Event::Tick(now));
         }
-        let mut wakes = self.time_out(now);
-        // An instance that lags may still send here what this one no longer
-        // owns. With its forwards used up such a request waits here, where no
-        // end of another would ever wake it.
-        wakes.extend(self.evict());
-        wakes.extend(self.drain(now));
+        let mut wakes = self.refuse_expired(now);
+        // An instance with an outdated view may still send requests for
+        // endpoints that are no longer owned here. A request that has no
+        // forwards left waits here, and because nothing is owned, no finishing
+        // request would ever wake it.
+        wakes.extend(self.reroute_waiting());
+        wakes.extend(self.dispatch_waiting(now));
         wakes
     }
 
-    fn tidy(&mut self, now: Moment) {
-        if since(now, self.tidied) < TIDIED {
+    fn expire_tables(&mut self, now: Moment) {
+        if since(now, self.last_expiry) < EXPIRY_INTERVAL {
             return;
         }
-        self.tidied = now;
-        self.means.expire(now);
+        self.last_expiry = now;
+        self.peer_load.expire(now);
         self.quarantine.expire(now);
     }
 
-    fn time_out(&mut self, now: Moment) -> Vec<Wake> {
-        let mut gone = Vec::new();
+    fn refuse_expired(&mut self, now: Moment) -> Vec<Wake> {
+        let mut removed = Vec::new();
         for queue in self.queues.values_mut() {
-            while let Some(expired) = queue.expired(now) {
-                gone.push(expired);
+            while let Some(expired) = queue.pop_expired(now) {
+                removed.push(expired);
             }
         }
-        gone.into_iter()
+        removed
+            .into_iter()
             .map(|(ticket, job)| {
-                self.left(ticket, &job);
+                self.release_ticket(ticket, &job);
                 Wake {
                     ticket,
                     next: Next::Refuse(Refusal::new(Reason::Deadline)),
@@ -294,62 +304,70 @@
             .collect()
     }
 
-    /// Takes in an endpoint's own lagging report.
-    pub fn observe(&mut self, endpoint: EndpointId, report: &Report) {
-        let Some(book) = self.books.get_mut(&endpoint) else {
+    /// Applies an endpoint's own report, which lags behind.
+    pub fn apply_report(&mut self, endpoint: EndpointId, report: &Report) {
+        let Some(state) = self.states.get_mut(&endpoint) else {
             return;
         };
-        if book.health.hear(report.incarnation, report.standing) {
-            book.broke = None;
+        if state
+            .health
+            .update_standing(report.incarnation, report.standing)
+        {
+            state.broken_at = None;
         }
-        if report.incarnation == book.health.incarnation() {
-            book.compare(report);
-            self.acquit(endpoint, report.taken);
+        if report.incarnation == state.health.incarnation() {
+            state.apply_report(report);
+            self.retract_crashes(endpoint, report.taken);
         }
     }
 
-    // The incarnation that a connection broke to was alive afterwards, so it
-    // had not crashed.
-    fn acquit(&mut self, endpoint: EndpointId, alive: Moment) {
-        let Some(book) = self.books.get_mut(&endpoint) else {
+    // A report taken after the connection broke shows that the same
+    // incarnation was still alive, so it had not crashed.
+    fn retract_crashes(&mut self, endpoint: EndpointId, alive: Moment) {
+        let Some(state) = self.states.get_mut(&endpoint) else {
             return;
         };
-        if book.broke.is_none_or(|broke| alive <= broke) {
+        if state.broken_at.is_none_or(|broken_at| alive <= broken_at) {
             return;
         }
-        book.broke = None;
-        let incarnation = book.health.incarnation();
-        for evidence in self.quarantine.acquit(endpoint, incarnation, alive) {
-            self.outbox.push(evidence);
+        state.broken_at = None;
+        let incarnation = state.health.incarnation();
+        for evidence in self
+            .quarantine
+            .retract_crashes(endpoint, incarnation, alive)
+        {
+            self.unsent_evidence.push(evidence);
         }
     }
 
-    /// Takes in an engine's cache event, which may be late and follow a gap.
-    pub fn cache_event(&mut self, endpoint: EndpointId, event: &chats::Event) {
-        let row = self.chats.peek(event.pool, event.chat);
-        let seen = row.filter(|row| row.endpoint == endpoint && row.seen <= event.at);
-        if let (chats::Kind::Evicted, Some(seen), Some(book)) = (
+    /// Applies an engine's cache event. Events may be late, and earlier ones
+    /// may have been lost.
+    pub fn apply_cache_event(&mut self, endpoint: EndpointId, event: &chats::Event) {
+        let location = self.chats.peek(event.pool, event.chat);
+        let seen =
+            location.filter(|location| location.endpoint == endpoint && location.seen <= event.at);
+        if let (chats::Kind::Evicted, Some(seen), Some(state)) = (
             event.kind,
-            seen.map(|row| row.seen),
-            self.books.get_mut(&endpoint),
+            seen.map(|location| location.seen),
+            self.states.get_mut(&endpoint),
         ) {
-            book.evicted(seen);
+            state.record_eviction(seen);
         }
-        self.chats.apply(endpoint, event);
+        self.chats.apply_event(endpoint, event);
     }
 
-    /// Returns the load of the owned endpoints of each pool, to be told to
-    /// the others.
+    /// Returns a load summary of the owned endpoints for each pool, to send to
+    /// the other instances.
     #[must_use]
     pub fn summaries(&self, now: Moment) -> Vec<Summary> {
         let pools = self.view.owned_pools().keys();
         pools.map(|pool| self.summary(now, *pool)).collect()
     }
 
-    /// Returns the summary of one pool, to send along with an answer.
+    /// Returns the summary of one pool, to send along with a response.
     #[must_use]
     pub fn summary(&self, now: Moment, pool: Pool) -> Summary {
-        let owned = self.view.owned_of(pool);
+        let owned = self.view.owned_in_pool(pool);
         Summary {
             source: self.view.local(),
             pool,
@@ -360,46 +378,48 @@
         }
     }
 
-    /// Takes in summaries of other instances.
-    pub fn learn(&mut self, summaries: &[Summary]) {
+    /// Records summaries of other instances.
+    pub fn record_summaries(&mut self, summaries: &[Summary]) {
         for summary in summaries {
-            self.means.learn(*summary);
+            self.peer_load.record(*summary);
         }
     }
 
-    /// Returns what became known of requests that crash endpoints since the
-    /// last call. To be sent to every instance at once, not with the gossip:
-    /// the caller may send the request again within milliseconds.
-    pub fn evidence(&mut self) -> Vec<Evidence> {
-        std::mem::take(&mut self.outbox)
+    /// Returns the evidence on requests that crash endpoints collected since
+    /// the last call.
+    ///
+    /// The caller must send it to every instance at once rather than with the
+    /// gossip, because the request may be resent within milliseconds.
+    pub fn take_evidence(&mut self) -> Vec<Evidence> {
+        std::mem::take(&mut self.unsent_evidence)
     }
 
-    /// Returns what is known of one digest, to send along with the request.
+    /// Returns the evidence on one digest, to send along with the request.
     #[must_use]
-    pub fn evidence_on(&self, digest: &BodyDigest) -> Vec<Evidence> {
-        self.quarantine.on(digest)
+    pub fn evidence_for(&self, digest: &BodyDigest) -> Vec<Evidence> {
+        self.quarantine.evidence_for(digest)
     }
 
-    /// Returns the quarantine, for operators to look at.
+    /// Returns the quarantine table, for operators to inspect.
     #[must_use]
     pub const fn quarantine(&self) -> &quarantine::Table {
         &self.quarantine
     }
 
-    /// Takes in evidence of other instances; returns what was new, to be
+    /// Records evidence from other instances and returns what was new, to be
     /// passed on.
-    pub fn learn_evidence(&mut self, evidence: &[Evidence]) -> Vec<Evidence> {
-        let fresh = evidence.iter().copied();
-        fresh.filter(|e| self.quarantine.learn(*e)).collect()
+    pub fn record_evidence(&mut self, evidence: &[Evidence]) -> Vec<Evidence> {
+        let candidates = evidence.iter().copied();
+        candidates.filter(|e| self.quarantine.insert(*e)).collect()
     }
 
-    /// Returns the number of requests that run.
+    /// Returns the number of running requests.
     #[must_use]
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Returns the number of requests that wait.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.tickets.len()
@@ -408,15 +428,16 @@
     /// Returns the work counted on an endpoint, in tokens.
     #[must_use]
     pub fn load(&self, endpoint: EndpointId) -> u64 {
-        self.books.get(&endpoint).map_or(0, Book::load)
+        self.states.get(&endpoint).map_or(0, EndpointState::load)
     }
 }
 
-/// From one look for what has expired to the next.
-const TIDIED: Duration = Duration::from_secs(5);
+/// How often expired entries are removed from the tables.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The longest that one call spends on a queue, in requests looked at.
-const LOOKED_AT: usize = 64;
+/// Maximum number of queued requests that one call examines.
+const MAX_QUEUE_SCAN: usize = 64;
 
-/// How long the first in a queue may be passed by others that fit.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// How long later requests that fit may be dispatched ahead of the first one
+/// in a queue.
+const MAX_HEAD_BYPASS: Duration = Duration::from_secs(2);
--- a/crates/decide/src/owner/change.rs
+++ b/crates/decide/src/owner/change.rs
@@ -1,4 +1,5 @@
-//! What a change of lists moves: homes, owners, and those who wait.
+//! Applies changes of the instance and endpoint lists: moved homes, moved
+//! ownership, and waiting requests that must move.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -7,7 +8,7 @@
 use godwitpost_types::id::{ChatId, EndpointId, Incarnation, InstanceId};
 use godwitpost_types::policy::Policy;
 
-use super::book::Book;
+use super::endpoint::EndpointState;
 use super::job::Job;
 use super::{Next, Owner, Wake};
 use crate::chats::Location;
@@ -15,161 +16,185 @@
 use crate::refusal::{Reason, Refusal};
 use crate::view::{Pool, View};
 
-/// Part of the mean that an endpoint taken over is presumed to be above it:
-/// a fifth, so that it gets little before its first report.
-const PRESUMED: u64 = 5;
+/// Divisor for the part of the mean work by which an endpoint taken over is
+/// assumed to exceed it. A fifth above the mean keeps it from getting much
+/// work before its first report.
+const PRESUMED_EXCESS_DIVISOR: u64 = 5;
 
-/// Locations looked at in one call of [`Owner::handover`], some 200 us.
-const HANDED: usize = 512;
+/// Locations examined in one call of [`Owner::next_handover_batch`], which
+/// takes about 200 us.
+const HANDOVER_BATCH: usize = 512;
 
 impl Owner {
-    /// Goes over to a new view and policy.
+    /// Switches to a new view and policy.
     ///
-    /// Running requests stay counted until they finish. Those that wait for a
-    /// pool of which nothing is owned here any more move to its owners.
-    pub fn adopt(&mut self, now: Moment, view: Arc<View>, policy: Arc<Policy>) -> Vec<Wake> {
-        self.lose(&view);
+    /// Running requests stay counted until they finish. Requests that wait for
+    /// a pool without owned endpoints move to the owners of that pool.
+    pub fn apply_view(&mut self, now: Moment, view: Arc<View>, policy: Arc<Policy>) -> Vec<Wake> {
+        self.start_handover(&view);
         let pools = view.owned_pools().keys();
-        let means = pools.map(|pool| (*pool, self.mean(now, *pool))).collect();
-        let last = std::mem::replace(&mut self.view, view);
+        let means = pools
+            .map(|pool| (*pool, self.mean_work(now, *pool)))
+            .collect();
+        let previous = std::mem::replace(&mut self.view, view);
         self.policy = policy;
-        self.inherit(now, &last, &means);
-        self.open_books();
-        let mut wakes = self.evict();
-        wakes.extend(self.drain(now));
+        self.add_taken_over(now, &previous, &means);
+        self.sync_states();
+        let mut wakes = self.reroute_waiting();
+        wakes.extend(self.dispatch_waiting(now));
         wakes
     }
 
-    // Homes move with the endpoints and with their owners; what is known of
-    // the chats whose home or context moves goes along.
-    pub(super) fn lose(&mut self, next: &View) {
-        if self.view.same_places(next) {
+    // Home endpoints change with the set of endpoints and with their owners.
+    // The locations of chats whose home endpoint or cache moves to another
+    // owner are handed over to it.
+    pub(super) fn start_handover(&mut self, next: &View) {
+        if self.view.same_ownership(next) {
             return;
         }
-        // With some of the last move left to do, both are done from before it.
-        if self.strays.is_empty() {
-            self.former = Arc::clone(&self.view);
+        // If the previous handover is not complete, the new one compares with
+        // the view from before both.
+        if self.pending_handover.is_empty() {
+            self.handover_base = Arc::clone(&self.view);
         }
-        let rows = self.chats.iter();
-        self.strays = rows
+        let locations = self.chats.iter();
+        self.pending_handover = locations
             .map(|location| (location.pool, location.chat))
             .collect();
     }
 
-    pub(super) fn lives(&self, location: &Location) -> bool {
-        self.lives_on(location.endpoint, location.incarnation)
+    pub(super) fn is_current(&self, location: &Location) -> bool {
+        self.is_current_incarnation(location.endpoint, location.incarnation)
     }
 
-    /// Returns chat locations that belong to other owners in the present
-    /// view, with whom they go to; looks at some of the table in each call,
-    /// and returns `None` when there is no more to look at.
+    /// Returns chat locations that belong to other owners in the current view,
+    /// each with the instance to send it to.
     ///
-    /// Homes move when [`Owner::adopt`] brings other endpoints or instances;
-    /// on a graceful stop, when the view has the local instance as leaving,
-    /// all of them do. Called at each tick, and on a stop until it is done.
-    pub fn handover(&mut self) -> Option<Vec<(InstanceId, Location)>> {
-        if self.strays.is_empty() {
+    /// Each call examines a part of the table; `None` means that nothing is
+    /// left to examine. Home endpoints move when [`Owner::apply_view`] brings
+    /// other endpoints or instances. On a graceful stop, when the view lists
+    /// the local instance as leaving, all of them move. Called at each tick,
+    /// and on a stop until it is done.
+    pub fn next_handover_batch(&mut self) -> Option<Vec<(InstanceId, Location)>> {
+        if self.pending_handover.is_empty() {
             return None;
         }
-        let most = self.strays.len().min(HANDED);
-        let some: Vec<(Pool, ChatId)> = self.strays.drain(..most).collect();
-        let known = some
+        let batch_size = self.pending_handover.len().min(HANDOVER_BATCH);
+        let batch: Vec<(Pool, ChatId)> = self.pending_handover.drain(..batch_size).collect();
+        let known = batch
             .iter()
             .filter_map(|(pool, chat)| self.chats.peek(*pool, *chat));
-        Some(known.flat_map(|location| self.heirs(location)).collect())
+        Some(
+            known
+                .flat_map(|location| self.new_owners(location))
+                .collect(),
+        )
     }
 
-    // The owners of the chat's home and of the endpoint where it is warm, if
-    // they were here in the former view and are elsewhere now.
-    pub(super) fn heirs(&self, location: &Location) -> Vec<(InstanceId, Location)> {
-        if !self.lives(location) || location.tokens == 0 {
+    // Returns the owners of the chat's home endpoint and of the endpoint where
+    // it is cached, as far as they were local in the view before the handover
+    // and are remote now.
+    pub(super) fn new_owners(&self, location: &Location) -> Vec<(InstanceId, Location)> {
+        if !self.is_current(location) || location.tokens == 0 {
             return Vec::new();
         }
         let home = |view: &View| view.ranked(location.pool, location.chat, 0).next();
         let local = self.view.local();
         let moved = |before: Option<EndpointId>, after: Option<EndpointId>| {
-            let here = before.is_some_and(|id| self.former.owner(id) == local);
+            let here = before.is_some_and(|id| self.handover_base.owner(id) == local);
             let owner = after.map(|id| self.view.owner(id))?;
             (here && owner != local).then_some(owner)
         };
         let warm = Some(location.endpoint);
         let owners = [
-            moved(home(&self.former), home(&self.view)),
+            moved(home(&self.handover_base), home(&self.view)),
             moved(warm, warm),
         ];
         let owners: BTreeSet<InstanceId> = owners.into_iter().flatten().collect();
         owners.into_iter().map(|id| (id, *location)).collect()
     }
 
-    /// Takes over chat locations of an instance that stops.
-    pub fn take_over(&mut self, locations: &[Location]) {
-        // The most recently used come first and have to be put last.
+    /// Takes over the chat locations of an instance that stops.
+    pub fn accept_handover(&mut self, locations: &[Location]) {
+        // The sender lists the most recently used first. They must be inserted
+        // last to stay the most recent ones.
         for location in locations.iter().rev() {
-            self.located(*location);
+            self.record_location(*location);
         }
     }
 
-    // An endpoint that was another's until now has work that no report has
-    // shown here yet, and its last owner may go on for seconds. Taken to be
-    // idle, it would get twice its bound; so it is taken to be somewhat above
-    // the mean until a report that was taken from now on says what is there.
-    pub(super) fn inherit(&mut self, now: Moment, last: &View, means: &BTreeMap<Pool, u64>) {
+    // An endpoint that has just changed owners carries work that no report has
+    // shown here yet, and its previous owner may go on dispatching for
+    // seconds. Treated as idle, it would get twice its bound. Its work is
+    // therefore assumed to be somewhat above the mean until a report taken
+    // from now on shows the real figure.
+    pub(super) fn add_taken_over(
+        &mut self,
+        now: Moment,
+        previous: &View,
+        means: &BTreeMap<Pool, u64>,
+    ) {
         let view = Arc::clone(&self.view);
         for (pool, owned) in view.owned_pools() {
             for id in owned {
-                let here = self.books.contains_key(id);
-                let known = last.endpoint(*id).map(|endpoint| endpoint.incarnation);
-                let same = known.filter(|life| self.lives_on(*id, *life));
-                if let Some(incarnation) = same.filter(|_| !here && last.serves(*id, *pool)) {
-                    let mut book = Book::new(incarnation);
+                let here = self.states.contains_key(id);
+                let known = previous.endpoint(*id).map(|endpoint| endpoint.incarnation);
+                let same =
+                    known.filter(|incarnation| self.is_current_incarnation(*id, *incarnation));
+                if let Some(incarnation) = same.filter(|_| !here && previous.serves(*id, *pool)) {
+                    let mut state = EndpointState::new(incarnation);
                     let mean = means.get(pool).copied().unwrap_or(0);
-                    book.presume(now, mean + mean / PRESUMED);
-                    self.books.insert(*id, book);
+                    state.assume_others_work(now, mean + mean / PRESUMED_EXCESS_DIVISOR);
+                    self.states.insert(*id, state);
                 }
             }
         }
     }
 
-    pub(super) fn lives_on(&self, id: EndpointId, incarnation: Incarnation) -> bool {
+    pub(super) fn is_current_incarnation(&self, id: EndpointId, incarnation: Incarnation) -> bool {
         let endpoint = self.view.endpoint(id);
         endpoint.is_some_and(|endpoint| endpoint.incarnation == incarnation)
     }
 
-    // Books of endpoints that the view lost stay while something runs there.
-    pub(super) fn open_books(&mut self) {
+    // Keeps the state of an endpoint that is no longer owned while requests
+    // still run on it.
+    pub(super) fn sync_states(&mut self) {
         let view = Arc::clone(&self.view);
         for endpoint in view.endpoints() {
-            if view.owner(endpoint.id) != view.local() && !self.books.contains_key(&endpoint.id) {
+            if view.owner(endpoint.id) != view.local() && !self.states.contains_key(&endpoint.id) {
                 continue;
             }
-            let book = self.books.entry(endpoint.id);
-            let book = book.or_insert_with(|| Book::new(endpoint.incarnation));
-            book.health.hear(endpoint.incarnation, endpoint.standing);
+            let state = self.states.entry(endpoint.id);
+            let state = state.or_insert_with(|| EndpointState::new(endpoint.incarnation));
+            state
+                .health
+                .update_standing(endpoint.incarnation, endpoint.standing);
         }
-        self.books.retain(|id, book| {
-            book.requests > 0 || (view.endpoint(*id).is_some() && view.owner(*id) == view.local())
+        self.states.retain(|id, state| {
+            state.requests > 0 || (view.endpoint(*id).is_some() && view.owner(*id) == view.local())
         });
     }
 
-    // What waits for a pool with no endpoint left here moves on.
-    pub(super) fn evict(&mut self) -> Vec<Wake> {
+    // Reroutes the requests that wait for a pool without an endpoint owned
+    // here.
+    pub(super) fn reroute_waiting(&mut self) -> Vec<Wake> {
         let view = Arc::clone(&self.view);
-        let here = |pool: Pool| !view.owned_of(pool).is_empty();
+        let here = |pool: Pool| !view.owned_in_pool(pool).is_empty();
         let pools: Vec<Pool> = self.queues.keys().copied().filter(|p| !here(*p)).collect();
         let mut wakes = Vec::new();
         for pool in pools {
             let queue = self.queues.remove(&pool).unwrap_or_default();
             for (ticket, job) in queue.iter() {
-                self.left(ticket, job);
-                let next = self.relocate(job);
+                self.release_ticket(ticket, job);
+                let next = self.reroute(job);
                 wakes.push(Wake { ticket, next });
             }
         }
         wakes
     }
 
-    pub(super) fn relocate(&self, job: &Job) -> Next {
-        match self.home(job) {
+    pub(super) fn reroute(&self, job: &Job) -> Next {
+        match self.home_endpoint(job) {
             Some(endpoint) if !self.owns(endpoint) => {
                 self.forward(job, Hop::first(0, endpoint), endpoint)
             }
--- a/crates/decide/src/resume/events.rs
+++ b/crates/decide/src/resume/events.rs
@@ -1,82 +1,84 @@
-//! Whole events of a stream, cut out of frames.
+//! Splits frames into the complete events of a stream.
 //!
 //! A frame may end in the middle of an event. If the connection breaks there,
-//! the half that came must not reach the caller, since the resumed stream
-//! begins with the same event. So an unfinished event is held back, up to a
-//! limit; a stream that exceeds it, or that ends its lines in a way in which
-//! the end of an event can't be seen, is passed on as it comes from then on.
+//! the first part must not reach the caller, because the resumed stream begins
+//! with the same event. An unfinished event is therefore held back, up to a
+//! limit. A stream is passed on unchanged from the point where it exceeds the
+//! limit or ends its lines in a way that hides the end of an event.
 
-use super::{Resume, Seen};
+use super::{EventOrder, Progress};
 use bytes::{Bytes, BytesMut};
 
-/// Bytes of an unfinished event that are held: far above an event of one
-/// token, and 64 MiB for 1,024 streams that all exceed it.
-const HELD: usize = 64 << 10;
+/// Maximum size of an unfinished event that is held back, in bytes. This is
+/// far above an event of one token, and 64 MiB for 1,024 streams that all
+/// reach it.
+const MAX_PARTIAL_EVENT: usize = 64 << 10;
 
-/// A resumed stream that doesn't go on where it broke off.
+/// A resumed stream does not continue where it broke off.
 #[derive(Debug, displaydoc::Display)]
 #[displaydoc("the endpoint resumed its stream at another event than the next")]
-pub struct Astray;
+pub struct OutOfSequence;
 
-impl std::error::Error for Astray {}
+impl std::error::Error for OutOfSequence {}
 
-/// Cuts frames at the ends of events.
+/// Splits frames at the ends of events.
 #[derive(Debug, Default)]
-pub struct Events {
-    held: BytesMut,
+pub struct EventSplitter {
+    partial: BytesMut,
 }
 
-impl Events {
-    /// Takes a frame in; returns what may be passed on.
+impl EventSplitter {
+    /// Adds a frame and returns the bytes that may be passed on.
     ///
     /// # Errors
     ///
-    /// Returns an error if a resumed stream doesn't go on where it broke off.
-    pub fn push(&mut self, frame: Bytes, resume: &mut Resume) -> Result<Bytes, Astray> {
+    /// Returns an error if a resumed stream does not continue where it broke
+    /// off.
+    pub fn push(&mut self, frame: Bytes, progress: &mut Progress) -> Result<Bytes, OutOfSequence> {
         let mut bytes = self.join(frame);
-        if resume.is_unnumbered() {
+        if progress.is_unnumbered() {
             return Ok(bytes);
         }
-        let whole = match scan(&bytes, resume) {
-            Scan::Whole(whole) => whole,
+        let complete = match scan(&bytes, progress) {
+            Scan::Complete(complete) => complete,
             Scan::Unnumbered => return Ok(bytes),
-            Scan::Astray => return Err(Astray),
+            Scan::OutOfSequence => return Err(OutOfSequence),
         };
-        let rest = bytes.split_off(whole);
-        if rest.len() > HELD {
-            return match resume.unbounded() {
-                Seen::Astray => Err(Astray),
-                Seen::Next | Seen::Unnumbered => {
-                    self.held.extend_from_slice(&bytes);
-                    self.held.extend_from_slice(&rest);
-                    Ok(self.rest())
+        let rest = bytes.split_off(complete);
+        if rest.len() > MAX_PARTIAL_EVENT {
+            return match progress.record_unbounded() {
+                EventOrder::OutOfSequence => Err(OutOfSequence),
+                EventOrder::Next | EventOrder::Unnumbered => {
+                    self.partial.extend_from_slice(&bytes);
+                    self.partial.extend_from_slice(&rest);
+                    Ok(self.take_partial())
                 }
             };
         }
-        self.held.extend_from_slice(&rest);
+        self.partial.extend_from_slice(&rest);
         Ok(bytes)
     }
 
-    /// Takes out what is held of an unfinished event.
+    /// Takes the bytes of an unfinished event.
     #[must_use]
-    pub fn rest(&mut self) -> Bytes {
-        self.held.split().freeze()
+    pub fn take_partial(&mut self) -> Bytes {
+        self.partial.split().freeze()
     }
 
     fn join(&mut self, frame: Bytes) -> Bytes {
-        if self.held.is_empty() {
+        if self.partial.is_empty() {
             return frame;
         }
-        self.held.extend_from_slice(&frame);
-        self.rest()
+        self.partial.extend_from_slice(&frame);
+        self.take_partial()
     }
 }
 
 enum Scan {
-    /// Up to here the events are whole.
-    Whole(usize),
+    /// The events up to this offset are complete.
+    Complete(usize),
     Unnumbered,
-    Astray,
+    OutOfSequence,
 }
 
 #[derive(Default)]
@@ -86,8 +88,8 @@
     done: bool,
 }
 
-fn scan(bytes: &[u8], resume: &mut Resume) -> Scan {
-    let mut whole = 0;
+fn scan(bytes: &[u8], progress: &mut Progress) -> Scan {
+    let mut complete = 0;
     let mut at = 0;
     let mut event = Event::default();
     for line in bytes.split_inclusive(|byte| *byte == b'\n') {
@@ -96,72 +98,73 @@
             break;
         };
         let text = text.strip_suffix(b"\r").unwrap_or(text);
-        // A lone carriage return may end a line, too; no engine known does so.
+        // A lone carriage return may also end a line, but no known engine uses
+        // it.
         if text.contains(&b'\r') {
-            return odd(resume.unbounded());
+            return scan_of(progress.record_unbounded());
         }
         if !text.is_empty() {
-            event.field(text);
+            event.add_line(text);
             continue;
         }
-        match event.end(resume) {
-            Seen::Next => whole = at,
-            seen => return odd(seen),
+        match event.finish(progress) {
+            EventOrder::Next => complete = at,
+            order => return scan_of(order),
         }
         event = Event::default();
     }
-    Scan::Whole(whole)
+    Scan::Complete(complete)
 }
 
-const fn odd(seen: Seen) -> Scan {
-    match seen {
-        Seen::Astray => Scan::Astray,
-        Seen::Next | Seen::Unnumbered => Scan::Unnumbered,
+const fn scan_of(order: EventOrder) -> Scan {
+    match order {
+        EventOrder::OutOfSequence => Scan::OutOfSequence,
+        EventOrder::Next | EventOrder::Unnumbered => Scan::Unnumbered,
     }
 }
 
 impl Event {
-    fn field(&mut self, line: &[u8]) {
+    fn add_line(&mut self, line: &[u8]) {
         let value = |name: &[u8]| line.strip_prefix(name).map(<[u8]>::trim_ascii);
         if let Some(id) = value(b"id:") {
             let text = str::from_utf8(id).ok();
             self.number = text.and_then(|text| text.parse().ok());
         }
-        self.done |= is_mark(line);
-        // A line that begins with a colon is a comment, which keeps a
+        self.done |= is_end_marker(line);
+        // A line that begins with a colon is a comment. It keeps the
         // connection alive and belongs to no event.
         self.fields |= !line.starts_with(b":");
     }
 
-    fn end(&self, resume: &mut Resume) -> Seen {
+    fn finish(&self, progress: &mut Progress) -> EventOrder {
         if !self.fields {
-            return Seen::Next;
+            return EventOrder::Next;
         }
         if self.done && self.number.is_none() {
-            resume.done();
-            return Seen::Next;
+            progress.record_end();
+            return EventOrder::Next;
         }
-        let seen = resume.event(self.number);
+        let order = progress.record_event(self.number);
         if self.done {
-            resume.done();
+            progress.record_end();
         }
-        seen
+        order
     }
 }
 
-fn is_mark(line: &[u8]) -> bool {
+fn is_end_marker(line: &[u8]) -> bool {
     let data = line.strip_prefix(b"data:");
     data.is_some_and(|data| data.trim_ascii() == b"[DONE]")
 }
 
-/// Returns whether the end mark is the last line of an unfinished event.
+/// Returns whether the end marker is the last line of an unfinished event.
 #[must_use]
-pub fn ends_with_mark(bytes: &[u8]) -> bool {
+pub fn ends_with_end_marker(bytes: &[u8]) -> bool {
     let lines = bytes.split(|byte| *byte == b'\n').map(<[u8]>::trim_ascii);
     lines
         .rev()
         .find(|line| !line.is_empty())
-        .is_some_and(is_mark)
+        .is_some_and(is_end_marker)
 }
 
 #[cfg(test)]
--- a/crates/decide/tests/traps/fleet.rs
+++ b/crates/decide/tests/traps/fleet.rs
@@ -1,4 +1,4 @@
-//! A small fleet of views, policies and requests for the tests.
+//! Views, policies and requests of a small fleet, for the tests.
 
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -110,7 +110,7 @@
 }
 
 pub fn home(view: &View, request: &Request) -> (EndpointId, InstanceId) {
-    let pool = godwitpost_decide::view::Pool::of(request);
+    let pool = godwitpost_decide::view::Pool::for_request(request);
     let endpoint = view.ranked(pool, request.chat, 0).next().expect("a home");
     (endpoint, view.owner(endpoint))
 }
--- a/crates/decide/tests/traps/queue.rs
+++ b/crates/decide/tests/traps/queue.rs
@@ -13,7 +13,7 @@
         },
         weight: 1.0,
         work,
-        until: Duration::from_secs(100),
+        deadline: Duration::from_secs(100),
     }
 }
 
@@ -21,8 +21,8 @@
     queue.iter().map(|(_, workspace)| *workspace).collect()
 }
 
-// An artist at a wedding waits for a caption while a fete's workspace has a
-// thousand drafts queued: first come first served would put it last.
+// A workspace has a thousand requests queued when another sends one. In order
+// of arrival, it would go last.
 #[test]
 fn surge_of_one_workspace_does_not_hold_up_another() {
     let mut queue = Queue::default();
@@ -34,11 +34,10 @@
     assert_eq!(place, Some(1));
 }
 
-// A climber stands at the counter asking about ice lines while drafts wait:
-// the stock check has to go before every one of them, however many they are
-// and however long they have waited.
+// An interactive request arrives while drafts wait. It must go before all of
+// them, however many there are and however long they have waited.
 #[test]
-fn order_never_waits_behind_drafts() {
+fn higher_priority_never_waits_behind_lower() {
     let mut queue = Queue::default();
     for ticket in 0..100 {
         queue.push(ticket, &rank(1, 2, 1), 1);
@@ -47,32 +46,32 @@
     assert_eq!(order(&queue).first(), Some(&9));
 }
 
-// A supervisor's lookup is refused with "queue full" at a fete: the workspace
-// of the fete has filled the queue to its last place.
+// A workspace fills the queue to its last place. A request of another
+// workspace would then be refused with "queue full".
 #[test]
-fn surge_that_fills_the_queue_keeps_nobody_out() {
+fn full_queue_still_admits_other_workspaces() {
     let mut queue = Queue::default();
     let (surging, other) = (rank(1, 2, 1), rank(2, 2, 1));
     for ticket in 0..100 {
-        assert!(!queue.full(100, surging.flow));
+        assert!(!queue.is_full_for(100, surging.flow));
         queue.push(ticket, &surging, 1);
     }
-    assert!(queue.full(100, surging.flow));
+    assert!(queue.is_full_for(100, surging.flow));
     for ticket in 100..150 {
-        assert!(!queue.full(100, other.flow));
+        assert!(!queue.is_full_for(100, other.flow));
         queue.push(ticket, &other, 2);
     }
-    assert!(queue.full(100, other.flow));
+    assert!(queue.is_full_for(100, other.flow));
 }
 
-// A workspace that slept through the night must not bank its unused share and
-// hold everybody else up in the morning.
+// A workspace that was idle must not accumulate its unused share and then hold
+// up all the others.
 #[test]
-fn idle_workspace_saves_up_no_share() {
+fn idle_workspace_accumulates_no_share() {
     let mut queue = Queue::default();
     for ticket in 0..100 {
         queue.push(ticket, &rank(1, 2, 100), 1);
-        queue.take(ticket);
+        queue.take_for_dispatch(ticket);
         queue.push(1_000 + ticket, &rank(1, 2, 100), 1);
     }
     for ticket in 2_000..2_010 {
@@ -86,15 +85,15 @@
 fn expired_requests_come_out_in_the_order_of_their_deadlines() {
     let mut queue = Queue::default();
     for (ticket, secs) in [(1, 30), (2, 10), (3, 20)] {
-        let until = Duration::from_secs(secs);
+        let deadline = Duration::from_secs(secs);
         let rank = Rank {
-            until,
+            deadline,
             ..rank(ticket, 2, 1)
         };
         queue.push(ticket, &rank, ticket);
     }
     let now = Duration::from_secs(20);
-    let out: Vec<_> = std::iter::from_fn(|| queue.expired(now)).collect();
+    let out: Vec<_> = std::iter::from_fn(|| queue.pop_expired(now)).collect();
     assert_eq!(out, [(2, 2), (3, 3)]);
     assert_eq!(queue.len(), 1);
 }
--- a/crates/decide/tests/traps/resume.rs
+++ b/crates/decide/tests/traps/resume.rs
@@ -1,78 +1,83 @@
-//! When a broken stream is asked for again, and when it is given up.
+//! When a broken stream is resumed, and when it is given up.
 
 use std::time::Duration;
 
 use godwitpost_decide::entry::Budgets;
-use godwitpost_decide::resume::{Next, Resume, Seen};
+use godwitpost_decide::resume::{EventOrder, Next, Progress};
 use godwitpost_types::clock::Moment;
 
 use crate::fleet;
 
 const NOW: Moment = Duration::from_secs(100);
 
-fn broken(resume: &mut Resume, now: Moment) -> Next {
+fn break_stream(resume: &mut Progress, now: Moment) -> Next {
     let request = fleet::request(1);
-    resume.broken(now, &request, &mut Budgets::default())
+    resume.record_break(now, &request, &mut Budgets::default())
 }
 
-fn numbered(until: u64) -> Resume {
-    let mut resume = Resume::default();
+fn numbered_stream(until: u64) -> Progress {
+    let mut resume = Progress::default();
     for number in 1..=until {
-        assert_eq!(resume.event(Some(number)), Seen::Next);
+        assert_eq!(resume.record_event(Some(number)), EventOrder::Next);
     }
     resume
 }
 
-// An engine's connection breaks again and again under one draft. Asking for
-// ever would keep its editor waiting and load an engine that is already ill.
+// An engine's connection breaks again and again under one stream. Resuming
+// without a limit would keep the caller waiting and load an engine that is
+// already failing.
 #[test]
-fn a_stream_is_asked_for_twice_at_most_and_in_time() {
-    let mut resume = numbered(3);
-    assert_eq!(broken(&mut resume, NOW), Next::Ask { after: 3 });
-    assert_eq!(resume.event(Some(4)), Seen::Next);
-    assert_eq!(broken(&mut resume, NOW), Next::Ask { after: 4 });
-    assert_eq!(broken(&mut resume, NOW), Next::GiveUp);
+fn stream_is_resumed_at_most_twice_before_its_deadline() {
+    let mut resume = numbered_stream(3);
+    assert_eq!(break_stream(&mut resume, NOW), Next::Reconnect { after: 3 });
+    assert_eq!(resume.record_event(Some(4)), EventOrder::Next);
+    assert_eq!(break_stream(&mut resume, NOW), Next::Reconnect { after: 4 });
+    assert_eq!(break_stream(&mut resume, NOW), Next::GiveUp);
     let late = fleet::request(1).deadline;
-    assert_eq!(broken(&mut numbered(3), late), Next::GiveUp);
-    assert_eq!(broken(&mut Resume::default(), NOW), Next::GiveUp);
-    let mut done = numbered(3);
-    done.done();
-    assert_eq!(broken(&mut done, NOW), Next::GiveUp);
+    assert_eq!(break_stream(&mut numbered_stream(3), late), Next::GiveUp);
+    assert_eq!(break_stream(&mut Progress::default(), NOW), Next::GiveUp);
+    let mut done = numbered_stream(3);
+    done.record_end();
+    assert_eq!(break_stream(&mut done, NOW), Next::GiveUp);
 }
 
-// An engine knows nothing of Last-Event-ID and starts the draft anew; the
-// editor would read its opening twice. Another skips an event.
+// One engine ignores Last-Event-ID and restarts the stream, so the caller
+// would receive its beginning twice. Another one skips an event.
 #[test]
-fn a_resumed_stream_has_to_go_on_at_the_next_event() {
+fn resumed_stream_must_continue_at_the_next_event() {
     for wrong in [Some(1), Some(3), Some(5), None] {
-        let mut resume = numbered(3);
-        assert_eq!(broken(&mut resume, NOW), Next::Ask { after: 3 });
-        assert_eq!(resume.event(wrong), Seen::Astray, "{wrong:?}");
+        let mut resume = numbered_stream(3);
+        assert_eq!(break_stream(&mut resume, NOW), Next::Reconnect { after: 3 });
+        assert_eq!(
+            resume.record_event(wrong),
+            EventOrder::OutOfSequence,
+            "{wrong:?}"
+        );
     }
 }
 
-// An engine numbers no events, or not one by one. What it left out could not
-// be told after a break.
+// An engine numbers no events, or not consecutively. After a break it would be
+// impossible to tell what is missing.
 #[test]
-fn a_stream_without_numbers_is_not_asked_for() {
+fn unnumbered_stream_is_not_resumed() {
     for odd in [Some(1), Some(5), None] {
-        let mut resume = numbered(3);
-        assert_eq!(resume.event(odd), Seen::Unnumbered, "{odd:?}");
-        assert_eq!(broken(&mut resume, NOW), Next::GiveUp);
+        let mut resume = numbered_stream(3);
+        assert_eq!(resume.record_event(odd), EventOrder::Unnumbered, "{odd:?}");
+        assert_eq!(break_stream(&mut resume, NOW), Next::GiveUp);
     }
 }
 
-// An engine breaks under every stream of a workspace. Each break would double
-// the requests; the budget of retries bounds them.
+// An engine breaks every stream of a workspace. Each break would double the
+// requests unless the retry budget bounds them.
 #[test]
-fn asking_again_spends_the_budget_of_retries() {
+fn resuming_spends_the_retry_budget() {
     let request = fleet::request(1);
     let (mut plain, mut asking) = (Budgets::default(), Budgets::default());
     let retries = (0..1000)
-        .take_while(|_| plain.spend(NOW, request.workspace, request.service))
+        .take_while(|_| plain.try_withdraw(NOW, request.workspace, request.service))
         .count();
     let asked = (0..1000)
-        .take_while(|_| numbered(1).broken(NOW, &request, &mut asking) != Next::GiveUp)
+        .take_while(|_| numbered_stream(1).record_break(NOW, &request, &mut asking) != Next::GiveUp)
         .count();
     assert_eq!(asked, retries);
     assert!(asked > 0);
--- a/crates/direct/src/attempt/tests.rs
+++ b/crates/direct/src/attempt/tests.rs
@@ -1,121 +1,130 @@
 use http::StatusCode;
 use proptest::prelude::*;
 
-use super::{Attempts, Ending, Next, Verdict, judge};
-use crate::dialect::Answer;
+use super::{Attempts, Failure, Next, Verdict, classify_response};
+use crate::dialect::ResponseFields;
 use crate::refusal::Reason;
 
-fn answer(attempt: &str) -> Answer {
-    Answer {
-        attempt: Some(attempt.to_owned()),
+fn response_fields(attempt: &str) -> ResponseFields {
+    ResponseFields {
+        attempt_id: Some(attempt.to_owned()),
         signed: true,
-        ..Answer::default()
+        ..ResponseFields::default()
     }
 }
 
-fn verdict(status: u16, answer: &Answer, idempotent: bool) -> Verdict {
+fn verdict(status: u16, fields: &ResponseFields, idempotent: bool) -> Verdict {
     let status = StatusCode::from_u16(status).expect("a status");
-    judge(status, answer, "a1", idempotent)
+    classify_response(status, fields, "a1", idempotent)
 }
 
-/// An endpoint answered one request twice. The second answer arrived where the
-/// next caller's was due, who got a stranger's chat.
+/// Guards against relaying another request's response. An endpoint responded to one
+/// request twice, and the second response arrived in place of the next caller's.
 #[test]
-fn an_answer_to_another_attempt_is_nobodys() {
+fn response_to_another_attempt_is_not_relayed() {
     assert_eq!(
-        verdict(200, &answer("a0"), true),
-        Verdict::Ended(Ending::Lost)
+        verdict(200, &response_fields("a0"), true),
+        Verdict::Failed(Failure::Lost)
     );
-    assert_eq!(verdict(200, &answer("a1"), false), Verdict::Relay);
+    assert_eq!(verdict(200, &response_fields("a1"), false), Verdict::Relay);
 }
 
-/// An endpoint ran an order, then said 503 without its word that it had not
-/// run. Passed on, the caller sends the order again.
+/// Guards against relaying a 503 for a request that did run: the caller takes it as not
+/// run and sends the order again.
 #[test]
-fn a_promise_without_the_endpoints_word_is_not_passed_on() {
-    let failed = Verdict::Ended(Ending::Failed);
-    assert_eq!(verdict(503, &answer("a1"), false), failed);
-    assert_eq!(verdict(429, &answer("a1"), false), failed);
-    let refused = Answer {
+fn unconfirmed_not_run_status_is_not_relayed() {
+    let failed = Verdict::Failed(Failure::Failed);
+    assert_eq!(verdict(503, &response_fields("a1"), false), failed);
+    assert_eq!(verdict(429, &response_fields("a1"), false), failed);
+    let refused = ResponseFields {
         not_run: true,
-        ..answer("a1")
+        ..response_fields("a1")
     };
     assert_eq!(
         verdict(503, &refused, false),
-        Verdict::Ended(Ending::Refused)
+        Verdict::Failed(Failure::Refused)
     );
 }
 
 #[test]
-fn a_success_that_nobody_signed_is_no_answer() {
-    let unsigned = Answer {
+fn unsigned_or_encoded_success_is_not_relayed() {
+    let unsigned = ResponseFields {
         signed: false,
-        ..answer("a1")
+        ..response_fields("a1")
     };
-    assert_eq!(verdict(200, &unsigned, true), Verdict::Ended(Ending::Lost));
-    let coded = Answer {
-        coded: true,
-        ..answer("a1")
+    assert_eq!(
+        verdict(200, &unsigned, true),
+        Verdict::Failed(Failure::Lost)
+    );
+    let encoded = ResponseFields {
+        content_encoded: true,
+        ..response_fields("a1")
     };
-    assert_eq!(verdict(200, &coded, true), Verdict::Ended(Ending::Lost));
+    assert_eq!(verdict(200, &encoded, true), Verdict::Failed(Failure::Lost));
 }
 
 #[test]
-fn failures_of_the_endpoint_may_be_tried_elsewhere_if_that_does_no_harm() {
-    assert_eq!(verdict(500, &answer("a1"), true), Verdict::Fallback);
-    assert_eq!(verdict(500, &answer("a1"), false), Verdict::Relay);
-    assert_eq!(verdict(404, &answer("a1"), true), Verdict::Relay);
+fn server_errors_are_retried_if_idempotent() {
+    assert_eq!(
+        verdict(500, &response_fields("a1"), true),
+        Verdict::Fallback
+    );
+    assert_eq!(verdict(500, &response_fields("a1"), false), Verdict::Relay);
+    assert_eq!(verdict(404, &response_fields("a1"), true), Verdict::Relay);
 }
 
-fn ending() -> impl Strategy<Value = Ending> {
+fn failure() -> impl Strategy<Value = Failure> {
     prop_oneof![
-        Just(Ending::NotSent),
-        Just(Ending::Refused),
-        Just(Ending::Failed),
-        Just(Ending::Lost),
+        Just(Failure::NotSent),
+        Just(Failure::Refused),
+        Just(Failure::Failed),
+        Just(Failure::Lost),
     ]
 }
 
-/// A booking's connection broke after it was sent. Sent to another endpoint,
-/// it puts two artists at one christening.
+/// Guards against running a request twice. The connection broke after the request was
+/// sent, and a booking sent to another endpoint is made twice.
 #[test]
-fn an_unrepeatable_request_of_unknown_fate_is_never_sent_again() {
+fn non_idempotent_request_of_unknown_outcome_is_not_retried() {
     let mut attempts = Attempts::new(false, 3);
-    assert_eq!(attempts.ended(Ending::Lost), Next::GiveUp(Reason::Broken));
+    assert_eq!(
+        attempts.record_failure(Failure::Lost),
+        Next::GiveUp(Reason::Broken)
+    );
 }
 
 #[test]
-fn what_reached_nobody_is_free_and_goes_on() {
+fn unreached_attempts_are_retried_without_budget() {
     let mut attempts = Attempts::new(false, 1);
-    let again = Next::Again { repeat: false };
-    assert_eq!(attempts.ended(Ending::NotSent), again);
-    assert_eq!(attempts.ended(Ending::NotSent), again);
-    assert_eq!(attempts.ended(Ending::NotSent), again);
+    let free_retry = Next::Retry { uses_budget: false };
+    assert_eq!(attempts.record_failure(Failure::NotSent), free_retry);
+    assert_eq!(attempts.record_failure(Failure::NotSent), free_retry);
+    assert_eq!(attempts.record_failure(Failure::NotSent), free_retry);
     assert_eq!(
-        attempts.ended(Ending::NotSent),
+        attempts.record_failure(Failure::NotSent),
         Next::GiveUp(Reason::Unreachable)
     );
 }
 
 proptest! {
-    // Whatever happens, a promise is true, and no more endpoints than allowed
-    // get the request.
+    // Checks for any order of failures that a reported outcome is true, and that no more
+    // endpoints than allowed receive the request.
     #[test]
-    fn promises_hold_in_any_order_of_endings(
+    fn outcome_is_true_for_any_order_of_failures(
         idempotent: bool,
-        most in 1_u32..4,
-        endings in prop::collection::vec(ending(), 1..12),
+        max_sends in 1_u32..4,
+        endings in prop::collection::vec(failure(), 1..12),
     ) {
-        let mut attempts = Attempts::new(idempotent, most);
+        let mut attempts = Attempts::new(idempotent, max_sends);
         let (mut sent, mut ran) = (0, 0);
-        for ending in endings {
-            sent += u32::from(ending != Ending::NotSent);
-            ran += u32::from(matches!(ending, Ending::Lost | Ending::Failed));
-            prop_assert!(sent <= most);
+        for failure in endings {
+            sent += u32::from(failure != Failure::NotSent);
+            ran += u32::from(matches!(failure, Failure::Lost | Failure::Failed));
+            prop_assert!(sent <= max_sends);
             prop_assert!(idempotent || ran <= 1);
-            match attempts.ended(ending) {
-                Next::Again { repeat } => {
-                    prop_assert_eq!(repeat, sent > 0);
+            match attempts.record_failure(failure) {
+                Next::Retry { uses_budget } => {
+                    prop_assert_eq!(uses_budget, sent > 0);
                     prop_assert!(idempotent || ran == 0);
                 }
                 Next::GiveUp(reason) => {
--- a/crates/direct/src/book/belief.rs
+++ b/crates/direct/src/book/belief.rs
@@ -1,60 +1,62 @@
-//! What an endpoint's load is believed to be between its reports.
+//! Estimates an endpoint's load between its reports.
 //!
-//! A report tells of one moment. The requests that it counted end one by one and
-//! others come in their place: after about the time that a request lasts it says
-//! little, and what is usual at the endpoint says more. What is believed therefore
-//! comes with how far it may be off, so that hundreds of instances that were told
-//! the same don't all take it for the truth.
+//! A report describes one moment. The requests that it counted end one by one and others
+//! replace them: after about the duration of a request it says little, and the mean of
+//! the endpoint's reports says more. So an estimate comes with a standard deviation,
+//! which keeps hundreds of instances that got the same report from all relying on it as
+//! exact.
 
 use std::time::Duration;
 
 use godwitpost_types::clock::{Moment, since};
 
-/// The time in seconds over which reports count towards what is usual.
-const USUAL: f64 = 5.0;
+/// The time in seconds over which the weight of a report in the mean falls to 1/e.
+const REPORT_DECAY_SECONDS: f64 = 5.0;
 
-/// Reports closer together than this, in seconds, count for less: they tell of the
-/// same requests.
-const APART: f64 = 1.0;
+/// Reports that are closer together than this, in seconds, have a lower weight, since
+/// they count the same requests.
+const REPORT_CORRELATION_SECONDS: f64 = 1.0;
 
-/// How many reports the mean of the service is worth, beside an endpoint's own.
-const PRIOR: f64 = 1.0;
+/// The weight of the service's mean, as a number of an endpoint's own reports.
+const PRIOR_WEIGHT: f64 = 1.0;
 
-/// How long a request lasts at an endpoint, in seconds, before one has ended.
-const LASTS: f64 = 1.0;
+/// The duration of requests in seconds that is assumed before one has ended.
+const DEFAULT_DURATION_SECONDS: f64 = 1.0;
 
-/// The part that an ended request keeps when the next one ends.
-const KEPT: f64 = 0.9;
+/// The factor by which earlier requests count less whenever a request ends.
+const DURATION_DECAY: f64 = 0.9;
 
-/// What other instances have at an endpoint, by its reports.
+/// The reported numbers of other instances' requests at an endpoint.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Reports {
+pub(super) struct ReportHistory {
     others: u32,
     at: Option<Moment>,
     sum: f64,
     weight: f64,
 }
 
-/// What reports of some endpoints come to; sums over them give their mean.
+/// The weighted sum of reports; adding up those of several endpoints gives their common
+/// mean.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Usual {
+pub(super) struct WeightedMean {
     sum: f64,
     weight: f64,
 }
 
-/// What others are believed to have at an endpoint now.
+/// The estimated number of other instances' requests at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Belief {
-    /// Requests of others.
+pub(super) struct Estimate {
+    /// Requests of other instances.
     pub(super) others: f64,
-    /// How far that may be off, as a standard deviation.
-    pub(super) spread: f64,
-    /// How much of it was reported rather than taken from other endpoints, 0 to 1.
+    /// The standard deviation of `others`.
+    pub(super) std_dev: f64,
+    /// How much of `others` is based on the endpoint's own reports rather than on other
+    /// endpoints, 0 to 1.
     pub(super) known: f64,
 }
 
-impl Usual {
-    /// Returns what is usual at any of the endpoints.
+impl WeightedMean {
+    /// Returns the weighted mean, or 0 without reports.
     pub(super) fn mean(self) -> f64 {
         if self.weight > 0.0 {
             self.sum / self.weight
@@ -64,7 +66,7 @@
     }
 }
 
-impl std::iter::Sum for Usual {
+impl std::iter::Sum for WeightedMean {
     fn sum<I: Iterator<Item = Self>>(iter: I) -> Self {
         iter.fold(Self::default(), |sum, one| Self {
             sum: sum.sum + one.sum,
@@ -73,99 +75,103 @@
     }
 }
 
-impl Reports {
-    /// Takes in what others had at a moment.
+impl ReportHistory {
+    /// Adds the number of other instances' requests at a moment.
     pub(super) fn add(&mut self, others: u32, at: Moment) {
-        let gap = self.at.map_or(f64::INFINITY, |then| seconds(at, then));
-        let keep = (-gap / USUAL).exp();
-        let gain = 1.0 - (-gap / APART).exp();
-        self.sum = self.sum * keep + gain * f64::from(others);
-        self.weight = self.weight * keep + gain;
+        let gap = self.at.map_or(f64::INFINITY, |last| seconds(at, last));
+        let decay = (-gap / REPORT_DECAY_SECONDS).exp();
+        let gain = 1.0 - (-gap / REPORT_CORRELATION_SECONDS).exp();
+        self.sum = self.sum * decay + gain * f64::from(others);
+        self.weight = self.weight * decay + gain;
         self.others = others;
         self.at = self.at.max(Some(at));
     }
 
-    /// Returns what others had at the last report.
-    pub(super) const fn others(&self) -> u32 {
+    /// Returns the number of other instances' requests in the last report.
+    pub(super) const fn last_others(&self) -> u32 {
         self.others
     }
 
-    /// Returns how many of them are left where the last report counts this much.
-    pub(super) fn left(&self, weight: f64) -> u32 {
-        // No greater than what was reported.
+    /// Returns how many of these are left if the last report has this weight.
+    pub(super) fn decayed_others(&self, weight: f64) -> u32 {
+        // At most the reported number.
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
             reason = "0 to others"
         )]
-        let left = (f64::from(self.others) * weight).round() as u32;
-        left
+        let remaining = (f64::from(self.others) * weight).round() as u32;
+        remaining
     }
 
     /// Returns when the last report was made.
-    pub(super) const fn at(&self) -> Option<Moment> {
+    pub(super) const fn last_at(&self) -> Option<Moment> {
         self.at
     }
 
-    /// Returns what the reports come to by now.
-    pub(super) fn usual(&self, now: Moment) -> Usual {
-        let keep = (-self.age(now) / USUAL).exp();
-        Usual {
-            sum: self.sum * keep,
-            weight: self.weight * keep,
+    /// Returns the weighted sum of the reports as of `now`.
+    pub(super) fn decayed_mean(&self, now: Moment) -> WeightedMean {
+        let decay = (-self.age(now) / REPORT_DECAY_SECONDS).exp();
+        WeightedMean {
+            sum: self.sum * decay,
+            weight: self.weight * decay,
         }
     }
 
-    /// Returns what is believed where requests last this many seconds and endpoints
-    /// have `mean` requests of others.
-    pub(super) fn believe(&self, mean: f64, lasts: f64, now: Moment) -> Belief {
-        let usual = self.usual(now);
-        let known = usual.weight / (usual.weight + PRIOR);
-        let usual = (usual.sum + PRIOR * mean) / (usual.weight + PRIOR);
-        let left = (-self.age(now) / lasts).exp();
-        // Requests come and end independently: where as many are usual, their number
-        // varies by its square root, less what is left of those that were reported.
-        let varies = usual * (1.0 - left * left);
-        Belief {
-            others: f64::from(self.others) * left + usual * (1.0 - left),
-            spread: varies.max(0.0).sqrt(),
-            known: left + (1.0 - left) * known,
+    /// Returns the estimate at `now`, where requests last `mean_duration` seconds and the
+    /// endpoints have `mean` requests of other instances on average.
+    pub(super) fn estimate(&self, mean: f64, mean_duration: f64, now: Moment) -> Estimate {
+        let recent = self.decayed_mean(now);
+        let known = recent.weight / (recent.weight + PRIOR_WEIGHT);
+        let mean_others = (recent.sum + PRIOR_WEIGHT * mean) / (recent.weight + PRIOR_WEIGHT);
+        let remaining = (-self.age(now) / mean_duration).exp();
+        // Requests arrive and end independently, so the variance of their number equals
+        // its mean, less what is left of the reported requests.
+        let variance = mean_others * (1.0 - remaining * remaining);
+        Estimate {
+            others: f64::from(self.others) * remaining + mean_others * (1.0 - remaining),
+            std_dev: variance.max(0.0).sqrt(),
+            known: remaining + (1.0 - remaining) * known,
         }
     }
 
-    // Seconds since the last report; none is as old as can be.
+    // Returns the seconds since the last report; infinite if there is none.
     fn age(&self, now: Moment) -> f64 {
         self.at.map_or(f64::INFINITY, |at| seconds(now, at))
     }
 }
 
-/// How long requests lasted at an endpoint.
+/// Statistics of the duration of requests at an endpoint.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Lasting {
+pub(super) struct DurationStats {
     time: f64,
     squares: f64,
 }
 
-impl Lasting {
-    /// Takes in a request that has ended.
-    pub(super) fn add(&mut self, lasted: Duration) {
-        let lasted = lasted.as_secs_f64();
-        self.time = self.time * KEPT + lasted;
-        self.squares = self.squares * KEPT + lasted * lasted;
+impl DurationStats {
+    /// Adds a request that has ended.
+    pub(super) fn add(&mut self, duration: Duration) {
+        let duration = duration.as_secs_f64();
+        self.time = self.time * DURATION_DECAY + duration;
+        self.squares = self.squares * DURATION_DECAY + duration * duration;
     }
 }
 
-/// Returns how long the requests that run at a moment last on average, in seconds.
-/// Long ones are met running for longer, so they count by their length.
-pub(super) fn lasts(all: impl Iterator<Item = Lasting>) -> f64 {
+/// Returns the mean duration in seconds of the requests that run at a moment. Long
+/// requests are more likely to be running, so they are weighted by their duration.
+pub(super) fn mean_duration(all: impl Iterator<Item = DurationStats>) -> f64 {
     let (time, squares) = all.fold((0.0, 0.0), |(time, squares), one| {
         (time + one.time, squares + one.squares)
     });
-    if squares > 0.0 { squares / time } else { LASTS }
+    if squares > 0.0 {
+        squares / time
+    } else {
+        DEFAULT_DURATION_SECONDS
+    }
 }
 
-fn seconds(now: Moment, then: Moment) -> f64 {
-    since(now, then).as_secs_f64()
+fn seconds(now: Moment, earlier: Moment) -> f64 {
+    since(now, earlier).as_secs_f64()
 }
 
 #[cfg(test)]
--- a/crates/direct/src/book/belief/tests.rs
+++ b/crates/direct/src/book/belief/tests.rs
@@ -1,61 +1,71 @@
 use std::time::Duration;
 
-use super::{LASTS, Lasting, Reports, Usual, lasts};
+use super::{DEFAULT_DURATION_SECONDS, DurationStats, ReportHistory, WeightedMean, mean_duration};
 
 const fn at(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-fn near(value: f64, wanted: f64) -> bool {
-    (value - wanted).abs() < 0.05
+fn near(value: f64, expected: f64) -> bool {
+    (value - expected).abs() < 0.05
 }
 
 #[test]
-fn what_is_usual_outlasts_a_report() {
-    let mut reports = Reports::default();
+fn the_mean_outlasts_a_report() {
+    let mut reports = ReportHistory::default();
     for second in 0..20 {
         reports.add(6, at(1_000 * second));
     }
     reports.add(0, at(19_500));
-    // At once it is the report, soon after what was usual, and in the end the mean.
-    assert!(near(reports.believe(2.0, 0.06, at(19_500)).others, 0.0));
-    let soon = reports.believe(2.0, 0.06, at(20_000)).others;
-    assert!((4.0..6.0).contains(&soon), "{soon}");
-    assert!(near(reports.believe(2.0, 0.06, at(90_000)).others, 2.0));
+    // Right after a report the estimate equals it, soon after it is near the endpoint's
+    // mean, and in the end near the service's mean.
+    assert!(near(reports.estimate(2.0, 0.06, at(19_500)).others, 0.0));
+    let shortly_after = reports.estimate(2.0, 0.06, at(20_000)).others;
+    assert!((4.0..6.0).contains(&shortly_after), "{shortly_after}");
+    assert!(near(reports.estimate(2.0, 0.06, at(90_000)).others, 2.0));
 }
 
-/// A hundred answers come from an endpoint within a tenth of a second, all while the
-/// same long prompt is read there. They are not a hundred reasons to think it slow.
+/// A hundred responses come from an endpoint within a tenth of a second, all while it
+/// processes the same long prompt. They must not count as a hundred separate reports of a
+/// busy endpoint.
 #[test]
 fn reports_at_the_same_time_count_as_one() {
-    let usual = |count: u64| {
-        let mut reports = Reports::default();
+    let decayed_mean = |count: u64| {
+        let mut reports = ReportHistory::default();
         reports.add(2, at(0));
         for n in 0..count {
             reports.add(9, at(5_000 + n));
         }
-        reports.usual(at(5_100)).mean()
+        reports.decayed_mean(at(5_100)).mean()
     };
-    assert!(usual(100) - usual(1) < 0.6, "{} {}", usual(1), usual(100));
+    assert!(
+        decayed_mean(100) - decayed_mean(1) < 0.6,
+        "{} {}",
+        decayed_mean(1),
+        decayed_mean(100)
+    );
 }
 
 #[test]
-fn of_an_endpoint_without_reports_nothing_is_known() {
-    let belief = Reports::default().believe(4.0, LASTS, at(1_000));
-    assert!(near(belief.others, 4.0) && near(belief.spread, 2.0));
-    assert!(near(belief.known, 0.0));
-    assert!(near(Usual::default().mean(), 0.0));
+fn an_endpoint_without_reports_gets_the_mean() {
+    let estimate = ReportHistory::default().estimate(4.0, DEFAULT_DURATION_SECONDS, at(1_000));
+    assert!(near(estimate.others, 4.0) && near(estimate.std_dev, 2.0));
+    assert!(near(estimate.known, 0.0));
+    assert!(near(WeightedMean::default().mean(), 0.0));
 }
 
 #[test]
-fn long_requests_are_met_running_for_longer() {
-    assert!(near(lasts(std::iter::empty()), LASTS));
-    let mut lasting = Lasting::default();
+fn long_requests_weigh_more_in_the_mean_duration() {
+    assert!(near(
+        mean_duration(std::iter::empty()),
+        DEFAULT_DURATION_SECONDS
+    ));
+    let mut durations = DurationStats::default();
     for _ in 0..50 {
-        lasting.add(at(100));
-        lasting.add(at(1_900));
+        durations.add(at(100));
+        durations.add(at(1_900));
     }
-    // Of those met running nineteen of twenty are long.
-    let lasts = lasts([lasting].into_iter());
-    assert!((1.7..1.9).contains(&lasts), "{lasts}");
+    // Nineteen of twenty requests that are running at a moment are long.
+    let mean_duration = mean_duration([durations].into_iter());
+    assert!((1.7..1.9).contains(&mean_duration), "{mean_duration}");
 }
--- a/crates/direct/src/budget/tests.rs
+++ b/crates/direct/src/budget/tests.rs
@@ -12,31 +12,31 @@
     Duration::from_millis(millis)
 }
 
-/// All endpoints of a service fail at once, and each request asks for a
-/// second try. Unbounded, the fleet doubles the load of an outage.
+/// Guards against retries that double the load when all endpoints of a service fail at
+/// once.
 #[test]
-fn repeats_stay_a_part_of_the_requests() {
+fn retries_are_limited_to_a_ratio_of_requests() {
     let mut budget = Budget::new(RATE);
     let mut granted = 0;
     for n in 0..1_000 {
-        budget.request(1, at(n * 10));
-        granted += u32::from(budget.take(1, at(n * 10)));
+        budget.record_request(1, at(n * 10));
+        granted += u32::from(budget.try_take(1, at(n * 10)));
     }
     assert!((100..=203).contains(&granted), "{granted}");
 }
 
 #[test]
-fn a_quiet_service_has_its_allowance_and_gets_it_back() {
+fn idle_service_regains_its_allowance() {
     let mut budget = Budget::new(RATE);
-    let taken = (0..5).filter(|_| budget.take(1, at(0))).count();
+    let taken = (0..5).filter(|_| budget.try_take(1, at(0))).count();
     assert_eq!(taken, 3);
-    assert!(!budget.take(1, at(9_000)));
-    assert!(budget.take(1, at(11_000)));
+    assert!(!budget.try_take(1, at(9_000)));
+    assert!(budget.try_take(1, at(11_000)));
 }
 
 #[test]
-fn services_have_budgets_of_their_own() {
+fn services_have_separate_budgets() {
     let mut budget = Budget::new(RATE);
-    while budget.take(1, at(0)) {}
-    assert!(budget.take(2, at(0)));
+    while budget.try_take(1, at(0)) {}
+    assert!(budget.try_take(2, at(0)));
 }
--- a/crates/direct/src/roster.rs
+++ b/crates/direct/src/roster.rs
@@ -1,24 +1,25 @@
-//! The endpoints that may get requests, from what the log says of them.
+//! The endpoints that may get requests, built from the entries in the log.
 //!
-//! An entry that is removed is gone at once, with one exception. While the log
-//! is away, endpoints can't renew their entries, and those lapse although
-//! their endpoints live. On the log's return all of them look removed; an
-//! instance that believed it would refuse every request until they are back.
-//! So entries that are found removed just after an absence long enough for
-//! them to lapse are kept for a grace period, and dropped if they are still
-//! missing then. An entry that said it was leaving is never kept.
+//! A removed entry is dropped at once, with one exception. While the log is unavailable,
+//! endpoints can't renew their entries, and those expire although the endpoints are
+//! alive. When the log returns, all of them appear removed, and an instance that dropped
+//! them would refuse every request until they are written again. So entries that are
+//! removed shortly after an outage that was long enough for them to expire are retained
+//! for a grace period, and dropped if they are still missing after it. An entry that said
+//! that its endpoint is leaving is never retained.
 //!
-//! A log that comes back from a copy has lost the newest entries and tells older ones
-//! until they are written again. Those that it lacks count as lapsed, and what an
-//! endpoint said of itself orders the others: a later life replaces an earlier one,
-//! and who is leaving doesn't come back in the same life. An entry that only a list
-//! holds may be of an endpoint that is gone. It waits until that writes again, or until
-//! what the copy holds of silent endpoints has lapsed; and so does one that a peer tells
-//! of an endpoint which was seen to be gone here.
+//! A log that was restored from a copy has lost the newest entries and serves older ones
+//! until they are written again. Entries that it lacks count as expired. Entries of one
+//! endpoint are ordered by their content: a later incarnation replaces an earlier one,
+//! and a leaving endpoint does not become live again in the same incarnation. An unknown
+//! entry that appears only in a list may belong to an endpoint that is gone. It stays
+//! unconfirmed until the endpoint writes it again, or until the entries of silent
+//! endpoints in the copy have expired. The same applies to an entry from a peer whose
+//! endpoint was seen to be gone here.
 //!
-//! Endpoints also say in their answers that they are leaving, which the log may say late
-//! or never. Whoever said it, an entry that says otherwise of the same life is not taken,
-//! also if the endpoint was removed in between.
+//! Endpoints also announce in their responses that they are leaving, which the log may
+//! show late or never. Whatever the source of the announcement, a live entry of the same
+//! incarnation is ignored, even if the endpoint was removed in between.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -28,366 +29,394 @@
 use godwitpost_types::id::Incarnation;
 use serde::{Deserialize, Serialize};
 
-/// How long after the log's return lapsed entries are kept. Live endpoints
-/// renew theirs within two seconds of it; that return is noticed up to 0.6 s
-/// late, and an endpoint that really left must be left alone three seconds
-/// after it.
-pub const GRACE: Duration = Duration::from_millis(2_200);
+/// How long expired entries are retained after the log returns. Live endpoints renew
+/// theirs within two seconds of its return, which is noticed up to 0.6 s late. An
+/// endpoint that really left must get no requests three seconds after it.
+pub const EXPIRED_ENTRY_GRACE: Duration = Duration::from_millis(2_200);
 
-/// Heartbeats for which the log has to be away for entries to lapse: they
-/// lapse after three, of which the last may just not have been sent.
-const BEATS: u32 = 2;
+/// The number of heartbeats for which the log has to be unavailable for entries to
+/// expire. They expire after three heartbeats, and the last one may have been about to be
+/// sent.
+const MIN_OUTAGE_HEARTBEATS: u32 = 2;
 
-/// Heartbeats after a log came back from a copy in which the copy may hold entries of
-/// endpoints that are gone: three until those lapse, and one until that is heard of.
-const DOUBTED_BEATS: u32 = 4;
+/// The number of heartbeats after a restore from a copy during which the copy may hold
+/// entries of endpoints that are gone: three until those expire, and one until that is
+/// known here.
+const UNCONFIRMED_HEARTBEATS: u32 = 4;
 
-/// How long an endpoint that is gone is remembered: more than a copy of the log is old.
-const REMEMBERED: Duration = Duration::from_mins(1);
+/// How long an endpoint that is gone is remembered: longer than the age of any copy of
+/// the log.
+const ENDED_RETENTION: Duration = Duration::from_mins(1);
 
-/// How long it is remembered that a life was leaving, since anything was last said of it:
-/// more than endpoints take to leave.
-const LEAVING_REMEMBERED: Duration = Duration::from_mins(10);
+/// How long a leaving incarnation is remembered after it was last mentioned: longer than
+/// endpoints take to leave.
+const LEAVING_RETENTION: Duration = Duration::from_mins(10);
 
-/// The life of an endpoint that doesn't say which one it is in.
-const UNNAMED: Incarnation = 0;
+/// The incarnation of an endpoint that doesn't name one.
+const NO_INCARNATION: Incarnation = 0;
 
-/// The endpoints known, and how the log has been reached.
+/// The known endpoints, and when the log could be read.
 #[derive(Debug)]
 pub struct Roster {
     heartbeat: Duration,
     entries: BTreeMap<String, Entry>,
-    // When the log was last read, and since when it could be again after an
-    // absence in which entries may have lapsed.
-    read: Option<Moment>,
-    back: Option<Moment>,
-    // When it was heard that the log came back from a copy.
-    restored: Option<Moment>,
-    // Entries that may be of endpoints that are gone.
-    doubted: BTreeMap<String, Registration>,
+    // When the log was last read, and when it was read again after an outage in which
+    // entries may have expired.
+    last_read: Option<Moment>,
+    recovered_at: Option<Moment>,
+    // When this instance learned that the log was restored from a copy.
+    restored_at: Option<Moment>,
+    // Entries whose endpoints may be gone.
+    unconfirmed: BTreeMap<String, Registration>,
     origin: Option<Origin>,
-    // Lives that ended lately, and when.
-    gone: BTreeMap<String, (Incarnation, Moment)>,
-    // Lives that are leaving, and when anything was last said of them.
+    // Incarnations that ended recently, and when.
+    ended: BTreeMap<String, (Incarnation, Moment)>,
+    // Incarnations that are leaving, and when they were last mentioned.
     leaving: BTreeMap<String, (Incarnation, Moment)>,
 }
 
-/// One life of an endpoint.
+/// One incarnation of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Life {
+pub struct EndpointIncarnation {
     /// The endpoint's name.
     pub name: String,
-    /// Which of its lives.
+    /// The number of the incarnation.
     pub incarnation: Incarnation,
 }
 
-/// What an endpoint says of itself.
+/// An endpoint's entry, as written by the endpoint itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Registration {
-    /// Who and where it is, and whether it may get new work.
+    /// The endpoint's identity and address, and whether it may get new work.
     pub endpoint: Endpoint,
-    /// Requests that it runs at once.
+    /// How many requests it runs at once.
     pub slots: u32,
-    /// How much longer it takes to warm up, from when this is told.
+    /// The remaining warm-up time as of when this entry is sent.
     pub warming: Duration,
 }
 
 impl Registration {
-    /// Returns the life that it is of.
+    /// Returns the incarnation that this entry belongs to.
     #[must_use]
-    pub fn life(&self) -> Life {
-        Life {
+    pub fn endpoint_incarnation(&self) -> EndpointIncarnation {
+        EndpointIncarnation {
             name: self.endpoint.name.clone(),
             incarnation: self.endpoint.incarnation,
         }
     }
 
-    // Whether it says the same but for its warming up.
-    fn same(&self, other: &Self) -> bool {
+    // Returns whether the entries are equal apart from the warm-up time.
+    fn same_except_warming(&self, other: &Self) -> bool {
         self.endpoint == other.endpoint && self.slots == other.slots
     }
 
-    // Whether it was said before the other by an endpoint of the same name.
-    fn precedes(&self, other: &Self) -> bool {
+    // Returns whether this entry is older than another one of the same endpoint.
+    fn is_older_than(&self, other: &Self) -> bool {
         let (own, other) = (&self.endpoint, &other.endpoint);
-        let takes_back = own.standing == Standing::Live && other.standing == Standing::Leaving;
-        own.incarnation < other.incarnation || (own.incarnation == other.incarnation && takes_back)
+        let undoes_leaving = own.standing == Standing::Live && other.standing == Standing::Leaving;
+        own.incarnation < other.incarnation
+            || (own.incarnation == other.incarnation && undoes_leaving)
     }
 }
 
 #[derive(Debug)]
 struct Entry {
     registration: Registration,
-    // When it will have warmed up.
+    // The time at which the endpoint has warmed up.
     warm_at: Moment,
-    lapsed: bool,
+    expired: bool,
 }
 
-/// Whose word on entries is taken.
+/// The source of entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// The log's, in this epoch of reading it.
+    /// The log, in this epoch of reading it.
     Log(u64),
-    /// That of a peer in this life.
+    /// A peer in this incarnation.
     Peer(u64),
 }
 
-/// What an entry that was set says.
+/// The outcome of applying an entry to the roster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Setting {
-    /// Nothing but that its endpoint lives.
-    Same,
-    /// The same as before it lapsed.
-    Returned,
-    /// That its endpoint is warming up again, and else the same.
-    Warming,
-    /// Something new.
+pub enum SetResult {
+    /// Only the heartbeat is new.
+    Unchanged,
+    /// An expired entry is back unchanged.
+    Renewed,
+    /// The endpoint is warming up again; the rest is unchanged.
+    WarmingAgain,
+    /// The endpoint is new or its entry changed.
     Changed,
-    /// Something older than what is known: it is not taken.
+    /// The entry is older than the known one and was ignored.
     Older,
-    /// Something that may be older than what was known: it waits.
+    /// The entry may be older than one known before; it is set aside as unconfirmed.
     Doubted,
 }
 
-/// What became of an entry that the log removed.
+/// The outcome of a removal in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Removal {
-    /// It is gone.
-    Gone,
-    /// It may have lapsed only; it is kept for a while.
-    Kept,
-    /// It was not known.
+pub enum RemoveResult {
+    /// The entry was dropped.
+    Removed,
+    /// The entry may only have expired; it is retained for the grace period.
+    Retained,
+    /// There was no such entry.
     Unknown,
 }
 
 impl Roster {
-    /// Returns an empty roster of endpoints that send a heartbeat this often.
+    /// Returns an empty roster for endpoints with this heartbeat interval.
     #[must_use]
     pub const fn new(heartbeat: Duration) -> Self {
         Self {
             heartbeat,
             entries: BTreeMap::new(),
-            read: None,
-            back: None,
-            restored: None,
-            doubted: BTreeMap::new(),
+            last_read: None,
+            recovered_at: None,
+            restored_at: None,
+            unconfirmed: BTreeMap::new(),
             origin: None,
-            gone: BTreeMap::new(),
+            ended: BTreeMap::new(),
             leaving: BTreeMap::new(),
         }
     }
 
-    /// Takes in that the log was read.
-    pub fn reached(&mut self, now: Moment) {
-        let away = self.read.map(|read| since(now, read));
-        // Endpoints whose entries lapsed had no time to write while it was away again.
-        let lapsed = self.entries.values().any(|entry| entry.lapsed);
-        let beats = if lapsed { 1 } else { BEATS };
-        if away.is_some_and(|away| away >= self.heartbeat * beats) {
-            self.back = Some(now);
+    /// Records that the log was read.
+    pub fn record_read(&mut self, now: Moment) {
+        let outage = self.last_read.map(|read| since(now, read));
+        // Endpoints with expired entries may have had no time to write them again before
+        // a further outage, so one heartbeat is enough.
+        let expired = self.entries.values().any(|entry| entry.expired);
+        let heartbeats = if expired { 1 } else { MIN_OUTAGE_HEARTBEATS };
+        if outage.is_some_and(|outage| outage >= self.heartbeat * heartbeats) {
+            self.recovered_at = Some(now);
         }
-        self.read = Some(now);
+        self.last_read = Some(now);
     }
 
-    /// Takes in who tells from now on. Whoever that is doesn't say again what another
-    /// one would have said of entries that are doubted: they have to be told anew.
-    pub fn hear(&mut self, origin: Origin) {
+    /// Sets the source of entries from now on. A new source doesn't repeat what the
+    /// previous one would have said about unconfirmed entries, so those have to be
+    /// received again.
+    pub fn set_origin(&mut self, origin: Origin) {
         if self.origin.replace(origin) != Some(origin) {
-            self.doubted.clear();
+            self.unconfirmed.clear();
         }
     }
 
-    /// Takes in when it was heard that the log came back from a copy, which may lack
-    /// the newest entries.
-    pub fn restored(&mut self, at: Moment) {
-        self.back = self.back.max(Some(at));
-        self.restored = self.restored.max(Some(at));
+    /// Records when this instance learned that the log was restored from a copy, which
+    /// may lack the newest entries.
+    pub fn record_restore(&mut self, at: Moment) {
+        self.recovered_at = self.recovered_at.max(Some(at));
+        self.restored_at = self.restored_at.max(Some(at));
     }
 
-    /// Takes in an entry that a list of the log holds; returns what it says.
-    pub fn listed(&mut self, registration: Registration, then: Moment) -> Setting {
+    /// Applies an entry from a list of the log.
+    pub fn apply_listed(&mut self, registration: Registration, received_at: Moment) -> SetResult {
         let known = self.entries.contains_key(&registration.endpoint.name);
-        self.set_unless(!known, registration, then)
+        self.apply_unless(!known, registration, received_at)
     }
 
-    /// Takes in an entry that a peer told; returns what it says.
-    pub fn told(&mut self, registration: Registration, then: Moment) -> Setting {
+    /// Applies an entry from a peer.
+    pub fn apply_from_peer(
+        &mut self,
+        registration: Registration,
+        received_at: Moment,
+    ) -> SetResult {
         let endpoint = &registration.endpoint;
-        let gone = self.gone.get(&endpoint.name);
-        let gone = gone.is_some_and(|(life, _)| *life == endpoint.incarnation);
-        self.set_unless(gone, registration, then)
+        let ended = self.ended.get(&endpoint.name);
+        let was_removed =
+            ended.is_some_and(|(incarnation, _)| *incarnation == endpoint.incarnation);
+        self.apply_unless(was_removed, registration, received_at)
     }
 
-    fn set_unless(&mut self, doubted: bool, registration: Registration, then: Moment) -> Setting {
-        if doubted && self.doubts(then) {
+    fn apply_unless(
+        &mut self,
+        unconfirmed: bool,
+        registration: Registration,
+        received_at: Moment,
+    ) -> SetResult {
+        if unconfirmed && self.may_be_stale(received_at) {
             let name = registration.endpoint.name.clone();
-            self.doubted.insert(name, registration);
-            return Setting::Doubted;
+            self.unconfirmed.insert(name, registration);
+            return SetResult::Doubted;
         }
-        self.set(registration, then)
+        self.apply(registration, received_at)
     }
 
-    // Whether the copy that the log came back from may hold entries that lapse yet.
-    fn doubts(&self, now: Moment) -> bool {
-        let time = self.heartbeat * DOUBTED_BEATS;
-        self.restored.is_some_and(|at| now < at + time)
+    // Returns whether the copy that the log was restored from may still hold entries that
+    // have yet to expire.
+    fn may_be_stale(&self, now: Moment) -> bool {
+        let time = self.heartbeat * UNCONFIRMED_HEARTBEATS;
+        self.restored_at.is_some_and(|at| now < at + time)
     }
 
-    /// Returns the entries that nobody has removed while they were doubted, to be taken
-    /// in now.
-    pub fn take_believed(&mut self) -> Vec<Registration> {
-        // Nothing lapses for who can't read the log.
-        if self.read.is_none_or(|read| self.doubts(read)) {
+    /// Takes the unconfirmed entries that were not removed in the meantime, to be applied
+    /// now that the stale entries of the copy have expired. Returns none before.
+    pub fn take_unconfirmed(&mut self) -> Vec<Registration> {
+        // Expirations can't be seen while the log can't be read.
+        if self.last_read.is_none_or(|read| self.may_be_stale(read)) {
             return Vec::new();
         }
-        std::mem::take(&mut self.doubted).into_values().collect()
+        std::mem::take(&mut self.unconfirmed)
+            .into_values()
+            .collect()
     }
 
-    /// Takes in an entry that was told at `then`; returns what it says beside its
-    /// heartbeat.
-    pub fn set(&mut self, registration: Registration, then: Moment) -> Setting {
+    /// Applies an entry received at `received_at`.
+    pub fn apply(&mut self, registration: Registration, received_at: Moment) -> SetResult {
         let name = registration.endpoint.name.clone();
-        self.doubted.remove(&name);
+        self.unconfirmed.remove(&name);
         if registration.endpoint.standing == Standing::Leaving {
-            self.remember_leaving(&registration.life(), then);
-        } else if self.was_leaving(&registration.life(), then) {
-            return Setting::Older;
+            self.record_leaving(&registration.endpoint_incarnation(), received_at);
+        } else if self.is_known_leaving(&registration.endpoint_incarnation(), received_at) {
+            return SetResult::Older;
         }
-        self.gone.remove(&name);
+        self.ended.remove(&name);
         let entry = Entry {
-            warm_at: then + registration.warming,
+            warm_at: received_at + registration.warming,
             registration,
-            lapsed: false,
+            expired: false,
         };
         match self.entries.get_mut(&name) {
-            Some(known) if entry.registration.precedes(&known.registration) => Setting::Older,
-            Some(known) if known.registration.same(&entry.registration) => {
-                let again = entry.registration.warming > Duration::ZERO
+            Some(known) if entry.registration.is_older_than(&known.registration) => {
+                SetResult::Older
+            }
+            Some(known) if known.registration.same_except_warming(&entry.registration) => {
+                let warms_again = entry.registration.warming > Duration::ZERO
                     && entry.warm_at > known.warm_at + self.heartbeat;
-                // Each entry is older than it looks, so the earliest is right.
-                known.warm_at = if again {
+                // Every entry is older than its time of receipt, so the earliest time is
+                // the most accurate.
+                known.warm_at = if warms_again {
                     entry.warm_at
                 } else {
                     known.warm_at.min(entry.warm_at)
                 };
-                let lapsed = std::mem::take(&mut known.lapsed);
-                if again {
-                    Setting::Warming
-                } else if lapsed {
-                    Setting::Returned
+                let expired = std::mem::take(&mut known.expired);
+                if warms_again {
+                    SetResult::WarmingAgain
+                } else if expired {
+                    SetResult::Renewed
                 } else {
-                    Setting::Same
+                    SetResult::Unchanged
                 }
             }
             Some(known) => {
                 *known = entry;
-                Setting::Changed
+                SetResult::Changed
             }
             None => {
                 self.entries.insert(name, entry);
-                Setting::Changed
+                SetResult::Changed
             }
         }
     }
 
-    /// Takes in that an endpoint says itself that it is leaving; returns what its entry
-    /// says now if that is news.
-    pub fn leaves(&mut self, life: &Life, now: Moment) -> Option<Registration> {
-        self.remember_leaving(life, now);
-        let entry = self.entries.get_mut(&life.name)?;
+    /// Records that an endpoint itself announced that it is leaving; returns its updated
+    /// entry if that changed.
+    pub fn mark_leaving(&mut self, id: &EndpointIncarnation, now: Moment) -> Option<Registration> {
+        self.record_leaving(id, now);
+        let entry = self.entries.get_mut(&id.name)?;
         let endpoint = &mut entry.registration.endpoint;
-        if endpoint.incarnation != life.incarnation || endpoint.standing == Standing::Leaving {
+        if endpoint.incarnation != id.incarnation || endpoint.standing == Standing::Leaving {
             return None;
         }
         endpoint.standing = Standing::Leaving;
         Some(entry.registration.clone())
     }
 
-    fn remember_leaving(&mut self, life: &Life, now: Moment) {
+    fn record_leaving(&mut self, id: &EndpointIncarnation, now: Moment) {
         self.leaving
-            .retain(|_, (_, at)| since(now, *at) < LEAVING_REMEMBERED);
-        let known = self.leaving.entry(life.name.clone()).or_default();
-        *known = (life.incarnation.max(known.0), now);
+            .retain(|_, (_, at)| since(now, *at) < LEAVING_RETENTION);
+        let known = self.leaving.entry(id.name.clone()).or_default();
+        *known = (id.incarnation.max(known.0), now);
     }
 
-    // Whether a life was leaving, or an earlier one than one that was.
-    fn was_leaving(&mut self, life: &Life, now: Moment) -> bool {
-        let Some((leaving, at)) = self.leaving.get_mut(&life.name) else {
+    // Returns whether this incarnation, or a later one, is known to be leaving.
+    fn is_known_leaving(&mut self, id: &EndpointIncarnation, now: Moment) -> bool {
+        let Some((leaving, at)) = self.leaving.get_mut(&id.name) else {
             return false;
         };
-        let was = life.incarnation <= *leaving;
-        if was {
+        let is_leaving = id.incarnation <= *leaving;
+        if is_leaving {
             *at = now.max(*at);
         } else {
-            self.leaving.remove(&life.name);
+            self.leaving.remove(&id.name);
         }
-        was
+        is_leaving
     }
 
-    /// Takes in that an entry was removed.
-    pub fn remove(&mut self, name: &str, now: Moment) -> Removal {
-        let recent = self.back.is_some_and(|back| since(now, back) < GRACE);
-        self.doubted.remove(name);
+    /// Handles the removal of an entry from the log.
+    pub fn remove(&mut self, name: &str, now: Moment) -> RemoveResult {
+        let recent = self
+            .recovered_at
+            .is_some_and(|recovered_at| since(now, recovered_at) < EXPIRED_ENTRY_GRACE);
+        self.unconfirmed.remove(name);
         let Some(entry) = self.entries.get_mut(name) else {
-            return Removal::Unknown;
+            return RemoveResult::Unknown;
         };
         if recent && entry.registration.endpoint.standing == Standing::Live {
-            entry.lapsed = true;
-            return Removal::Kept;
+            entry.expired = true;
+            return RemoveResult::Retained;
         }
-        self.end(name, now);
-        Removal::Gone
+        self.remove_entry(name, now);
+        RemoveResult::Removed
     }
 
-    // Drops an entry, and remembers the life that ended.
-    fn end(&mut self, name: &str, now: Moment) {
+    // Drops an entry and remembers the incarnation that ended.
+    fn remove_entry(&mut self, name: &str, now: Moment) {
         if let Some(entry) = self.entries.remove(name) {
-            self.gone.retain(|_, (_, at)| since(now, *at) < REMEMBERED);
-            let life = entry.registration.endpoint.incarnation;
-            self.gone.insert(name.to_owned(), (life, now));
-            // One that names no life can't be told from the next of its name.
-            if life == UNNAMED {
+            self.ended
+                .retain(|_, (_, at)| since(now, *at) < ENDED_RETENTION);
+            let incarnation = entry.registration.endpoint.incarnation;
+            self.ended.insert(name.to_owned(), (incarnation, now));
+            // Without an incarnation, the next run of the endpoint would count as the one
+            // that left.
+            if incarnation == NO_INCARNATION {
                 self.leaving.remove(name);
             }
         }
     }
 
-    /// Drops an entry that a peer, who weighed it, says is gone; returns
+    /// Drops an entry that a peer reports as gone, after the peer's own checks; returns
     /// whether it was known.
-    pub fn dismiss(&mut self, name: &str, now: Moment) -> bool {
-        self.doubted.remove(name);
+    pub fn remove_confirmed(&mut self, name: &str, now: Moment) -> bool {
+        self.unconfirmed.remove(name);
         let known = self.entries.contains_key(name);
-        self.end(name, now);
+        self.remove_entry(name, now);
         known
     }
 
-    /// Drops lapsed entries whose time is over, by the last read of the log: with that
-    /// away no endpoint can write. Returns their names.
-    pub fn expire(&mut self, now: Moment) -> Vec<String> {
-        let read = self.read.unwrap_or_default();
-        let over = self.back.is_none_or(|back| read >= back + GRACE);
-        if !over {
+    /// Drops expired entries whose grace period is over and returns their names. The
+    /// period is measured up to the last read of the log, since endpoints can't write
+    /// while it is unavailable.
+    pub fn remove_expired(&mut self, now: Moment) -> Vec<String> {
+        let read = self.last_read.unwrap_or_default();
+        let grace_is_over = self
+            .recovered_at
+            .is_none_or(|recovered_at| read >= recovered_at + EXPIRED_ENTRY_GRACE);
+        if !grace_is_over {
             return Vec::new();
         }
-        let gone: Vec<String> = self
+        let ended: Vec<String> = self
             .entries
             .iter()
-            .filter(|(_, entry)| entry.lapsed)
+            .filter(|(_, entry)| entry.expired)
             .map(|(name, _)| name.clone())
             .collect();
-        for name in &gone {
-            self.end(name, now);
+        for name in &ended {
+            self.remove_entry(name, now);
         }
-        gone
+        ended
     }
 
-    /// Returns when each endpoint will have warmed up, of those that have not by `now`.
+    /// Returns the endpoints that are still warming up at `now`, and when each has warmed
+    /// up.
     pub fn warming(&self, now: Moment) -> impl Iterator<Item = (&Registration, Moment)> {
         let warming = self.entries.values().filter(move |one| one.warm_at > now);
         warming.map(|one| (&one.registration, one.warm_at))
     }
 
-    /// Returns when an endpoint will have warmed up, or has.
+    /// Returns when an endpoint has warmed up, which may be in the past.
     #[must_use]
     pub fn warm_at(&self, name: &str) -> Moment {
         self.entries
@@ -395,7 +424,7 @@
             .map_or(Duration::ZERO, |entry| entry.warm_at)
     }
 
-    /// Returns all endpoints known, leaving ones included.
+    /// Returns all known endpoints, including those that are leaving.
     pub fn registrations(&self) -> impl Iterator<Item = &Registration> {
         self.entries.values().map(|entry| &entry.registration)
     }
--- a/crates/direct/src/running.rs
+++ b/crates/direct/src/running.rs
@@ -1,8 +1,8 @@
-//! One instance, from its start to its end.
+//! The lifecycle of one instance.
 //!
-//! Control state has a thread with a runtime of its own; traffic has as many
-//! threads as the settings say. With one, which is what a machine with a part
-//! of a core has, both runtimes are single-threaded and wake nobody else.
+//! Control state has a thread with its own runtime; traffic has as many threads as the
+//! settings say. With one traffic thread, as on a machine with a fraction of a core, both
+//! runtimes are single-threaded and don't wake other threads.
 
 use std::future::ready;
 use std::net::SocketAddr;
@@ -23,37 +23,37 @@
 use crate::settings::Settings;
 use crate::shared::Shared;
 
-/// How often a shutdown looks at what is in flight.
-const TICK: Duration = Duration::from_millis(20);
+/// How often a shutdown checks for in-flight requests.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What is kept back of the time that a graceful shutdown may take: whoever
-/// kills the process then must find it gone.
-const RESERVE: Duration = Duration::from_millis(300);
+/// How long before the end of the grace period a shutdown finishes, so that the process
+/// is gone before the platform kills it.
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(300);
 
-/// Why an instance could not start.
+/// The reason why an instance couldn't start.
 #[derive(Debug, displaydoc::Display)]
 pub enum Error {
-    /// can't listen on {0} ({1}); name another port or end who holds it
+    /// can't listen on {0} ({1}); choose another port or stop the process that uses it
     Listen(SocketAddr, std::io::Error),
-    /// can't start threads ({0}); allow this process more
+    /// can't start threads ({0}); raise the thread limit of this process
     Threads(std::io::Error),
 }
 
 impl std::error::Error for Error {}
 
-/// How a graceful shutdown ended.
+/// The outcome of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stopped {
-    /// Nothing was in flight any more.
-    Whole,
-    /// The time was over with requests in flight.
-    Cut {
-        /// How many were cut.
+pub enum ShutdownResult {
+    /// All in-flight requests ended.
+    Drained,
+    /// The grace period ended with requests in flight.
+    TimedOut {
+        /// How many requests were cut off.
         requests: usize,
     },
 }
 
-/// An instance that runs.
+/// A running instance.
 #[derive(Debug)]
 pub struct Running {
     shared: Arc<Shared>,
@@ -61,7 +61,7 @@
     callers: SocketAddr,
     ready: SocketAddr,
     metrics: SocketAddr,
-    // Dropping it ends the threads that carry traffic.
+    // Dropping the sender ends the traffic threads.
     traffic: Option<watch::Sender<bool>>,
 }
 
@@ -86,15 +86,19 @@
     let shared = Arc::new(Shared::new(settings, dialect));
     let (closing, closed) = watch::channel(false);
     let (traffic, ended) = watch::channel(false);
-    let ports = listen(
+    let ports = serve_ports(
         Arc::clone(&shared),
         [callers, ready, metrics],
         closed,
         ended.clone(),
     );
-    thread("traffic", runtime(threads)?, ports)?;
+    spawn_thread("traffic", build_runtime(threads)?, ports)?;
     let control = control::run(Arc::clone(&shared), sources, lines, peers, ended.clone());
-    thread("control", runtime(1)?, until(control, ended))?;
+    spawn_thread(
+        "control",
+        build_runtime(1)?,
+        run_until_ended(control, ended),
+    )?;
     Ok(Running {
         shared,
         closing,
@@ -105,7 +109,7 @@
     })
 }
 
-fn runtime(threads: usize) -> Result<Runtime, Error> {
+fn build_runtime(threads: usize) -> Result<Runtime, Error> {
     let mut builder = if threads == 1 {
         Builder::new_current_thread()
     } else {
@@ -119,7 +123,7 @@
         .map_err(Error::Threads)
 }
 
-fn thread(
+fn spawn_thread(
     name: &str,
     runtime: Runtime,
     task: impl Future<Output = ()> + Send + 'static,
@@ -131,82 +135,92 @@
         .map_err(Error::Threads)
 }
 
-// Runs a task until the instance ends.
-async fn until(task: impl Future<Output = ()>, mut ended: watch::Receiver<bool>) {
+// Runs a task until it completes or the instance ends.
+async fn run_until_ended(task: impl Future<Output = ()>, mut ended: watch::Receiver<bool>) {
     tokio::select! {
         () = task => {}
         _ = ended.wait_for(|ended| *ended) => {}
     }
 }
 
-async fn listen(
+async fn serve_ports(
     shared: Arc<Shared>,
     [callers, ready_port, metrics]: [Port; 3],
     closed: watch::Receiver<bool>,
     ended: watch::Receiver<bool>,
 ) {
     let answering = Arc::clone(&shared);
-    let answer = move |request| relay::answer(Arc::clone(&answering), request);
-    let limits = serve::callers_limits(&shared);
+    let answer = move |request| relay::handle_request(Arc::clone(&answering), request);
+    let limits = serve::caller_limits(&shared);
     tokio::spawn(run(callers, limits, closed, answer));
     let asked = Arc::clone(&shared);
-    let answer = move |request| ready(serve::ready(&asked, &request));
-    tokio::spawn(run(ready_port, serve::limits(), ended.clone(), answer));
+    let answer = move |request| ready(serve::readiness(&asked, &request));
+    tokio::spawn(run(
+        ready_port,
+        serve::internal_limits(),
+        ended.clone(),
+        answer,
+    ));
     let answer = move |request| ready(serve::metrics(&shared, &request));
-    tokio::spawn(run(metrics, serve::limits(), ended.clone(), answer));
-    until(std::future::pending(), ended).await;
+    tokio::spawn(run(
+        metrics,
+        serve::internal_limits(),
+        ended.clone(),
+        answer,
+    ));
+    run_until_ended(std::future::pending(), ended).await;
 }
 
 impl Running {
-    /// Returns where it takes callers' requests.
+    /// Returns the address of the port for callers' requests.
     #[must_use]
     pub const fn callers_address(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Returns where it says whether it is ready.
+    /// Returns the address of the port for readiness checks.
     #[must_use]
     pub const fn ready_address(&self) -> SocketAddr {
         self.ready
     }
 
-    /// Returns where it tells its metrics.
+    /// Returns the address of the port for metrics.
     #[must_use]
     pub const fn metrics_address(&self) -> SocketAddr {
         self.metrics
     }
 
-    /// Stops: says that it isn't ready, serves until the balancer has noticed,
-    /// and ends when nothing is in flight or the time is over.
+    /// Shuts down gracefully: reports that it isn't ready, serves until the load balancer
+    /// has noticed, and returns when no request is in flight or the grace period is over.
     ///
-    /// A second signal, which `hurry` tells of, changes nothing: a request in
-    /// flight is not worth less for it, and the platform kills when it wants.
-    pub async fn stop(mut self) -> Stopped {
+    /// A second signal doesn't shorten the shutdown. The requests in flight are as
+    /// important as before, and the platform can kill the process at any time.
+    pub async fn stop(mut self) -> ShutdownResult {
         let limits = Limits {
-            lag: self.shared.settings.balancer_lag,
-            hard: self.shared.settings.grace.saturating_sub(RESERVE),
-            second: Duration::ZERO,
+            balancer_lag: self.shared.settings.balancer_lag,
+            hard_limit: self.shared.settings.grace.saturating_sub(SHUTDOWN_MARGIN),
+            second_signal_limit: Duration::ZERO,
         };
         let mut drain = Drain::new(limits);
-        drain.signal(boot_time());
-        self.shared.drain();
-        let stopped = self.drained(&mut drain).await;
+        drain.handle_signal(boot_time());
+        self.shared.start_drain();
+        let stopped = self.wait_for_drain(&mut drain).await;
         self.traffic.take();
         stopped
     }
 
-    async fn drained(&self, drain: &mut Drain) -> Stopped {
+    async fn wait_for_drain(&self, drain: &mut Drain) -> ShutdownResult {
         loop {
             match drain.tick(boot_time(), self.shared.in_flight()) {
                 Next::Close { .. } => {
                     self.closing.send_replace(true);
-                    drain.handed_over();
+                    drain.record_handover();
                 }
                 Next::Serve | Next::Announce { .. } | Next::Wait { .. } => {}
-                Next::Exit { cut: 0 } => return Stopped::Whole,
-                Next::Exit { cut } => return Stopped::Cut { requests: cut },
+                Next::Exit { aborted: 0 } => return ShutdownResult::Drained,
+                Next::Exit { aborted } => return ShutdownResult::TimedOut { requests: aborted },
             }
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/direct/tests/instance/fleet.rs
+++ b/crates/direct/tests/instance/fleet.rs
@@ -8,11 +8,11 @@
 
 use godwitpost_direct::book::Report;
 use godwitpost_direct::control::Sources;
-use godwitpost_direct::dialect::{Answer, Dialect, Facts, Outgoing, Part};
+use godwitpost_direct::dialect::{Dialect, OutgoingFields, Part, RequestFields, ResponseFields};
 use godwitpost_direct::policy::{Content, Kind, Limits, Policy, Route, Service, Target, Workspace};
 use godwitpost_direct::roster::Registration;
 use godwitpost_direct::settings::Settings;
-use godwitpost_direct::source::{Fault, Page, Record, Reply, Source, Statement, Tail, Value};
+use godwitpost_direct::source::{Directive, Page, ReadError, Record, Reply, Source, Tail, Value};
 use godwitpost_direct::{Running, start};
 use godwitpost_process::logging::queue::Queue;
 use godwitpost_types::endpoint::{Endpoint as Listed, Standing};
@@ -82,11 +82,11 @@
         self.state.lock().expect("the topic").calls
     }
 
-    fn since(&self, from: u64) -> Result<Reply<Since<T>>, Fault> {
+    fn since(&self, from: u64) -> Result<Reply<Since<T>>, ReadError> {
         let mut state = self.state.lock().expect("the topic");
         state.calls += 1;
         if state.down {
-            return Err(Fault::Refused(503));
+            return Err(ReadError::Refused(503));
         }
         let records = (0..)
             .zip(&state.records)
@@ -147,7 +147,7 @@
 /// A running instance and its log.
 pub(crate) struct Fleet {
     pub(crate) running: Running,
-    pub(crate) operator: Topic<Statement>,
+    pub(crate) operator: Topic<Directive>,
     pub(crate) endpoints: Topic<Registration>,
 }
 
@@ -230,7 +230,7 @@
 
     fn start_with(
         settings: &str,
-        operator: Topic<Statement>,
+        operator: Topic<Directive>,
         endpoints: Topic<Registration>,
     ) -> Self {
         let sources = Sources {
@@ -254,7 +254,7 @@
     /// Writes that a zone is to be kept empty, or that it may be used again.
     pub(crate) fn evacuate(&self, zone: &str, evacuated: bool) {
         let value = if evacuated {
-            Value::Set(Statement::Evacuate(zone.to_owned()))
+            Value::Set(Directive::Evacuate(zone.to_owned()))
         } else {
             Value::Removed
         };
@@ -310,7 +310,7 @@
 }
 
 // Topics that hold these endpoints and version 1.
-fn topics(addresses: &[SocketAddr]) -> (Topic<Statement>, Topic<Registration>) {
+fn topics(addresses: &[SocketAddr]) -> (Topic<Directive>, Topic<Registration>) {
     let (operator, endpoints) = (Topic::new(), Topic::new());
     for (n, address) in addresses.iter().enumerate() {
         let name = format!("e{n}");
@@ -321,8 +321,8 @@
     (operator, endpoints)
 }
 
-fn policy(content: Content) -> Value<Statement> {
-    Value::Set(Statement::Policy(Policy::new(content)))
+fn policy(content: Content) -> Value<Directive> {
+    Value::Set(Directive::Policy(Policy::new(content)))
 }
 
 /// Returns addresses at which nobody listens, and which the system gives to nobody
@@ -451,22 +451,22 @@
 const DIALECT: Dialect = Dialect {
     read_request,
     write_request,
-    read_answer,
-    retry_after: |wait| wait.as_secs_f64().to_string(),
+    read_response,
+    format_retry_after: |wait| wait.as_secs_f64().to_string(),
 };
 
 fn text(headers: &HeaderMap, name: &str) -> Option<String> {
     headers.get(name)?.to_str().ok().map(str::to_owned)
 }
 
-fn read_request(headers: &HeaderMap) -> Option<Facts> {
+fn read_request(headers: &HeaderMap) -> Option<RequestFields> {
     let millis = text(headers, "x-patience").and_then(|text| text.parse().ok());
-    Some(Facts {
-        attempt: text(headers, "x-attempt")?,
-        patience: millis.map(Duration::from_millis),
+    Some(RequestFields {
+        attempt_id: text(headers, "x-attempt")?,
+        timeout: millis.map(Duration::from_millis),
         key: text(headers, "x-key"),
         prompt: text(headers, "x-prompt").map_or_else(Vec::new, |text| parts(&text)),
-        ..Facts::default()
+        ..RequestFields::default()
     })
 }
 
@@ -476,16 +476,16 @@
     ids.map(|id| Part { id, tokens: 1_000 }).collect()
 }
 
-fn write_request(headers: &mut HeaderMap, outgoing: &Outgoing<'_>) {
+fn write_request(headers: &mut HeaderMap, outgoing: &OutgoingFields<'_>) {
     headers.remove("x-key");
     let mut set = |name: &'static str, value: &str| {
         headers.insert(name, HeaderValue::try_from(value).expect("plain text"));
     };
-    set("x-patience", &outgoing.left.as_millis().to_string());
+    set("x-patience", &outgoing.remaining.as_millis().to_string());
     set("x-endpoint", outgoing.endpoint);
     set("x-rank", &outgoing.rank.to_string());
     set("x-workspace", outgoing.workspace.unwrap_or("none"));
-    if let Some(after) = outgoing.after {
+    if let Some(after) = outgoing.last_event_id {
         set("x-after", &after.to_string());
     }
     if let Some(source) = outgoing.source {
@@ -493,12 +493,12 @@
     }
 }
 
-fn read_answer(_status: StatusCode, headers: &HeaderMap) -> Answer {
-    Answer {
-        attempt: text(headers, "x-attempt"),
+fn read_response(_status: StatusCode, headers: &HeaderMap) -> ResponseFields {
+    ResponseFields {
+        attempt_id: text(headers, "x-attempt"),
         signed: headers.contains_key("x-signed"),
         not_run: headers.contains_key("x-not-run"),
-        coded: headers.contains_key("content-encoding"),
+        content_encoded: headers.contains_key("content-encoding"),
         report: text(headers, "x-load").and_then(|text| report(&text)),
         standing: headers.get("x-leaving").map(|_| Standing::Leaving),
         retry_after: text(headers, "x-retry-after")
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -1,14 +1,14 @@
-//! The dispatcher's claims and the answers it keeps.
+//! The dispatcher's claims and its cached responses.
 //!
-//! Asks the batcher of a key's partition for a verdict. A batcher that can't
-//! be reached is replaced by the one on this instance: verdicts come from the
-//! log's order alone, so any number of batchers gives the same ones.
+//! Requests verdicts from the batcher of a key's partition. If that batcher
+//! can't be reached, the one on this instance is used: verdicts depend only on
+//! the order of the log, so all batchers reach the same ones.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
 use bytes::Bytes;
-use godwitpost_state::claim::{self, Answers, Holder, Item, Record, Verdict};
+use godwitpost_state::claim::{self, Holder, Item, Record, ResponseCache, Verdict};
 use godwitpost_types::endpoint::Standing;
 use godwitpost_types::id::{BodyDigest, Incarnation, InstanceId, KeyDigest};
 use godwitpost_types::instance::Instance;
@@ -22,45 +22,46 @@
 use crate::relay::peer;
 use crate::shared::Shared;
 
-/// The path that batchers take items on.
+/// Path for items that batchers append.
 pub(crate) const PATH: &str = "/peer/v1/claim";
 
-/// Bytes of kept answers. Confirmations of orders have about a kilobyte, so
-/// this holds some 8,000; a lost replay costs the caller no second run.
-const KEPT_BYTES: usize = 8 << 20;
+/// Limit on the size of all cached responses. Confirmations of orders have about
+/// a kilobyte, so some 8,000 fit. A response that was evicted can't be replayed,
+/// but the request is not run again.
+const MAX_CACHED_RESPONSE_BYTES: usize = 8 << 20;
 
-/// How long answers are kept: callers resend within minutes.
-const KEPT_FOR: Duration = Duration::from_mins(15);
+/// How long responses are cached: callers resend within minutes.
+const CACHED_RESPONSE_LIFETIME: Duration = Duration::from_mins(15);
 
-/// How long a verdict is waited for: twice the batcher's patience, so that
-/// its own word comes first.
-const WAIT: Duration = Duration::from_secs(2);
+/// Timeout of a verdict: twice the batcher's own timeout, so that the batcher's
+/// response arrives first.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Bytes of an encoded verdict, by far.
-const VERDICT_BYTES: usize = 1 << 10;
+/// Limit on the size of an encoded verdict, far above its actual size.
+const MAX_VERDICT_BYTES: usize = 1 << 10;
 
-/// The path that kept answers are asked for on.
-pub(crate) const ANSWER_PATH: &str = "/peer/v1/answer";
+/// Path for requests for cached responses.
+pub(crate) const RESPONSE_PATH: &str = "/peer/v1/answer";
 
-/// A finished answer kept for a caller that sends its key again.
+/// A complete response, cached for a caller that sends its key again.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Kept {
+pub(crate) struct CachedResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
 }
 
-/// The claims and kept answers of one dispatcher.
+/// The claims and cached responses of one dispatcher.
 #[derive(Debug)]
 pub(crate) struct Claims {
     inner: Mutex<Inner>,
 }
 
-/// What [`Claims`] holds under its lock.
+/// The state that the lock of [`Claims`] guards.
 #[derive(Debug)]
 pub(crate) struct Inner {
     pub(crate) holder: Holder,
-    pub(crate) answers: Answers<Kept>,
+    pub(crate) responses: ResponseCache<CachedResponse>,
 }
 
 impl Claims {
@@ -68,61 +69,63 @@
         Self {
             inner: Mutex::new(Inner {
                 holder: Holder::new(own, incarnation),
-                answers: Answers::new(KEPT_BYTES, KEPT_FOR),
+                responses: ResponseCache::new(MAX_CACHED_RESPONSE_BYTES, CACHED_RESPONSE_LIFETIME),
             }),
         }
     }
 
     pub(crate) fn lock(&self) -> MutexGuard<'_, Inner> {
-        // No code that holds the lock can panic half-way through a change.
+        // No code that holds the lock can panic in the middle of a change.
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Asks for the verdict on a claim.
-pub(crate) async fn ask(shared: &Shared, record: Record) -> Verdict {
+/// Requests the verdict on a claim.
+pub(crate) async fn request_verdict(shared: &Shared, record: Record) -> Verdict {
     let item = Item::Claim(record);
     let verdict = async {
-        match batcher(shared, &record.key) {
-            Some(instance) => match remote(shared, &instance, item).await {
+        match remote_batcher(shared, &record.key) {
+            Some(instance) => match request_remote(shared, &instance, item).await {
                 Some(verdict) => verdict,
-                None => local(shared, item).await,
+                None => request_local(shared, item).await,
             },
-            None => local(shared, item).await,
+            None => request_local(shared, item).await,
         }
     };
-    // No verdict in time is none: the holder then gives the claim up.
-    tokio::time::timeout(WAIT, verdict)
+    // Without a verdict in time, the holder gives the claim up.
+    tokio::time::timeout(CALL_TIMEOUT, verdict)
         .await
         .unwrap_or(Verdict::Unavailable)
 }
 
-/// Asks the instance that ran a key for the answer that it keeps.
+/// Requests the cached response from the instance that ran a key.
 ///
-/// A key that is sent again may come in anywhere and be placed elsewhere; only
-/// the first one's dispatcher saw the answer.
-pub(crate) async fn fetch(
+/// A key that is sent again may arrive at any instance and be dispatched by
+/// another one; only the dispatcher of the first request saw the response.
+pub(crate) async fn fetch_response(
     shared: &Shared,
     holder: InstanceId,
     key: &KeyDigest,
     body: &BodyDigest,
-) -> Option<Kept> {
+) -> Option<CachedResponse> {
     let snapshot = shared.snapshot();
     let instance = snapshot.view.instance(holder)?;
     let bytes = Bytes::from(rmp_serde::to_vec(&(key, body)).ok()?);
-    let request = peer::sealed(shared, instance, Method::POST, ANSWER_PATH, &bytes);
-    let sent = shared.claiming.send(instance.peer_address, request, WAIT);
+    let request = peer::sealed(shared, instance, Method::POST, RESPONSE_PATH, &bytes);
+    let sent = shared
+        .claims_connector
+        .send(instance.peer_address, request, CALL_TIMEOUT);
     let response = sent.await.ok()?;
     if response.status() != StatusCode::OK {
         return None;
     }
-    let read = body::collect(response.into_body(), KEPT_BYTES);
-    let bytes = tokio::time::timeout(WAIT, read).await.ok()?.ok()?;
-    Kept::decode(&bytes)
+    let read = body::collect(response.into_body(), MAX_CACHED_RESPONSE_BYTES);
+    let bytes = tokio::time::timeout(CALL_TIMEOUT, read).await.ok()?.ok()?;
+    CachedResponse::decode(&bytes)
 }
 
-impl Kept {
-    /// Returns its bytes, for another instance.
+impl CachedResponse {
+    /// Encodes the response for another instance.
     pub(crate) fn encode(&self) -> Bytes {
         let head = (self.status.as_u16(), dispatch::pack(&self.headers));
         let body = self.body.clone();
@@ -140,50 +143,52 @@
     }
 }
 
-/// Tells the batcher how a claimed request ended, as best effort.
-pub(crate) async fn tell(shared: &Shared, fate: Item) {
-    match batcher(shared, fate.key()) {
+/// Reports the outcome of a claimed request to the batcher, as best effort.
+pub(crate) async fn report_outcome(shared: &Shared, outcome: Item) {
+    match remote_batcher(shared, outcome.key()) {
         Some(instance) => {
-            remote(shared, &instance, fate).await;
+            request_remote(shared, &instance, outcome).await;
         }
         None => {
-            local(shared, fate).await;
+            request_local(shared, outcome).await;
         }
     }
 }
 
-// The batcher of a key's partition, if that is another instance.
-fn batcher(shared: &Shared, key: &KeyDigest) -> Option<Instance> {
+// Returns the batcher of a key's partition, if that is another instance.
+fn remote_batcher(shared: &Shared, key: &KeyDigest) -> Option<Instance> {
     let snapshot = shared.snapshot();
     let live = snapshot.view.instances();
     let live = live.filter(|instance| instance.standing == Standing::Live);
-    let id = claim::batcher(claim::partition(key), live.map(|instance| instance.id))?;
+    let id = claim::batcher_for(claim::partition(key), live.map(|instance| instance.id))?;
     if id == shared.local() {
         return None;
     }
     snapshot.view.instance(id).cloned()
 }
 
-async fn remote(shared: &Shared, instance: &Instance, item: Item) -> Option<Verdict> {
+async fn request_remote(shared: &Shared, instance: &Instance, item: Item) -> Option<Verdict> {
     let bytes = Bytes::from(claim::batch::encode(&[item]));
     let request = peer::sealed(shared, instance, Method::POST, PATH, &bytes);
-    let sent = shared.claiming.send(instance.peer_address, request, WAIT);
+    let sent = shared
+        .claims_connector
+        .send(instance.peer_address, request, CALL_TIMEOUT);
     let response = match sent.await {
         Ok(response) if response.status() == StatusCode::OK => response,
         Ok(response) => {
-            log::debug!(instance:% = instance.name, status:% = response.status(); "claim refused");
+            log::debug!(instance:% = instance.name, status:% = response.status(); "batcher refused a claim");
             return None;
         }
         Err(error) => {
-            log::debug!(instance:% = instance.name, error:% = error; "claim not answered");
+            log::debug!(instance:% = instance.name, error:% = error; "could not send a claim to its batcher");
             return None;
         }
     };
-    let bytes = body::collect(response.into_body(), VERDICT_BYTES).await;
+    let bytes = body::collect(response.into_body(), MAX_VERDICT_BYTES).await;
     rmp_serde::from_slice(&bytes.ok()?).ok()
 }
 
-async fn local(shared: &Shared, item: Item) -> Verdict {
+async fn request_local(shared: &Shared, item: Item) -> Verdict {
     let (reply, verdict) = oneshot::channel();
     let event = Event::Claim { item, reply };
     if shared.control.send(event).await.is_err() {
--- a/crates/router/src/control.rs
+++ b/crates/router/src/control.rs
@@ -1,10 +1,9 @@
-//! Control state: one thread that knows bundles, instances and endpoints.
+//! Control thread: keeps the state of bundles, instances and endpoints.
 //!
-//! Everything that changes the picture of the fleet comes in as an [`Event`]
-//! through one channel and is folded in on one thread; calls to the platform,
-//! to peers and to endpoints run as tasks of the same thread and send their
-//! results back as events. Traffic threads never wait for it: they read the
-//! last published snapshot.
+//! Every change to the state arrives as an [`Event`] through one channel and is
+//! applied on one thread. Calls to the platform, to peers and to endpoints run
+//! as tasks of the same thread and send their results back as events. Traffic
+//! threads never wait for this thread: they read the last published snapshot.
 
 mod batchers;
 pub(crate) mod bundles;
@@ -30,7 +29,7 @@
 use godwitpost_state::claim::{Item, Verdict};
 use godwitpost_state::gossip::{Budget, Message, Pump};
 use godwitpost_state::membership::Roster;
-use godwitpost_state::membership::endpoints::{Change, Endpoints, Leaving};
+use godwitpost_state::membership::endpoints::{Change, Endpoints, LeavingNotice};
 use godwitpost_types::clock::Moment;
 use godwitpost_types::endpoint::{Endpoint, Report};
 use godwitpost_types::id::{EndpointId, InstanceId, Offset, ServiceId, Version};
@@ -43,67 +42,72 @@
 use batchers::Batchers;
 use probe::CachePage;
 
-/// Events that may wait for the control thread. Far above what comes in a
-/// second; a full channel makes traffic wait rather than grow memory.
-pub(crate) const EVENTS: usize = 4096;
+/// Capacity of the control thread's event channel.
+///
+/// Far more than arrive in a second. If the channel is full, senders wait, so
+/// that memory stays bounded.
+pub(crate) const EVENT_QUEUE_CAPACITY: usize = 4096;
 
-/// How often time passes: waits in queues end, suspicions ripen.
-const TICK: Duration = Duration::from_millis(50);
+/// Period of time-driven work, such as queue timeouts and failure suspicions.
+const TICK_PERIOD: Duration = Duration::from_millis(50);
 
-/// Time-out of one call to the platform.
-const PLATFORM: Duration = Duration::from_secs(2);
+/// Timeout of one call to the platform.
+const PLATFORM_CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Control bytes that an instance may spend on gossip each second. The letter
-/// allows 6 KB in all; the rest is for reports, the list and the log.
-const GOSSIP_RATE: u64 = 3_000;
+/// Bytes per second that an instance may spend on gossip. The budget for all
+/// control traffic is 6 KB per second; the rest is for reports, the list and
+/// the log.
+const GOSSIP_BYTES_PER_SECOND: u64 = 3_000;
 
-/// Bytes of a gossip message beside its body: its HTTP head with the seal is
+/// Bytes of a gossip message besides its body: the HTTP head with the seal has
 /// about 330 bytes, TCP/IP headers with the acknowledgement 120.
-const GOSSIP_HEADERS: u64 = 450;
+const GOSSIP_OVERHEAD_BYTES: u64 = 450;
 
-/// Something that control has to know.
+/// An event for the control thread.
 #[derive(Debug)]
 pub(crate) enum Event {
-    /// An answer of the platform's list.
+    /// A response of the platform's instance list.
     Listing(Listing),
-    /// Records of the bundles' stream; none if there is nothing new.
-    Bundles(Vec<log::Record>),
-    /// A checkpoint was appended, or could not be.
-    Renewed,
-    /// An instance said that it holds this bundle version.
-    Heard(InstanceId, Version),
-    /// What an instance answered when asked for its bundle.
-    Fetched(Option<Bytes>),
-    /// A peer asks for the bundle, given the version that it holds.
-    Bundle(Version, oneshot::Sender<Option<Bytes>>),
-    /// A peer's gossip, answered by ours unless the budget forbids.
-    Gossip(Message, usize, oneshot::Sender<Option<Bytes>>),
-    /// What a peer answered to our gossip, with its size; `None` if it could
-    /// not be reached.
-    Answered(InstanceId, Option<(Message, usize)>),
-    /// An owned endpoint's report, with the models that it names.
+    /// Records of the bundle stream; empty if there is nothing new.
+    BundleRecords(Vec<log::Record>),
+    /// An attempt to append a checkpoint ended, successfully or not.
+    RenewalEnded,
+    /// An instance reported the bundle version that it holds.
+    PeerVersion(InstanceId, Version),
+    /// An instance's response to a request for its bundle.
+    BundleFetched(Option<Bytes>),
+    /// A peer's request for the bundle, with the version that it holds.
+    BundleRequest(Version, oneshot::Sender<Option<Bytes>>),
+    /// A peer's gossip message with its size, and the channel for the response;
+    /// `None` is sent if the budget is exhausted.
+    GossipRequest(Message, usize, oneshot::Sender<Option<Bytes>>),
+    /// A peer's response to a gossip message, with its size; `None` if the peer
+    /// could not be reached.
+    GossipResponse(InstanceId, Option<(Message, usize)>),
+    /// The report of an owned endpoint, with the models that it lists.
     Report(EndpointId, Report, Option<Vec<String>>),
-    /// What an engine that another instance owns answered when asked for its
-    /// report, with the answer's size.
-    Swept(EndpointId, Option<probe::Told>),
-    /// The log's answer to a call about a service's lease.
-    Lease(ServiceId, orders::Call),
-    /// What came of an order to an engine, by its fencing number.
-    Ordered(ServiceId, EndpointId, Offset, orders::Sent),
-    /// An engine's cache events, with their size.
-    Cache(EndpointId, CachePage, usize),
-    /// An endpoint's answer said that it is leaving.
-    Leaving(Leaving),
-    /// A claim or fate for the local batcher.
+    /// The report of an engine that another instance owns; `None` if the engine
+    /// did not respond.
+    SweepReport(EndpointId, Option<probe::ReportResponse>),
+    /// The log's response to a call about a service's lease.
+    LeaseCall(ServiceId, orders::Call),
+    /// The result of an order to an engine, with the order's fencing number.
+    OrderResult(ServiceId, EndpointId, Offset, orders::SendResult),
+    /// An engine's cache events, with the size of the response.
+    CacheEvents(EndpointId, CachePage, usize),
+    /// An endpoint announced in a response that it is leaving.
+    EndpointLeaving(LeavingNotice),
+    /// A claim or an outcome for the local batcher.
     Claim {
-        /// What to append.
+        /// The item to append.
         item: Item,
-        /// Who waits for the verdict.
+        /// Receives the verdict.
         reply: oneshot::Sender<Verdict>,
     },
-    /// The log's answer to a batcher's call.
-    Batch(batchers::Result),
-    /// This instance begins to leave; answered when that is published.
+    /// The log's response to a batcher's call.
+    BatcherCall(batchers::CallResult),
+    /// This instance starts to leave; the sender is notified once that is
+    /// published.
     Leave(oneshot::Sender<()>),
 }
 
@@ -117,27 +121,27 @@
     endpoints: Endpoints,
     pump: Pump,
     batchers: Batchers,
-    fetching: bool,
-    renewing: bool,
-    renewed: Option<Moment>,
+    fetching_bundle: bool,
+    renewal_running: bool,
+    last_renewal: Option<Moment>,
     published: publish::Published,
     probes: probe::Probes,
     orders: orders::Orders,
     models: models::Models,
-    costs: cost::Costs,
+    byte_counts: cost::ByteCounts,
     rng: StdRng,
 }
 
-/// What control's tasks need for their calls.
+/// Connections and channels that the control thread's tasks use.
 #[derive(Clone)]
 pub(crate) struct Io {
     peers: Connector,
     probes: Connector,
     platform: Connector,
     log: log::Client,
-    // The log as batchers use it; counted as claims.
-    claiming: Connector,
-    claims: log::Client,
+    // For batchers; their traffic is counted as claims, apart from control.
+    claim_connector: Connector,
+    claim_log: log::Client,
     events: mpsc::Sender<Event>,
     timer: Timer,
     shared: Arc<Shared>,
@@ -152,10 +156,10 @@
 impl Control {
     pub(crate) fn new(shared: Arc<Shared>, own: godwitpost_types::instance::Instance) -> Self {
         let settings = &shared.settings;
-        // One for each kind of control traffic, since each counts its bytes.
+        // One connector per kind of control traffic, because each counts its bytes.
         let connector = || Connector::new(connect::Settings::default());
         let platform = connector();
-        let claiming = connector();
+        let claim_connector = connector();
         let now = shared.now();
         let roots = settings.root_keys.iter().copied().map(Digest);
         Self {
@@ -163,21 +167,33 @@
             fold: Fold::new(settings.fleet.clone(), roots),
             roster: Roster::new(own.clone()),
             endpoints: Endpoints::new(),
-            pump: Pump::new(Budget::new(now, GOSSIP_RATE, GOSSIP_HEADERS)),
+            pump: Pump::new(Budget::new(
+                now,
+                GOSSIP_BYTES_PER_SECOND,
+                GOSSIP_OVERHEAD_BYTES,
+            )),
             batchers: Batchers::default(),
-            fetching: false,
-            renewing: false,
-            renewed: None,
+            fetching_bundle: false,
+            renewal_running: false,
+            last_renewal: None,
             published: publish::Published::new(own),
             probes: probe::Probes::default(),
             orders: orders::Orders::default(),
             models: models::Models::default(),
-            costs: cost::Costs::default(),
+            byte_counts: cost::ByteCounts::default(),
             rng: random::generator(),
             io: Io {
-                log: log::Client::new(platform.clone(), settings.platform.log, PLATFORM),
-                claims: log::Client::new(claiming.clone(), settings.platform.log, PLATFORM),
-                claiming,
+                log: log::Client::new(
+                    platform.clone(),
+                    settings.platform.log,
+                    PLATFORM_CALL_TIMEOUT,
+                ),
+                claim_log: log::Client::new(
+                    claim_connector.clone(),
+                    settings.platform.log,
+                    PLATFORM_CALL_TIMEOUT,
+                ),
+                claim_connector,
                 events: shared.control.clone(),
                 timer: Timer::new(now),
                 peers: connector(),
@@ -189,14 +205,18 @@
         }
     }
 
-    /// Runs until the router ends.
+    /// Runs until the event channel is closed.
     pub(crate) async fn run(mut self, mut events: mpsc::Receiver<Event>) {
         tokio::spawn(self.io.timer.clone().drive(self.shared.clock));
         let settings = &self.shared.settings;
-        let list = list::Client::new(self.io.platform.clone(), settings.platform.list, PLATFORM);
-        tokio::spawn(probe::list(self.io.clone(), list));
+        let list = list::Client::new(
+            self.io.platform.clone(),
+            settings.platform.list,
+            PLATFORM_CALL_TIMEOUT,
+        );
+        tokio::spawn(probe::follow_list(self.io.clone(), list));
         tokio::spawn(bundles::follow(self.io.clone()));
-        let mut ticks = self.io.timer.every(TICK);
+        let mut ticks = self.io.timer.every(TICK_PERIOD);
         loop {
             tokio::select! {
                 event = events.recv() => match event {
@@ -211,106 +231,122 @@
     fn handle(&mut self, event: Event) {
         let now = self.shared.now();
         match event {
-            Event::Listing(listing) => self.listed(now, &listing),
-            Event::Bundles(records) => self.records(&records),
-            Event::Renewed => self.renewing = false,
-            Event::Heard(instance, version) => self.heard(instance, version),
-            Event::Fetched(bytes) => self.fetched(bytes),
-            Event::Bundle(version, reply) => answer(reply, self.bundle(version)),
-            Event::Gossip(message, bytes, reply) => {
-                let said = self.asked(now, &message, bytes);
-                answer(reply, said);
+            Event::Listing(listing) => self.apply_listing(now, &listing),
+            Event::BundleRecords(records) => self.apply_bundle_records(&records),
+            Event::RenewalEnded => self.renewal_running = false,
+            Event::PeerVersion(instance, version) => self.fetch_newer_bundle(instance, version),
+            Event::BundleFetched(bytes) => self.apply_fetched_bundle(bytes),
+            Event::BundleRequest(version, reply) => {
+                send_reply(reply, self.bundle_for_peer(version));
+            }
+            Event::GossipRequest(message, bytes, reply) => {
+                let response = self.handle_gossip_request(now, &message, bytes);
+                send_reply(reply, response);
+            }
+            Event::GossipResponse(instance, response) => {
+                self.handle_gossip_response(now, instance, response);
             }
-            Event::Answered(instance, said) => self.answered(now, instance, said),
             Event::Report(endpoint, report, models) => {
-                self.reported(now, endpoint, &report, models);
+                self.apply_report(now, endpoint, &report, models);
+            }
+            Event::SweepReport(endpoint, response) => {
+                self.apply_sweep_report(now, endpoint, response);
+            }
+            Event::LeaseCall(service, call) => self.apply_lease_call(now, service, call),
+            Event::OrderResult(service, endpoint, fence, sent) => {
+                self.apply_order_result(service, endpoint, fence, &sent);
             }
-            Event::Swept(endpoint, told) => self.swept(now, endpoint, told),
-            Event::Lease(service, call) => self.leased(now, service, call),
-            Event::Ordered(service, endpoint, fence, sent) => {
-                self.ordered(service, endpoint, fence, &sent);
+            Event::CacheEvents(endpoint, page, bytes) => {
+                self.apply_cache_events(endpoint, &page, bytes);
             }
-            Event::Cache(endpoint, page, bytes) => self.cached(endpoint, &page, bytes),
-            Event::Leaving(leaving) => self.endpoints.sign(leaving),
-            Event::Claim { item, reply } => self.claim(now, item, reply),
-            Event::Batch(result) => self.batched(now, result),
+            Event::EndpointLeaving(leaving) => self.endpoints.apply_notice(leaving),
+            Event::Claim { item, reply } => self.submit_claim(now, item, reply),
+            Event::BatcherCall(result) => self.apply_batcher_call(now, result),
             Event::Leave(done) => {
                 self.roster.leave();
                 self.publish();
-                self.release(now);
-                answer(done, ());
+                self.release_leases(now);
+                send_reply(done, ());
             }
         }
     }
 
     fn tick(&mut self) {
         let now = self.shared.now();
-        self.changes(now);
-        self.shared.desk.tick(now);
-        if let Some(due) = handover::due(&self.shared) {
+        self.publish_changes(now);
+        self.shared.owner.tick(now);
+        if let Some(due) = handover::next_batch(&self.shared) {
             let shared = Arc::clone(&self.shared);
-            tokio::spawn(async move { handover::send(&shared, due).await });
+            tokio::spawn(async move { handover::send_batch(&shared, due).await });
         }
-        self.gossip(now);
-        self.probe(now);
-        self.renew(now);
+        self.send_gossip(now);
+        self.probe_endpoints(now);
+        self.renew_bundle(now);
         self.pump_batchers(now);
-        self.orders(now);
-        self.count();
+        self.run_orders(now);
+        self.count_traffic();
     }
 
-    // At the letter's size a picture takes a millisecond to compare, so it is
-    // only built anew when something changed.
-    fn changes(&mut self, now: Moment) {
-        let rumours = self.roster.tick(now);
+    // Comparing a snapshot of a full-size fleet takes a millisecond, so a new one
+    // is built only if something changed.
+    fn publish_changes(&mut self, now: Moment) {
+        let member_updates = self.roster.tick(now);
         let changes = self.endpoints.tick(now);
-        self.pump.rumours(&rumours);
+        self.pump.queue_member_updates(&member_updates);
         for change in &changes {
             if let Change::Left(leaving) = change {
-                self.pump.leaving(*leaving);
+                self.pump.queue_leaving(*leaving);
             }
         }
-        if !rumours.is_empty() || !changes.is_empty() {
+        if !member_updates.is_empty() || !changes.is_empty() {
             self.publish();
         }
     }
 
-    fn listed(&mut self, now: Moment, listing: &Listing) {
+    fn apply_listing(&mut self, now: Moment, listing: &Listing) {
         for refused in &listing.refused {
-            ::log::warn!(entry:% = refused; "an entry of the instance list can't be read");
+            ::log::warn!(entry:% = refused; "can't parse an entry of the instance list");
         }
-        self.roster.list(now, &listing.instances);
-        self.endpoints.list(now, &listing.endpoints);
+        self.roster.apply_list(now, &listing.instances);
+        self.endpoints.apply_list(now, &listing.endpoints);
         self.publish();
-        self.shared.set_listed();
+        self.shared.set_fleet_listed();
     }
 }
 
-/// Notes the bundle version that an instance says it holds.
+/// Reports to the control thread the bundle version that an instance holds.
 ///
-/// Never waits: a note lost to a full channel comes again with the next
-/// message.
-pub(crate) fn heard(shared: &Shared, instance: InstanceId, version: Version) {
+/// Never waits: a report dropped because the channel is full is repeated with
+/// the next message.
+pub(crate) fn report_peer_version(shared: &Shared, instance: InstanceId, version: Version) {
     if version > shared.version() {
-        drop(shared.control.try_send(Event::Heard(instance, version)));
+        drop(
+            shared
+                .control
+                .try_send(Event::PeerVersion(instance, version)),
+        );
     }
 }
 
-/// Notes that an instance could not be reached.
-pub(crate) fn unreachable(shared: &Shared, instance: InstanceId) {
-    drop(shared.control.try_send(Event::Answered(instance, None)));
+/// Reports to the control thread that an instance could not be reached.
+pub(crate) fn report_unreachable(shared: &Shared, instance: InstanceId) {
+    drop(
+        shared
+            .control
+            .try_send(Event::GossipResponse(instance, None)),
+    );
 }
 
-/// Notes that an endpoint's answer said that it is leaving.
-pub(crate) fn leaving(shared: &Shared, endpoint: &Endpoint) {
-    let leaving = Leaving {
+/// Reports to the control thread that an endpoint is leaving.
+pub(crate) fn report_leaving(shared: &Shared, endpoint: &Endpoint) {
+    let leaving = LeavingNotice {
         id: endpoint.id,
         incarnation: endpoint.incarnation,
     };
-    drop(shared.control.try_send(Event::Leaving(leaving)));
+    drop(shared.control.try_send(Event::EndpointLeaving(leaving)));
 }
 
-// Whoever asked may be gone; then nobody needs the answer.
-fn answer<T>(to: oneshot::Sender<T>, value: T) {
+// The receiver may have been dropped; the value is not needed then.
+fn send_reply<T>(to: oneshot::Sender<T>, value: T) {
     drop(to.send(value));
 }
