--- a/crates/router/src/control/orders.rs
+++ b/crates/router/src/control/orders.rs
@@ -1,15 +1,15 @@
-//! Leases and orders: brings engines to the models that the bundle wants.
+//! Leases and orders: makes engines load the models that the bundle wants.
 //!
-//! Each service with engines has one lease, and one instance, the rendezvous
-//! winner among those live in its own view, tries to hold it. Two instances
-//! whose views differ both try, and the log's order says who holds it. The
-//! holder compares the bundle with the engines' reports through
-//! `godwitpost_state::order` and sends each order under the lease's fencing
-//! number, after a look at its own clock.
+//! Each service with engines has one lease. An instance tries to hold it if it
+//! is the rendezvous winner among the instances that are live in its own view.
+//! Two instances with different views may both try; the order of the log
+//! decides which one holds the lease. The holder compares the bundle with the
+//! engines' reports through `godwitpost_state::order`. It sends each order with
+//! the lease's fencing number, after it has checked its clock.
 //!
-//! The holder doesn't own most of the engines, so it asks them for reports
-//! itself, at a bounded rate (`reports.rs`). Nothing here waits: calls run as
-//! tasks, and what they bring comes back as events.
+//! The holder doesn't own most of the engines, so it polls them for reports
+//! itself, at a bounded rate (`reports.rs`). Nothing here blocks: calls run as
+//! tasks, and their results come back as events.
 
 mod lease;
 mod reports;
@@ -19,7 +19,7 @@
 use std::time::Duration;
 
 use godwitpost_decide::view;
-use godwitpost_state::claim::Failure;
+use godwitpost_state::claim::AppendFailure;
 use godwitpost_state::lease::{Holder, Next};
 use godwitpost_state::order::{Action, Limits, Order, Planner, View};
 use godwitpost_types::clock::{Moment, since};
@@ -34,85 +34,86 @@
 use super::batchers::page_of;
 pub(crate) use lease::Call;
 use reports::Reports;
-pub(super) use reports::split;
+pub(super) use reports::split_model;
 
-/// How often leases and orders are looked at; loads take minutes.
-const LOOK: Duration = Duration::from_millis(500);
+/// Period of checks of leases and orders; loads take minutes.
+const CHECK_PERIOD: Duration = Duration::from_millis(500);
 
-/// How often a holder plans. At 3,300 engines and 35 models a plan sorts the
-/// engines for each model, some tens of milliseconds in all.
-const PLAN: Duration = Duration::from_secs(2);
+/// Period of a holder's planning. A plan sorts the engines for each model; with
+/// 3,300 engines and 35 models that takes some tens of milliseconds in all.
+const PLAN_PERIOD: Duration = Duration::from_secs(2);
 
-/// How long a new bundle version is in force before a model that it dropped is
-/// unloaded. The version is in force everywhere within 6 s; requests that came
-/// in under the last one get the rest to end.
-const DROPPED: Duration = Duration::from_secs(30);
+/// Delay between a new bundle version and unloading the models that it dropped.
+/// The version is in force everywhere within 6 s; the rest is for requests that
+/// were accepted under the previous version to end.
+const UNLOAD_DELAY: Duration = Duration::from_secs(30);
 
-/// What a service's share of the weight store is taken to be.
+/// Limits on a service's use of the weight store.
 ///
-/// The store's rate isn't known here, and engines repeat a refused pull by
-/// themselves. Two loads under way bound what a service asks of the store; a
-/// refused one stays under way, so while the store refuses no more start.
-const LIMITS: Limits = Limits {
-    loads_at_once: 2,
-    load_every: Duration::from_secs(5),
+/// The store's rate isn't known here, and engines retry a refused pull by
+/// themselves. At most two loads run at a time, which bounds a service's
+/// requests to the store. A refused load still counts as running, so no more
+/// loads start while the store refuses.
+const PLANNER_LIMITS: Limits = Limits {
+    max_concurrent_loads: 2,
+    min_load_interval: Duration::from_secs(5),
 };
 
 /// Leases and orders of this instance.
 #[derive(Debug, Default)]
 pub(super) struct Orders {
-    looked: Moment,
-    services: BTreeMap<ServiceId, Ordered>,
+    last_check: Moment,
+    services: BTreeMap<ServiceId, ServiceOrders>,
     reports: Reports,
     version: Version,
     version_since: Moment,
 }
 
-/// One service that engines are ordered for.
+/// Lease and orders of one service.
 #[derive(Debug)]
-struct Ordered {
+struct ServiceOrders {
     holder: Holder,
     planner: Planner,
     fence: Option<Offset>,
-    planned: Moment,
-    blocked: Vec<String>,
+    last_plan: Moment,
+    logged_blocked: Vec<String>,
 }
 
-/// What came of an order.
+/// The result of sending an order.
 #[derive(Debug)]
-pub(crate) enum Sent {
-    /// The engine took it.
-    Taken,
-    /// The engine has obeyed a greater fencing number.
-    Overtaken(Option<Offset>),
-    /// Whether it arrived isn't known, or the engine refused it.
+pub(crate) enum SendResult {
+    /// The engine accepted the order.
+    Accepted,
+    /// The engine has already accepted a greater fencing number.
+    FenceRefused(Option<Offset>),
+    /// The engine refused the order, or it isn't known whether it arrived.
     Failed(String),
 }
 
 impl Control {
-    /// Keeps the leases, and gives the orders that are due under them.
-    pub(super) fn orders(&mut self, now: Moment) {
-        if since(now, self.orders.looked) < LOOK {
+    /// Maintains the leases and sends the orders that are due under them.
+    pub(super) fn run_orders(&mut self, now: Moment) {
+        if since(now, self.orders.last_check) < CHECK_PERIOD {
             return;
         }
-        self.orders.looked = now;
+        self.orders.last_check = now;
         let snapshot = self.shared.snapshot();
         let Some(bundle) = snapshot.bundle.as_ref() else {
             return;
         };
-        self.candidates(now, &bundle.policy, &snapshot.view);
+        self.update_candidates(now, &bundle.policy, &snapshot.view);
         let services: Vec<ServiceId> = self.orders.services.keys().copied().collect();
         for &service in &services {
             self.pump_lease(now, service);
         }
-        self.sweep(now, &snapshot.view);
+        self.sweep_reports(now, &snapshot.view);
         for service in services {
-            self.plan(now, service, &bundle.policy, &snapshot.view);
+            self.plan_orders(now, service, &bundle.policy, &snapshot.view);
         }
     }
 
-    /// Gives up all leases, because this instance leaves.
-    pub(super) fn release(&mut self, now: Moment) {
+    /// Releases all leases, because this instance is leaving.
+    pub(super) fn release_leases(&mut self, now: Moment) {
         let services: Vec<ServiceId> = self.orders.services.keys().copied().collect();
         for service in services {
             if let Some(ordered) = self.orders.services.get_mut(&service) {
@@ -122,7 +123,7 @@
         }
     }
 
-    fn candidates(&mut self, now: Moment, policy: &Policy, view: &view::View) {
+    fn update_candidates(&mut self, now: Moment, policy: &Policy, view: &view::View) {
         if self.orders.version != policy.version {
             self.orders.version = policy.version;
             self.orders.version_since = now;
@@ -131,22 +132,22 @@
             if wanted.kind == Kind::Engine {
                 let (own, incarnation) = (self.shared.local(), self.shared.settings.incarnation);
                 let entry = self.orders.services.entry(service);
-                entry.or_insert_with(|| Ordered {
+                entry.or_insert_with(|| ServiceOrders {
                     holder: Holder::new(service, own, incarnation),
-                    planner: Planner::new(service, LIMITS),
+                    planner: Planner::new(service, PLANNER_LIMITS),
                     fence: None,
-                    planned: Moment::ZERO,
-                    blocked: Vec::new(),
+                    last_plan: Moment::ZERO,
+                    logged_blocked: Vec::new(),
                 });
             }
         }
-        let leaving = self.shared.leaving();
+        let leaving = self.shared.is_leaving();
         self.orders.services.retain(|service, ordered| {
             let engines = policy.services.get(service);
             let wanted = engines.is_some_and(|service| service.kind == Kind::Engine);
-            let candidate = wanted && !leaving && candidate(*service, view);
+            let candidate = wanted && !leaving && is_candidate(*service, view);
             ordered.holder.set_candidate(candidate);
-            // One that is not wanted any more is kept until it has released.
+            // A service that is no longer wanted stays until its lease is released.
             wanted || ordered.holder.held_since().is_some()
         });
     }
@@ -163,15 +164,15 @@
                 Next::Read { from, limit } => {
                     tokio::spawn(lease::read(self.io.clone(), service, from, limit));
                 }
-                // The next look comes soon enough.
+                // The next periodic check is soon enough.
                 Next::Wait(_) => break,
             }
         }
-        ordered.tell(now, service);
+        ordered.update_fence(now, service);
     }
 
-    /// Takes the log's answer to a lease's call.
-    pub(super) fn leased(&mut self, now: Moment, service: ServiceId, call: Call) {
+    /// Applies the log's response to a lease's call.
+    pub(super) fn apply_lease_call(&mut self, now: Moment, service: ServiceId, call: Call) {
         let Some(ordered) = self.orders.services.get_mut(&service) else {
             return;
         };
@@ -179,29 +180,29 @@
         match call {
             Call::Appended(ticket, Ok(_)) => holder.appended(now, ticket),
             Call::Appended(ticket, Err(error)) => {
-                log::debug!(error:% = error; "lease not appended");
+                log::debug!(error:% = error; "could not append a lease record to the log");
                 let failure = if error.may_have_taken_effect() {
-                    Failure::Unknown
+                    AppendFailure::Unknown
                 } else {
-                    Failure::NotDone
+                    AppendFailure::NotApplied
                 };
                 holder.append_failed(now, ticket, failure);
             }
-            Call::Read(limit, Ok(page)) => holder.page(now, &page_of(page, limit)),
+            Call::Read(limit, Ok(page)) => holder.apply_page(now, &page_of(page, limit)),
             Call::Read(_, Err(error)) => {
-                log::debug!(error:% = error; "leases not read");
+                log::debug!(error:% = error; "could not read leases from the log");
                 holder.read_failed(now);
             }
         }
         self.pump_lease(now, service);
     }
 
-    fn plan(&mut self, now: Moment, service: ServiceId, policy: &Policy, view: &view::View) {
+    fn plan_orders(&mut self, now: Moment, service: ServiceId, policy: &Policy, view: &view::View) {
         let orders = &mut self.orders;
         let Some(ordered) = orders.services.get_mut(&service) else {
             return;
         };
-        if since(now, ordered.planned) < PLAN {
+        if since(now, ordered.last_plan) < PLAN_PERIOD {
             return;
         }
         let (Some(fence), Some(since_held)) =
@@ -209,50 +210,51 @@
         else {
             return;
         };
-        ordered.planned = now;
+        ordered.last_plan = now;
         let views = orders.reports.views(now, service, policy, view);
-        let policy = wanted(service, policy, &views);
+        let policy = wanted_models(service, policy, &views);
         let plan = ordered
             .planner
             .plan(now, fence, since_held, &policy, &views);
         let blocked: Vec<String> = plan.blocked.iter().map(ToString::to_string).collect();
-        if blocked != ordered.blocked {
+        if blocked != ordered.logged_blocked {
             for reason in &blocked {
-                log::warn!(reason:% = reason; "wanted models can't be reached");
+                log::warn!(reason:% = reason; "can't load the models that the bundle wants");
             }
-            ordered.blocked = blocked;
+            ordered.logged_blocked = blocked;
         }
         for order in plan.orders {
             let unloads = matches!(order.action, Action::Unload { .. });
-            if unloads && since(now, orders.version_since) < DROPPED {
+            if unloads && since(now, orders.version_since) < UNLOAD_DELAY {
                 ordered.planner.forget(order.endpoint);
                 continue;
             }
-            let Some(body) = body(&order, &policy, &orders.reports) else {
+            let Some(body) = order_body(&order, &policy, &orders.reports) else {
                 ordered.planner.forget(order.endpoint);
                 continue;
             };
-            self.io.order(now, service, &order, body, view);
-            orders.reports.hurry(order.endpoint);
+            self.io.spawn_order(now, service, &order, body, view);
+            orders.reports.expedite(order.endpoint);
         }
     }
 
-    /// Takes what came of an order.
-    pub(super) fn ordered(
+    /// Applies the result of an order.
+    pub(super) fn apply_order_result(
         &mut self,
         service: ServiceId,
         endpoint: EndpointId,
         fence: Offset,
-        sent: &Sent,
+        sent: &SendResult,
     ) {
         match sent {
-            Sent::Taken => return,
-            // The lease's records say who holds it; until this instance has
-            // read them its clock stops it.
-            Sent::Overtaken(highest) => {
-                log::warn!(fence = fence, highest:? = highest; "an engine refused an order's fencing number");
+            SendResult::Accepted => return,
+            // The lease's records say which instance holds it. Until this
+            // instance has read them, its clock bounds how long it sends
+            // orders.
+            SendResult::FenceRefused(highest) => {
+                log::warn!(fence = fence, highest:? = highest; "engine refused an order because of its fencing number");
             }
-            Sent::Failed(reason) => log::warn!(reason:% = reason; "order not taken"),
+            SendResult::Failed(reason) => log::warn!(reason:% = reason; "order failed"),
         }
         if let Some(ordered) = self.orders.services.get_mut(&service)
             && ordered.fence == Some(fence)
@@ -262,35 +264,35 @@
     }
 }
 
-impl Ordered {
-    // Logs a lease that came or went.
-    fn tell(&mut self, now: Moment, service: ServiceId) {
+impl ServiceOrders {
+    // Updates the fencing number and logs if the lease was acquired or lost.
+    fn update_fence(&mut self, now: Moment, service: ServiceId) {
         let fence = self.holder.may_order(now);
         if fence == self.fence {
             return;
         }
         match fence {
-            Some(fence) => log::info!(service = service, fence = fence; "lease held"),
-            None => log::info!(service = service; "lease given up"),
+            Some(fence) => log::info!(service = service, fence = fence; "lease acquired"),
+            None => log::info!(service = service; "lease no longer held"),
         }
         self.fence = fence;
     }
 }
 
-// Whether the local instance should hold a service's lease.
-fn candidate(service: ServiceId, view: &view::View) -> bool {
+// Returns whether the local instance should hold a service's lease.
+fn is_candidate(service: ServiceId, view: &view::View) -> bool {
     let instances = view.instances();
     let live = instances.filter(|instance| instance.standing == Standing::Live);
     hash::winner(service, live.map(|instance| instance.id)) == Some(view.local())
 }
 
-// What the planner has to know of the bundle: the service's models.
+// Returns the part of the bundle that the planner needs: the service's models.
 //
-// An endpoint that serves a model beyond its replicas keeps it, and is rolled
-// like the others. The failure that this guards against: routers place by the
-// platform's list, which lags; an engine freed of a model would be sent
-// requests for it for seconds, and refuse them.
-fn wanted(service: ServiceId, policy: &Policy, views: &[View]) -> Policy {
+// Engines that serve a model beyond its number of replicas keep it and are
+// updated like the others. Routers place requests by the platform's list, which
+// lags; an engine that unloaded the model would get requests for it for seconds
+// and refuse them.
+fn wanted_models(service: ServiceId, policy: &Policy, views: &[View]) -> Policy {
     let models = policy.models.iter().filter(|(_, m)| m.service == service);
     let models = models.map(|(&id, model)| {
         let live = views.iter().filter(|view| view.standing == Standing::Live);
@@ -306,15 +308,16 @@
     }
 }
 
-// An engine is told names; one that the bundle dropped is known from reports.
-fn body(order: &Order, policy: &Policy, reports: &Reports) -> Option<serde_json::Value> {
+// Orders name models. The name of a model that the bundle dropped is taken from
+// the engine's report.
+fn order_body(order: &Order, policy: &Policy, reports: &Reports) -> Option<serde_json::Value> {
     let body = match &order.action {
         Action::Load { model, weights } => {
             let model = &policy.models.get(model)?.name;
             json!({"fence": order.fence, "load": {"model": model, "weights": weights}})
         }
         Action::Unload { model } => {
-            let model = reports.name(order.endpoint, *model)?;
+            let model = reports.model_name(order.endpoint, *model)?;
             json!({"fence": order.fence, "unload": {"model": model}})
         }
     };
@@ -322,8 +325,8 @@
 }
 
 impl super::Io {
-    // Sends an order in a task of its own.
-    fn order(
+    // Sends an order in its own task.
+    fn spawn_order(
         &self,
         now: Moment,
         service: ServiceId,
@@ -334,8 +337,8 @@
         let Some(endpoint) = view.endpoint(order.endpoint).cloned() else {
             return;
         };
-        log::info!(endpoint:% = endpoint.name, order:% = body; "order");
+        log::info!(endpoint:% = endpoint.name, order:% = body; "sending an order to an engine");
         let (io, fence) = (self.clone(), order.fence);
-        tokio::spawn(send::order(io, now, service, endpoint, fence, body));
+        tokio::spawn(send::send_order(io, now, service, endpoint, fence, body));
     }
 }
--- a/crates/router/src/control/publish.rs
+++ b/crates/router/src/control/publish.rs
@@ -1,4 +1,4 @@
-//! Publishes a new picture when something in it changed, and only then.
+//! Publishes a new snapshot whenever something in it has changed.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use super::Control;
 use crate::shared::{Bundle, Snapshot};
 
-/// What was published last.
+/// The last published state.
 pub(super) struct Published {
     own: Instance,
     instances: Vec<Instance>,
@@ -38,15 +38,18 @@
         let now = self.shared.now();
         let endpoints = self.endpoints.endpoints().cloned();
         let endpoints: Vec<Endpoint> = endpoints
-            .map(|e| self.models.correct(now, self.kind(&e), e))
+            .map(|e| {
+                self.models
+                    .apply_reported_models(now, self.service_kind(&e), e)
+            })
             .collect();
-        let version = self.serves();
+        let version = self.serving_version();
         let last = &self.published;
         if last.version == version && last.instances == instances && last.endpoints == endpoints {
             return;
         }
         if self.published.version != version {
-            self.published.bundle = self.resolved();
+            self.published.bundle = self.current_bundle();
             self.batchers.set_window(self.fold.policy());
             self.pump.set_version(version);
             log::info!(version = version; "bundle in force");
@@ -65,8 +68,8 @@
         self.published.version = version;
     }
 
-    // The version to serve under: none while the stream is still being read.
-    fn serves(&self) -> Version {
+    // The version to serve under; 0 while the stream is still being read.
+    fn serving_version(&self) -> Version {
         if self.ready.get() {
             self.fold.version()
         } else {
@@ -74,8 +77,8 @@
         }
     }
 
-    // The own instance stays in its view while it leaves, so that the view
-    // knows its region; a leaving instance owns nothing.
+    // The local instance stays in its own view while it leaves, so that the view
+    // knows its region. A leaving instance owns no endpoints.
     fn instances(&self) -> Vec<Instance> {
         let mut instances: Vec<Instance> = self.roster.instances().cloned().collect();
         if !instances.iter().any(|i| i.id == self.published.own.id) {
@@ -87,12 +90,12 @@
         instances
     }
 
-    fn kind(&self, endpoint: &Endpoint) -> Option<Kind> {
+    fn service_kind(&self, endpoint: &Endpoint) -> Option<Kind> {
         let policy = self.fold.policy()?;
         Some(policy.services.get(&endpoint.service)?.kind)
     }
 
-    fn resolved(&self) -> Option<Bundle> {
+    fn current_bundle(&self) -> Option<Bundle> {
         let policy = self.fold.policy()?.clone();
         Some(Bundle {
             policy: Arc::new(policy),
--- a/crates/router/src/control/renew.rs
+++ b/crates/router/src/control/renew.rs
@@ -1,4 +1,4 @@
-//! Appends the bundle in force again before the log drops its record.
+//! Appends the current bundle again before the log drops its records.
 
 use std::sync::Arc;
 
@@ -10,34 +10,34 @@
 use super::{Control, Event};
 
 impl Control {
-    /// Appends a checkpoint if one is due and this instance's turn.
-    pub(super) fn renew(&mut self, now: Moment) {
-        if self.renewing || renew::decide(&self.renewal(now)) != Next::Append {
+    /// Appends a checkpoint if one is due and it is this instance's turn.
+    pub(super) fn renew_bundle(&mut self, now: Moment) {
+        if self.renewal_running || renew::decide(&self.renewal_view(now)) != Next::Append {
             return;
         }
         let Some(snapshot) = self.fold.snapshot() else {
             return;
         };
-        self.renewing = true;
-        self.renewed = Some(now);
+        self.renewal_running = true;
+        self.last_renewal = Some(now);
         let io = self.io.clone();
         let records = record::checkpoint(&snapshot);
         log::info!(version = snapshot.version(), records = records.len(); "renewing the bundle");
         tokio::spawn(async move {
             for record in records {
                 let Ok(bytes) = record.encode() else { break };
-                // A part that may be missing leaves the checkpoint incomplete;
-                // another try follows when no whole one shows.
+                // If a record may be missing, the checkpoint is incomplete. It
+                // is tried again unless a complete one appears.
                 if let Err(error) = io.log.append(STREAM, Bytes::from(bytes)).await {
-                    log::warn!(error:% = error; "bundle not renewed");
+                    log::warn!(error:% = error; "could not append a bundle checkpoint");
                     break;
                 }
             }
-            drop(io.events.send(Event::Renewed).await);
+            drop(io.events.send(Event::RenewalEnded).await);
         });
     }
 
-    fn renewal(&self, now: Moment) -> View {
+    fn renewal_view(&self, now: Moment) -> View {
         let snapshot = Arc::clone(&self.shared.snapshot().view);
         let own = self.shared.local();
         let before = snapshot.instances().take_while(|i| i.id != own).count();
@@ -46,7 +46,7 @@
             retention: self.shared.settings.platform.retention,
             anchor: self.fold.anchor().filter(|_| self.ready.get()),
             next: self.fold.wanted(),
-            tried: self.renewed,
+            tried: self.last_renewal,
             rank: u32::try_from(before).unwrap_or(u32::MAX),
         }
     }
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -5,10 +5,10 @@
 
 use godwitpost_process::logging;
 use godwitpost_router::cli::{
-    EXIT_CUT, EXIT_DONE, EXIT_DRAIN, EXIT_START, EXIT_USAGE, Next, parse,
+    Action, EXIT_ABORTED, EXIT_DONE, EXIT_DRAIN_TIMEOUT, EXIT_START_FAILED, EXIT_USAGE, parse,
 };
 use godwitpost_router::settings::Settings;
-use godwitpost_router::{Stopped, start};
+use godwitpost_router::{ShutdownResult, start};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
 #[global_allocator]
@@ -16,17 +16,17 @@
 
 fn main() -> ExitCode {
     let code = match parse(std::env::args_os()) {
-        Next::Run(path) => with(&path, run),
-        Next::Check(path) => with(&path, |_| EXIT_DONE),
-        Next::Print(path) => with(&path, |settings| {
+        Action::Run(path) => with_settings(&path, run),
+        Action::Check(path) => with_settings(&path, |_| EXIT_DONE),
+        Action::PrintSettings(path) => with_settings(&path, |settings| {
             print!("{}", settings.print());
             EXIT_DONE
         }),
-        Next::Say(text, EXIT_DONE) => {
+        Action::PrintText(text, EXIT_DONE) => {
             print!("{text}");
             EXIT_DONE
         }
-        Next::Say(text, code) => {
+        Action::PrintText(text, code) => {
             eprint!("{text}");
             code
         }
@@ -34,7 +34,7 @@
     ExitCode::from(code)
 }
 
-fn with(path: &Path, call: impl FnOnce(Settings) -> u8) -> u8 {
+fn with_settings(path: &Path, call: impl FnOnce(Settings) -> u8) -> u8 {
     match Settings::load(path) {
         Ok(settings) => call(settings),
         Err(error) => {
@@ -46,7 +46,7 @@
 
 fn run(settings: Settings) -> u8 {
     if let Err(error) = logging::start(settings.log_level) {
-        eprintln!("no log: {error}");
+        eprintln!("can't start logging: {error}");
     }
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -54,12 +54,12 @@
     let result = runtime.and_then(|runtime| runtime.block_on(until_signal(settings)));
     result.unwrap_or_else(|error| {
         eprintln!("can't start: {error}");
-        EXIT_START
+        EXIT_START_FAILED
     })
 }
 
 async fn until_signal(settings: Settings) -> std::io::Result<u8> {
-    // Before anything listens, so that no signal is lost.
+    // Registered before anything listens, so that no signal is lost.
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let running = start(settings).map_err(std::io::Error::other)?;
@@ -69,27 +69,31 @@
         operators:% = running.operators_address();
         "listening"
     );
-    either(&mut terminate, &mut interrupt).await;
-    let hurry = running.hurry();
+    next_signal(&mut terminate, &mut interrupt).await;
+    let hurry = running.abort_handle();
     let stopping = running.stop_gracefully();
     tokio::pin!(stopping);
     let (stopped, hurried) = tokio::select! {
         stopped = &mut stopping => (stopped, false),
-        () = either(&mut terminate, &mut interrupt) => {
-            hurry.now();
+        () = next_signal(&mut terminate, &mut interrupt) => {
+            hurry.abort();
             (stopping.await, true)
         }
     };
     Ok(match stopped {
-        Stopped::Whole => EXIT_DONE,
-        Stopped::Cut { requests } => {
-            log::warn!(requests = requests; "requests in flight were cut");
-            if hurried { EXIT_CUT } else { EXIT_DRAIN }
+        ShutdownResult::Whole => EXIT_DONE,
+        ShutdownResult::Cut { requests } => {
+            log::warn!(requests = requests; "shutdown aborted requests in flight");
+            if hurried {
+                EXIT_ABORTED
+            } else {
+                EXIT_DRAIN_TIMEOUT
+            }
         }
     })
 }
 
-async fn either(terminate: &mut Signal, interrupt: &mut Signal) {
+async fn next_signal(terminate: &mut Signal, interrupt: &mut Signal) {
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
--- a/crates/router/src/running.rs
+++ b/crates/router/src/running.rs
@@ -23,7 +23,7 @@
 use crate::serve::{self, callers, operators, peers};
 use crate::settings::Settings;
 use crate::shared::{Shared, Snapshot};
-use crate::shutdown::{self, Stopped};
+use crate::shutdown::{self, ShutdownResult};
 use godwitpost_process::serve::{Port, run};
 
 /// Why a router could not start.
@@ -78,7 +78,7 @@
     };
     let traffic = traffic(&settings).map_err(Error::Threads)?;
     let own = own(&settings, addresses);
-    let (sender, events) = mpsc::channel(control::EVENTS);
+    let (sender, events) = mpsc::channel(control::EVENT_QUEUE_CAPACITY);
     let shared = Arc::new(shared(settings, &own, sender));
     let control = control(Arc::clone(&shared), own, events).map_err(Error::Threads)?;
     let (closing, _) = watch::channel(false);
@@ -157,7 +157,7 @@
 ) -> Vec<JoinHandle<()>> {
     let head = shared.settings.limits.head_bytes;
     let of = Arc::clone(shared);
-    let answer = move |request| callers::answer(Arc::clone(&of), request);
+    let answer = move |request| callers::handle(Arc::clone(&of), request);
     let callers_port = traffic.spawn(run(
         callers_port,
         serve::limits(head),
@@ -167,7 +167,7 @@
     // Peers and operators are answered to the very end: other instances still
     // relay streams through here, and gossip says that this one is leaving.
     let of = Arc::clone(shared);
-    let answer = move |request| peers::answer(Arc::clone(&of), request);
+    let answer = move |request| peers::handle(Arc::clone(&of), request);
     let peers_port = traffic.spawn(run(
         peers_port,
         serve::limits(head),
@@ -175,7 +175,7 @@
         answer,
     ));
     let of = Arc::clone(shared);
-    let answer = move |request| ready(operators::answer(&of, &request));
+    let answer = move |request| ready(operators::handle(&of, &request));
     let operators_port = run(
         operators_port,
         serve::limits(head),
@@ -206,15 +206,15 @@
 
     /// Returns a handle that cuts a graceful shutdown short.
     #[must_use]
-    pub fn hurry(&self) -> Hurry {
-        Hurry {
+    pub fn abort_handle(&self) -> AbortHandle {
+        AbortHandle {
             sender: self.hurry.clone(),
         }
     }
 
     /// Shuts down gracefully: serves until the balancer knows, finishes what
     /// is in flight, hands chats over, and ends.
-    pub async fn stop_gracefully(mut self) -> Stopped {
+    pub async fn stop_gracefully(mut self) -> ShutdownResult {
         let shutdown = shutdown::run(
             Arc::clone(&self.shared),
             self.closing.clone(),
@@ -223,11 +223,11 @@
         // On the router's own threads, since its connections live there.
         let stopped = match &self.traffic {
             Some(traffic) => traffic.spawn(shutdown).await,
-            None => Ok(Stopped::Whole),
+            None => Ok(ShutdownResult::Whole),
         };
         self.close().await;
         self.end();
-        stopped.unwrap_or(Stopped::Cut { requests: 0 })
+        stopped.unwrap_or(ShutdownResult::Cut { requests: 0 })
     }
 
     // Nothing is in flight, but a peer may be sending: connections are closed
@@ -271,13 +271,13 @@
 
 /// Cuts a graceful shutdown short.
 #[derive(Clone, Debug)]
-pub struct Hurry {
+pub struct AbortHandle {
     sender: watch::Sender<bool>,
 }
 
-impl Hurry {
+impl AbortHandle {
     /// Ends the shutdown now, with requests in flight cut.
-    pub fn now(&self) {
+    pub fn abort(&self) {
         self.sender.send_replace(true);
     }
 }
--- a/crates/router/src/serve/callers.rs
+++ b/crates/router/src/serve/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' port: checks what comes in and sees it answered.
+//! The callers' port: validates requests and responds to them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,60 +17,64 @@
 use rand::RngExt as _;
 
 use crate::body;
-use crate::body::relay::{Ends, Relay};
+use crate::body::relay::{EndDetection, Relay};
 use crate::problem::Problem;
 use crate::relay::{endpoint, entry};
 use crate::resolve;
 use crate::shared::{Bundle, InFlight, Shared};
 use godwitpost_process::metrics::{Labels, Metrics};
 
-/// How long a caller may take to send a body.
-const BODY_TIME: Duration = Duration::from_mins(1);
+/// Timeout of reading a request's body.
+const BODY_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Answers one request.
-pub(crate) async fn answer(shared: Arc<Shared>, request: Request<Incoming>) -> Response<Body> {
+/// Handles one request.
+pub(crate) async fn handle(shared: Arc<Shared>, request: Request<Incoming>) -> Response<Body> {
     let version = request.version();
     let mut response = match request.uri().path() {
-        "/healthz" => probe(StatusCode::OK, "alive\n"),
-        "/readyz" => ready(&shared),
-        _ => place(&shared, request).await,
+        "/healthz" => probe_response(StatusCode::OK, "alive\n"),
+        "/readyz" => readiness(&shared),
+        _ => handle_request(&shared, request).await,
     };
-    // The balancer's list lags; connections that stay open would bring more.
-    if shared.leaving() && version < Version::HTTP_2 {
+    // The balancer's list lags, so it would send more requests on connections
+    // that stay open.
+    if shared.is_leaving() && version < Version::HTTP_2 {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
     }
     response
 }
 
-fn ready(shared: &Shared) -> Response<Body> {
-    let (status, text) = if shared.leaving() {
+fn readiness(shared: &Shared) -> Response<Body> {
+    let (status, text) = if shared.is_leaving() {
         (StatusCode::SERVICE_UNAVAILABLE, "leaving\n")
     } else if shared.ready() {
         (StatusCode::OK, "ready\n")
-    } else if shared.listed() {
+    } else if shared.is_fleet_listed() {
         (StatusCode::SERVICE_UNAVAILABLE, "no bundle yet\n")
     } else {
         (StatusCode::SERVICE_UNAVAILABLE, "no instance list yet\n")
     };
-    probe(status, text)
+    probe_response(status, text)
 }
 
-fn probe(status: StatusCode, text: &'static str) -> Response<Body> {
+fn probe_response(status: StatusCode, text: &'static str) -> Response<Body> {
     let mut response = Response::new(body::full(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response
 }
 
-async fn place(shared: &Arc<Shared>, request: Request<Incoming>) -> Response<Body> {
+async fn handle_request(shared: &Arc<Shared>, request: Request<Incoming>) -> Response<Body> {
     let began = shared.now();
-    let id: RequestId = shared.gate().rng.random();
-    let in_flight = shared.enter();
+    let id: RequestId = shared.entry_state().rng.random();
+    let in_flight = shared.track_request();
     let mut labels = shared.metrics.nobody();
     let (parts, mut incoming) = request.into_parts();
-    let placed = try_place(shared, parts, &mut incoming, id, &in_flight, &mut labels).await;
-    let mut response = match placed {
-        Ok((response, permit)) => finish(shared, response, in_flight, permit, labels, began),
+    let result =
+        try_handle_request(shared, parts, &mut incoming, id, &in_flight, &mut labels).await;
+    let mut response = match result {
+        Ok((response, permit)) => {
+            track_response(shared, response, in_flight, permit, labels, began)
+        }
         Err(problem) => {
             let took = since(shared.now(), began);
             let status = problem.status.as_u16();
@@ -84,7 +88,7 @@
     response
 }
 
-async fn try_place(
+async fn try_handle_request(
     shared: &Arc<Shared>,
     mut parts: Parts,
     incoming: &mut Incoming,
@@ -92,31 +96,32 @@
     in_flight: &InFlight,
     labels: &mut Labels,
 ) -> Result<(Response<Body>, Permit), Problem> {
-    if in_flight.before() >= shared.settings.limits.streams {
-        return Err(full());
+    if in_flight.count_before() >= shared.settings.limits.streams {
+        return Err(instance_full());
     }
     let snapshot = shared.snapshot();
     let bundle = snapshot.bundle.as_ref().ok_or_else(no_bundle)?;
     check_head(shared, &mut parts)?;
-    let head = resolve::head(&bundle.policy, &parts, shared.now())?;
-    *labels = label(shared, bundle, &head);
+    let head = resolve::read_head(&bundle.policy, &parts, shared.now())?;
+    *labels = request_labels(shared, bundle, &head);
     let instances = snapshot.view.instances().count();
     let permit = Permit::admit(shared, bundle, head.workspace, instances)?;
-    let whole = read(shared, &parts, incoming).await?;
-    let resolved = resolve::whole(&bundle.policy, &head, &parts, whole, id)?;
+    let body = read_body(shared, &parts, incoming).await?;
+    let resolved = resolve::read_body(&bundle.policy, &head, &parts, body, id)?;
     let version = bundle.policy.version;
     let mut response = entry::run(shared, &snapshot, bundle, resolved).await?;
     let status = response.status();
     let headers = response.headers_mut();
     headers.insert(header::VERSION, HeaderValue::from(version));
-    let outcome = outcome(status);
+    let outcome = outcome_of(status);
     headers.insert(header::OUTCOME, HeaderValue::from_static(outcome.as_str()));
     header::add_via(headers, &shared.settings.name);
     Ok((response, permit))
 }
 
-// An endpoint that failed may have done half of it or nothing.
-fn outcome(status: StatusCode) -> Outcome {
+// After a server error, the endpoint may have run the request in part or not at
+// all.
+fn outcome_of(status: StatusCode) -> Outcome {
     if status.is_server_error() {
         Outcome::Unknown
     } else {
@@ -124,8 +129,8 @@
     }
 }
 
-/// Keeps the counts of a request until its answer's last byte.
-fn finish(
+/// Counts a request as in flight until the last byte of its response.
+fn track_response(
     shared: &Arc<Shared>,
     response: Response<Body>,
     in_flight: InFlight,
@@ -135,17 +140,17 @@
 ) -> Response<Body> {
     let status = response.status();
     let took = since(shared.now(), began);
-    let outcome = outcome(status);
+    let outcome = outcome_of(status);
     shared.metrics.head(&labels, outcome, status.as_u16(), took);
     let shared = Arc::clone(shared);
     let ended = move |_end| {
         Metrics::end(&labels, since(shared.now(), began));
         drop((in_flight, permit));
     };
-    response.map(|body| Relay::new(body, Ends::Framed, ended).boxed_unsync())
+    response.map(|body| Relay::new(body, EndDetection::Framed, ended).boxed_unsync())
 }
 
-fn label(shared: &Shared, bundle: &Bundle, head: &resolve::Head<'_>) -> Labels {
+fn request_labels(shared: &Shared, bundle: &Bundle, head: &resolve::Head<'_>) -> Labels {
     let workspace = bundle.policy.workspaces.get(&head.workspace);
     let class = bundle.policy.classes.get(&head.class);
     shared.metrics.labels(
@@ -174,7 +179,7 @@
 }
 
 fn head_bytes(headers: &HeaderMap) -> usize {
-    // A colon, a space and a line end for each.
+    // A colon, a space and a line end per header.
     const FRAMING: usize = 4;
     headers
         .iter()
@@ -182,17 +187,21 @@
         .sum()
 }
 
-async fn read(shared: &Shared, parts: &Parts, incoming: &mut Incoming) -> Result<Bytes, Problem> {
+async fn read_body(
+    shared: &Shared,
+    parts: &Parts,
+    incoming: &mut Incoming,
+) -> Result<Bytes, Problem> {
     let limit = shared.settings.limits.body_bytes;
     let length = parts.headers.get(CONTENT_LENGTH);
     let length: Option<usize> = length.and_then(|value| value.to_str().ok()?.parse().ok());
-    // Said beforehand, it need not be read first.
+    // A declared length above the limit is refused without reading the body.
     if length.is_some_and(|length| length > limit) {
-        return Err(unread(&body::Error::TooLarge(limit)));
+        return Err(body_problem(&body::Error::TooLarge(limit)));
     }
-    match tokio::time::timeout(BODY_TIME, body::collect(incoming, limit)).await {
+    match tokio::time::timeout(BODY_TIMEOUT, body::collect(incoming, limit)).await {
         Ok(Ok(bytes)) => Ok(bytes),
-        Ok(Err(error)) => Err(unread(&error)),
+        Ok(Err(error)) => Err(body_problem(&error)),
         Err(_elapsed) => Err(Problem::not_run(
             StatusCode::REQUEST_TIMEOUT,
             "slow-body",
@@ -201,7 +210,7 @@
     }
 }
 
-fn unread(error: &body::Error) -> Problem {
+fn body_problem(error: &body::Error) -> Problem {
     let (status, reason) = match error {
         body::Error::TooLarge(_) => (StatusCode::PAYLOAD_TOO_LARGE, "large-body"),
         body::Error::Broken(_) => (StatusCode::BAD_REQUEST, "bad-framing"),
@@ -209,13 +218,13 @@
     Problem::not_run(status, reason, error.to_string())
 }
 
-fn full() -> Problem {
+fn instance_full() -> Problem {
     Problem::not_run(
         StatusCode::SERVICE_UNAVAILABLE,
         "full",
         "this instance has as many requests as it takes; send it again later",
     )
-    .after(Duration::from_secs(1))
+    .with_retry_after(Duration::from_secs(1))
 }
 
 fn no_bundle() -> Problem {
@@ -224,10 +233,10 @@
         "no-bundle",
         "this instance has no bundle yet; send it again in a few seconds",
     )
-    .after(Duration::from_secs(2))
+    .with_retry_after(Duration::from_secs(2))
 }
 
-/// A workspace's leave to have one more request; given back when dropped.
+/// A workspace's admission of one request; released on drop.
 #[derive(Debug)]
 struct Permit {
     shared: Arc<Shared>,
@@ -245,7 +254,7 @@
             return Err(no_bundle());
         };
         let now = shared.now();
-        let mut gate = shared.gate();
+        let mut gate = shared.entry_state();
         gate.limits.admit(now, id, workspace, instances)?;
         Ok(Self {
             shared: Arc::clone(shared),
@@ -256,6 +265,6 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.shared.gate().limits.done(self.workspace);
+        self.shared.entry_state().limits.release(self.workspace);
     }
 }
--- a/crates/router/src/serve/operators.rs
+++ b/crates/router/src/serve/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' port: metrics, and what this instance knows.
+//! The operators' port: metrics and the state of this instance.
 
 use std::net::SocketAddr;
 
@@ -39,8 +39,8 @@
     at_ms: u64,
 }
 
-/// Answers one request of an operator.
-pub(crate) fn answer(shared: &Shared, request: &Request<Incoming>) -> Response<Body> {
+/// Handles an operator's request.
+pub(crate) fn handle(shared: &Shared, request: &Request<Incoming>) -> Response<Body> {
     if request.method() != Method::GET {
         return plain(
             StatusCode::METHOD_NOT_ALLOWED,
@@ -83,7 +83,7 @@
                 address: endpoint.address,
                 owner: view.instance(owner).map(|instance| instance.name.as_str()),
                 owned_here: owner == shared.local(),
-                work: shared.desk.with(|desk| desk.load(endpoint.id)),
+                work: shared.owner.with(|owner| owner.load(endpoint.id)),
             }
         })
         .collect();
@@ -91,7 +91,7 @@
 }
 
 fn quarantine(shared: &Shared) -> Response<Body> {
-    let records = shared.desk.with(|owner| owner.quarantine().records());
+    let records = shared.owner.with(|owner| owner.quarantine().records());
     let answers: Vec<QuarantineAnswer> = records
         .iter()
         .map(|evidence| QuarantineAnswer {
--- a/crates/router/src/serve/peers.rs
+++ b/crates/router/src/serve/peers.rs
@@ -1,4 +1,4 @@
-//! The peers' port: only sealed messages of the fleet's instances count.
+//! The peers' port: accepts only messages sealed by the fleet's instances.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use godwitpost_client::connect::Body;
 use godwitpost_decide::view::Pool;
-use godwitpost_state::claim::{Found, Item, Verdict, batch};
+use godwitpost_state::claim::{Item, Lookup, Verdict, batch};
 use godwitpost_state::gossip::Message;
 use godwitpost_types::id::{self, BodyDigest, KeyDigest};
 use godwitpost_wire::dispatch::{self, Head, Kind};
@@ -19,28 +19,29 @@
 use tokio::sync::oneshot;
 
 use crate::body;
-use crate::body::relay::{Ends, Relay};
+use crate::body::relay::{EndDetection, Relay};
 use crate::claims;
 use crate::control::{Event, bundles, gossip};
 use crate::handover;
-use crate::relay::{Attempt, Job, owner, peer};
+use crate::relay::{AttemptResult, Job, owner, peer};
 use crate::shared::Shared;
 
-/// Bytes of a message beside the caller's body: its head in the frame.
-const BEYOND: usize = 256 << 10;
+/// Limit on the size of a message besides the caller's body: its head in the
+/// frame.
+const MAX_FRAME_HEAD_BYTES: usize = 256 << 10;
 
-/// How long a peer may take to send its message.
-const BODY_TIME: Duration = Duration::from_secs(30);
+/// Timeout of reading a peer's message.
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Answers one message.
-pub(crate) async fn answer(shared: Arc<Shared>, request: Request<Incoming>) -> Response<Body> {
+/// Handles one message.
+pub(crate) async fn handle(shared: Arc<Shared>, request: Request<Incoming>) -> Response<Body> {
     let (parts, incoming) = request.into_parts();
-    let limit = shared.settings.limits.body_bytes + BEYOND;
-    let read = tokio::time::timeout(BODY_TIME, body::collect(incoming, limit)).await;
+    let limit = shared.settings.limits.body_bytes + MAX_FRAME_HEAD_BYTES;
+    let read = tokio::time::timeout(MESSAGE_TIMEOUT, body::collect(incoming, limit)).await;
     let Ok(Ok(bytes)) = read else {
-        return status(StatusCode::BAD_REQUEST);
+        return empty_response(StatusCode::BAD_REQUEST);
     };
-    let mut response = match known(&shared, &parts, &bytes) {
+    let mut response = match authenticate(&shared, &parts, &bytes) {
         Ok(()) => route(&shared, &parts, bytes).await,
         Err(refusal) => refusal,
     };
@@ -49,9 +50,12 @@
     response
 }
 
-// Strangers are refused and counted, and learn nothing but that.
-#[expect(clippy::result_large_err, reason = "the refusal is the answer itself")]
-fn known(shared: &Shared, parts: &Parts, bytes: &Bytes) -> Result<(), Response<Body>> {
+// A message without a valid seal is counted and refused without details.
+#[expect(
+    clippy::result_large_err,
+    reason = "the refusal is the response itself"
+)]
+fn authenticate(shared: &Shared, parts: &Parts, bytes: &Bytes) -> Result<(), Response<Body>> {
     let path = parts
         .uri
         .path_and_query()
@@ -60,51 +64,51 @@
     let key = &shared.settings.fleet_key;
     match key.check(place, bytes, shared.now(), &parts.headers) {
         Ok(sender) => {
-            hear(shared, sender, parts);
+            record_sender_version(shared, sender, parts);
             Ok(())
         }
         Err(error) => {
             shared.metrics.stranger();
             log::warn!(path:% = parts.uri.path(), error:% = error; "peer message refused");
-            Err(status(StatusCode::UNAUTHORIZED))
+            Err(empty_response(StatusCode::UNAUTHORIZED))
         }
     }
 }
 
-fn hear(shared: &Shared, sender: &str, parts: &Parts) {
+fn record_sender_version(shared: &Shared, sender: &str, parts: &Parts) {
     let version = parts.headers.get(header::BUNDLE);
     let version = version.and_then(|value| value.to_str().ok()?.parse().ok());
     if let Some(version) = version {
-        crate::control::heard(shared, id::of(sender), version);
+        crate::control::report_peer_version(shared, id::of(sender), version);
     }
 }
 
 async fn route(shared: &Arc<Shared>, parts: &Parts, bytes: Bytes) -> Response<Body> {
     match (&parts.method, parts.uri.path()) {
-        (&Method::POST, dispatch::PATH) => dispatched(shared, &bytes).await,
-        (&Method::POST, claims::PATH) => claim(shared, &bytes).await,
-        (&Method::POST, claims::ANSWER_PATH) => kept(shared, &bytes),
-        (&Method::POST, peer::EVIDENCE) => testified(shared, &bytes),
-        (&Method::POST, gossip::PATH) => gossiped(shared, &bytes).await,
-        (&Method::POST, handover::PATH) => taken_over(shared, &bytes),
-        (&Method::GET, bundles::PATH) => bundle(shared, parts).await,
-        _ => status(StatusCode::NOT_FOUND),
+        (&Method::POST, dispatch::PATH) => handle_dispatch(shared, &bytes).await,
+        (&Method::POST, claims::PATH) => handle_claim(shared, &bytes).await,
+        (&Method::POST, claims::RESPONSE_PATH) => handle_response_request(shared, &bytes),
+        (&Method::POST, peer::EVIDENCE_PATH) => handle_evidence(shared, &bytes),
+        (&Method::POST, gossip::PATH) => handle_gossip(shared, &bytes).await,
+        (&Method::POST, handover::PATH) => handle_handover(shared, &bytes),
+        (&Method::GET, bundles::PATH) => handle_bundle_request(shared, parts).await,
+        _ => empty_response(StatusCode::NOT_FOUND),
     }
 }
 
-async fn dispatched(shared: &Arc<Shared>, bytes: &Bytes) -> Response<Body> {
-    let in_flight = shared.enter();
+async fn handle_dispatch(shared: &Arc<Shared>, bytes: &Bytes) -> Response<Body> {
+    let in_flight = shared.track_request();
     let Ok(Frame { head, body }) = Frame::<Head>::decode(bytes) else {
-        return status(StatusCode::BAD_REQUEST);
+        return empty_response(StatusCode::BAD_REQUEST);
     };
     let attempt = head.attempt;
-    let pool = Pool::of(&head.request);
+    let pool = Pool::for_request(&head.request);
     let (kind, mut response) = match owner::serve(shared, &Job::received(head, body)).await {
-        Attempt::Answered(mut response) => {
+        AttemptResult::Response(mut response) => {
             header::add_via(response.headers_mut(), &shared.settings.name);
             (Kind::Relayed, response)
         }
-        Attempt::Reply(reply) => {
+        AttemptResult::Reply(reply) => {
             let bytes = rmp_serde::to_vec(&reply).unwrap_or_default();
             (Kind::Reply, Response::new(body::full(Bytes::from(bytes))))
         }
@@ -115,95 +119,97 @@
         headers.insert(header::ATTEMPT, attempt);
     }
     let now = shared.now();
-    let summary = shared.desk.with(|owner| owner.summary(now, pool));
+    let summary = shared.owner.with(|owner| owner.summary(now, pool));
     if let Ok(load) = HeaderValue::from_str(&dispatch::load_text(&summary)) {
         headers.insert(header::LOAD, load);
     }
-    // A stream that is relayed here is in flight here until its end.
-    response.map(|body| Relay::new(body, Ends::Framed, move |_end| drop(in_flight)).boxed_unsync())
+    // A stream that this instance relays is in flight until it ends.
+    response.map(|body| {
+        Relay::new(body, EndDetection::Framed, move |_end| drop(in_flight)).boxed_unsync()
+    })
 }
 
-async fn claim(shared: &Shared, bytes: &Bytes) -> Response<Body> {
+async fn handle_claim(shared: &Shared, bytes: &Bytes) -> Response<Body> {
     let Ok(items) = batch::decode(bytes) else {
-        return status(StatusCode::BAD_REQUEST);
+        return empty_response(StatusCode::BAD_REQUEST);
     };
     let mut verdict = Verdict::Unavailable;
     for item in items {
-        let asked = matches!(item, Item::Claim(_));
-        let (reply, answer) = oneshot::channel();
+        let is_claim = matches!(item, Item::Claim(_));
+        let (reply, response) = oneshot::channel();
         let event = Event::Claim { item, reply };
         if shared.control.send(event).await.is_err() {
             break;
         }
-        if asked {
-            verdict = answer.await.unwrap_or(Verdict::Unavailable);
+        if is_claim {
+            verdict = response.await.unwrap_or(Verdict::Unavailable);
         }
     }
     let bytes = rmp_serde::to_vec(&verdict).unwrap_or_default();
     Response::new(body::full(Bytes::from(bytes)))
 }
 
-fn kept(shared: &Shared, bytes: &Bytes) -> Response<Body> {
+fn handle_response_request(shared: &Shared, bytes: &Bytes) -> Response<Body> {
     let Ok((key, digest)) = rmp_serde::from_slice::<(KeyDigest, BodyDigest)>(bytes) else {
-        return status(StatusCode::BAD_REQUEST);
+        return empty_response(StatusCode::BAD_REQUEST);
     };
     let mut claims = shared.claims.lock();
-    match claims.answers.find(shared.now(), &key, &digest) {
-        Found::Answer(kept) => Response::new(body::full(kept.encode())),
-        Found::OtherBody | Found::Nothing => status(StatusCode::NOT_FOUND),
+    match claims.responses.get(shared.now(), &key, &digest) {
+        Lookup::Hit(cached) => Response::new(body::full(cached.encode())),
+        Lookup::OtherBody | Lookup::Miss => empty_response(StatusCode::NOT_FOUND),
     }
 }
 
-async fn gossiped(shared: &Shared, bytes: &Bytes) -> Response<Body> {
+async fn handle_gossip(shared: &Shared, bytes: &Bytes) -> Response<Body> {
     let Ok(message) = Message::decode(bytes) else {
-        return status(StatusCode::BAD_REQUEST);
+        return empty_response(StatusCode::BAD_REQUEST);
     };
-    let (reply, answer) = oneshot::channel();
-    let event = Event::Gossip(message, bytes.len(), reply);
+    let (reply, response) = oneshot::channel();
+    let event = Event::GossipRequest(message, bytes.len(), reply);
     if shared.control.send(event).await.is_err() {
-        return status(StatusCode::SERVICE_UNAVAILABLE);
+        return empty_response(StatusCode::SERVICE_UNAVAILABLE);
     }
-    match answer.await {
+    match response.await {
         Ok(Some(bytes)) => Response::new(body::full(bytes)),
-        Ok(None) => status(StatusCode::TOO_MANY_REQUESTS),
-        Err(_gone) => status(StatusCode::SERVICE_UNAVAILABLE),
+        Ok(None) => empty_response(StatusCode::TOO_MANY_REQUESTS),
+        Err(_gone) => empty_response(StatusCode::SERVICE_UNAVAILABLE),
     }
 }
 
-fn testified(shared: &Shared, bytes: &Bytes) -> Response<Body> {
+fn handle_evidence(shared: &Shared, bytes: &Bytes) -> Response<Body> {
     let Ok(evidence) = rmp_serde::from_slice::<Vec<_>>(bytes) else {
-        return status(StatusCode::BAD_REQUEST);
+        return empty_response(StatusCode::BAD_REQUEST);
     };
-    shared.desk.with(|owner| owner.learn_evidence(&evidence));
-    status(StatusCode::OK)
+    shared.owner.with(|owner| owner.record_evidence(&evidence));
+    empty_response(StatusCode::OK)
 }
 
-fn taken_over(shared: &Shared, bytes: &Bytes) -> Response<Body> {
+fn handle_handover(shared: &Shared, bytes: &Bytes) -> Response<Body> {
     let Ok(locations) = rmp_serde::from_slice::<Vec<_>>(bytes) else {
-        return status(StatusCode::BAD_REQUEST);
+        return empty_response(StatusCode::BAD_REQUEST);
     };
-    shared.desk.with(|owner| owner.take_over(&locations));
-    status(StatusCode::OK)
+    shared.owner.with(|owner| owner.accept_handover(&locations));
+    empty_response(StatusCode::OK)
 }
 
-async fn bundle(shared: &Shared, parts: &Parts) -> Response<Body> {
+async fn handle_bundle_request(shared: &Shared, parts: &Parts) -> Response<Body> {
     let since = parts
         .uri
         .query()
         .and_then(|query| query.strip_prefix("since=")?.parse().ok())
         .unwrap_or(0);
-    let (reply, answer) = oneshot::channel();
-    let event = Event::Bundle(since, reply);
+    let (reply, response) = oneshot::channel();
+    let event = Event::BundleRequest(since, reply);
     if shared.control.send(event).await.is_err() {
-        return status(StatusCode::SERVICE_UNAVAILABLE);
+        return empty_response(StatusCode::SERVICE_UNAVAILABLE);
     }
-    match answer.await {
+    match response.await {
         Ok(Some(bytes)) => Response::new(body::full(bytes)),
-        _ => status(StatusCode::NOT_FOUND),
+        _ => empty_response(StatusCode::NOT_FOUND),
     }
 }
 
-fn status(status: StatusCode) -> Response<Body> {
+fn empty_response(status: StatusCode) -> Response<Body> {
     let mut response = Response::new(body::full(Bytes::new()));
     *response.status_mut() = status;
     response
--- a/crates/router/src/shutdown.rs
+++ b/crates/router/src/shutdown.rs
@@ -1,6 +1,7 @@
-//! A graceful shutdown: nothing in flight is cut, and owned chats move on.
+//! Graceful shutdown: requests in flight are finished, and owned chats are
+//! handed over.
 //!
-//! `godwitpost_state::drain` says what to do when; this carries it out.
+//! `godwitpost_state::drain` decides the steps; this module carries them out.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,41 +13,41 @@
 use crate::handover;
 use crate::shared::Shared;
 
-/// How often the shutdown looks at what is in flight.
-const TICK: Duration = Duration::from_millis(20);
+/// Period of checks for requests in flight.
+const POLL_PERIOD: Duration = Duration::from_millis(20);
 
 /// How a graceful shutdown ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stopped {
-    /// Nothing was in flight any more.
+pub enum ShutdownResult {
+    /// All requests in flight were finished.
     Whole,
-    /// The limit passed, or a second signal came, with requests in flight.
+    /// The limit passed or a second signal arrived with requests in flight.
     Cut {
-        /// How many were cut.
+        /// How many requests were cut off.
         requests: usize,
     },
 }
 
-/// Shuts down; `hurry` turns true when a second signal comes.
+/// Shuts down; `hurry` becomes true when a second signal arrives.
 pub(crate) async fn run(
     shared: Arc<Shared>,
     closing: watch::Sender<bool>,
     hurry: watch::Receiver<bool>,
-) -> Stopped {
+) -> ShutdownResult {
     let mut drain = Drain::new(Limits {
-        lag: shared.settings.balancer_lag,
-        hard: shared.settings.drain,
-        // A second signal is an operator who can't wait.
-        second: Duration::ZERO,
+        balancer_lag: shared.settings.balancer_lag,
+        hard_limit: shared.settings.drain,
+        // A second signal ends the shutdown at once.
+        second_signal_limit: Duration::ZERO,
     });
-    drain.signal(shared.now());
+    drain.handle_signal(shared.now());
     let mut hurried = false;
     let mut announced = false;
     let mut closed = false;
     loop {
         if *hurry.borrow() && !hurried {
             hurried = true;
-            drain.signal(shared.now());
+            drain.handle_signal(shared.now());
         }
         match drain.tick(shared.now(), shared.in_flight()) {
             Next::Announce { .. } if announced => {}
@@ -58,20 +59,20 @@
             Next::Close { .. } => {
                 closed = true;
                 closing.send_replace(true);
-                handover::all(&shared).await;
-                drain.handed_over();
+                handover::send_all(&shared).await;
+                drain.record_handover();
             }
             Next::Serve | Next::Wait { .. } => {}
-            Next::Exit { cut: 0 } => return Stopped::Whole,
-            Next::Exit { cut } => return Stopped::Cut { requests: cut },
+            Next::Exit { aborted: 0 } => return ShutdownResult::Whole,
+            Next::Exit { aborted } => return ShutdownResult::Cut { requests: aborted },
         }
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(POLL_PERIOD).await;
     }
 }
 
 async fn announce(shared: &Shared) {
     log::info!(name:% = shared.settings.name; "leaving");
-    shared.leave();
+    shared.begin_leaving();
     let (done, published) = oneshot::channel();
     if shared.control.send(Event::Leave(done)).await.is_ok() {
         drop(published.await);
--- a/crates/router/tests/router/chats.rs
+++ b/crates/router/tests/router/chats.rs
@@ -4,7 +4,7 @@
 use godwitpost_standin::engine::{self, End};
 use http_body_util::BodyExt as _;
 
-use crate::fleet::{Fleet, Size, chat, outcome, until, words};
+use crate::fleet::{Fleet, Size, chat, outcome, wait_until, words};
 
 const SIZE: Size = Size {
     routers: 3,
@@ -16,7 +16,7 @@
 async fn a_chat_streams_whole_through_each_router() {
     let fleet = Fleet::start(SIZE).await;
     for router in 0..SIZE.routers {
-        let (status, headers, body) = fleet.ask(router, chat("ice lines", 8)).await;
+        let (status, headers, body) = fleet.send_and_read(router, chat("ice lines", 8)).await;
         assert_eq!(status, 200, "{}", String::from_utf8_lossy(&body));
         assert_eq!(outcome(&headers), "ran");
         assert_eq!(headers["godwitpost-version"], "1");
@@ -77,7 +77,7 @@
         response.frame().await.unwrap().unwrap();
         drop(response);
     }
-    until("each run is cancelled", async || {
+    wait_until("each run is cancelled", async || {
         let runs = fleet.engines.iter().flat_map(engine::Running::runs);
         let ends: Vec<Option<End>> = runs.map(|run| run.end).collect();
         ends.len() == SIZE.routers && ends.iter().all(|end| *end == Some(End::Cancelled))
--- a/crates/router/tests/router/faults.rs
+++ b/crates/router/tests/router/faults.rs
@@ -1,4 +1,4 @@
-//! Instances and endpoints that go, with and without a word.
+//! Instances and endpoints that leave or crash, and other faults.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use http_body_util::BodyExt as _;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 
-use crate::fleet::{Fleet, Size, chat, key, order, outcome, until, words};
+use crate::fleet::{Fleet, Size, chat, key, order, outcome, wait_until, words};
 
 const SIZE: Size = Size {
     routers: 3,
@@ -17,20 +17,22 @@
     plains: 2,
 };
 
-// A router crashes, and the platform's list names it for seconds more. Chats
-// and orders whose owner or batcher it was still come in at the others, and
-// each of them has to be answered.
+// A router crashes, and the platform's list names it for some seconds more.
+// Chats and orders whose owner or batcher it was still arrive at the other
+// routers, and each of them must succeed.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_crashed_router_costs_the_others_no_request() {
+async fn crashed_router_causes_no_failures_at_other_routers() {
     let mut fleet = Fleet::start(SIZE).await;
     fleet.routers.remove(0).kill();
     for n in 0..16 {
         let router = n % 2;
-        let (status, headers, body) = fleet.ask(router, chat(&format!("draft {n}"), 2)).await;
+        let (status, headers, body) = fleet
+            .send_and_read(router, chat(&format!("draft {n}"), 2))
+            .await;
         let text = String::from_utf8_lossy(&body);
         assert_eq!((status.as_u16(), outcome(&headers)), (200, "ran"), "{text}");
         let key = key(100 + u16::try_from(n).unwrap());
-        let (status, headers, body) = fleet.ask(router, order(&key, "guides")).await;
+        let (status, headers, body) = fleet.send_and_read(router, order(&key, "guides")).await;
         let text = String::from_utf8_lossy(&body);
         assert_eq!((status.as_u16(), outcome(&headers)), (200, "ran"), "{text}");
         let runs = fleet.plains.iter().map(|p| p.runs("POST /orders", &key));
@@ -38,35 +40,35 @@
     }
 }
 
-// An engine says that it is leaving before the list does. Its chats go
-// elsewhere at once, and no caller notices.
+// An engine announces that it is leaving before the list does. Its chats must be
+// placed elsewhere at once, without failures for callers.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leaving_engine_gets_no_new_work_and_callers_notice_nothing() {
+async fn leaving_engine_gets_no_requests_and_callers_get_no_errors() {
     let fleet = Fleet::start(SIZE).await;
     fleet.engines[0]
         .faults()
         .change(|faults| faults.leaving = true);
     for n in 0..12 {
         let request = chat(&format!("draft {n}"), 2);
-        let (status, headers, body) = fleet.ask(n % SIZE.routers, request).await;
+        let (status, headers, body) = fleet.send_and_read(n % SIZE.routers, request).await;
         let text = String::from_utf8_lossy(&body);
         assert_eq!((status.as_u16(), outcome(&headers)), (200, "ran"), "{text}");
     }
     assert!(fleet.engines[0].runs().is_empty());
 }
 
-// An engine mixes up two answers. A draft of another workspace on an editor's
-// page would be worse than none.
+// An engine mixes up two responses. A caller must not get one of another
+// workspace's request.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_answer_to_another_request_never_reaches_a_caller() {
+async fn response_to_another_request_never_reaches_a_caller() {
     let fleet = Fleet::start(Size { engines: 1, ..SIZE }).await;
-    fleet.ask(0, chat("first", 4)).await;
+    fleet.send_and_read(0, chat("first", 4)).await;
     fleet.engines[0]
         .faults()
         .change(|faults| faults.cross = 1.0);
-    // The first attempt gets the answer to `first` and is given up; the
-    // second one repeats the first's own.
-    let (status, _, body) = fleet.ask(1, chat("second", 4)).await;
+    // The first attempt gets the response to `first` and is abandoned; the
+    // second attempt gets the response to the first one.
+    let (status, _, body) = fleet.send_and_read(1, chat("second", 4)).await;
     let text = String::from_utf8_lossy(&body);
     assert_eq!(status, 200, "{text}");
     let sent = chat("second", 4).into_body().collect().await.unwrap();
@@ -76,29 +78,30 @@
     assert_eq!(fleet.engines[0].runs().len(), 3);
 }
 
-// A request's deadline passes while the engine works on it. Nobody can say
-// that it was not run.
+// A request's deadline passes while the engine works on it. It must not be
+// reported as not run.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_deadline_that_passes_at_the_engine_leaves_the_fate_unknown() {
+async fn deadline_that_passes_at_the_engine_makes_the_outcome_unknown() {
     let fleet = Fleet::start(Size { engines: 1, ..SIZE }).await;
     fleet.engines[0]
         .faults()
         .change(|faults| faults.slow = Duration::from_mins(1));
-    // A third would find the engine closed for its two failures, and wait.
+    // A third request would have to wait, because the engine is closed after two
+    // failures.
     for router in 0..2 {
         let mut request = chat(&format!("slow {router}"), 4);
         request
             .headers_mut()
             .insert("prefer", "wait=1".parse().unwrap());
-        let (status, headers, _) = fleet.ask(router, request).await;
+        let (status, headers, _) = fleet.send_and_read(router, request).await;
         assert_eq!((status.as_u16(), outcome(&headers)), (504, "unknown"));
     }
 }
 
-// A shop's terminal loses its connection while its order runs. The order runs
-// to its end, once, and the shop gets the answer when it sends the key again.
+// A caller loses its connection while its order runs. The order must run to its
+// end, once, and the caller must get the response when it sends the key again.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_order_whose_caller_goes_away_runs_once_and_its_answer_is_kept() {
+async fn order_of_a_disconnected_caller_runs_once_and_its_response_is_cached() {
     let fleet = Fleet::start(SIZE).await;
     for plain in &fleet.plains {
         plain
@@ -113,42 +116,42 @@
     let address = fleet.routers[0].callers_address();
     let client = fleet.client.clone();
     let request = order(&key, "guides");
-    let asking =
+    let sending =
         tokio::spawn(async move { client.send(address, request, Duration::from_secs(20)).await });
-    until("the order runs", async || runs() == 1).await;
-    asking.abort();
-    until("its answer is kept", async || {
-        let (_, headers, _) = fleet.ask(1, order(&key, "guides")).await;
+    wait_until("the order runs", async || runs() == 1).await;
+    sending.abort();
+    wait_until("its response is cached", async || {
+        let (_, headers, _) = fleet.send_and_read(1, order(&key, "guides")).await;
         outcome(&headers) == "ran" && headers.contains_key("godwitpost-replayed")
     })
     .await;
     assert_eq!(runs(), 1);
 }
 
-// The log is down when a second version is handed about: an operator reached
-// one router's log before, and the others have to get it from that router.
+// A router starts while the log is down. It can't read the bundle stream and has
+// to get the bundle from another router.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_router_that_starts_with_the_log_down_gets_the_bundle_from_a_peer() {
+async fn router_that_starts_with_the_log_down_gets_the_bundle_from_a_peer() {
     let mut fleet = Fleet::start(SIZE).await;
     fleet.log.faults().change(|faults| faults.down = true);
     fleet.add_router(3, &Private::from_seed(&[3; 32]));
     let late = fleet.routers[3].callers_address();
-    until("the late router is ready", async || {
+    wait_until("the late router is ready", async || {
         fleet.get(late, "/readyz").await.0 == 200
     })
     .await;
-    let (status, _, _) = fleet.ask(3, chat("ice lines", 2)).await;
+    let (status, _, _) = fleet.send_and_read(3, chat("ice lines", 2)).await;
     assert_eq!(status, 200);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_second_version_is_in_force_on_each_router_and_the_first_never_again() {
+async fn second_version_replaces_the_first_for_good_on_each_router() {
     let fleet = Fleet::start(SIZE).await;
     let first = fleet.log.records("bundles")[0].clone();
-    fleet.roll_after(1);
+    fleet.publish_version_after(1);
     for router in &fleet.routers {
         let operators = router.operators_address();
-        until("the second version is in force", async || {
+        wait_until("the second version is in force", async || {
             let (_, _, bundle) = fleet.get(operators, "/bundle").await;
             let bundle: serde_json::Value = serde_json::from_slice(&bundle).unwrap();
             bundle["version"] == 2
@@ -169,16 +172,16 @@
 }
 
 // An engine crashes while it computes the prompt, before the first token. The
-// editor waits a little longer and gets the draft from another engine.
+// request must be retried at another engine.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_crash_before_the_first_token_is_repeated_elsewhere() {
+async fn request_is_retried_elsewhere_after_a_crash_before_the_first_token() {
     let fleet = Fleet::start(SIZE).await;
     for engine in &fleet.engines {
         engine
             .faults()
             .change(|faults| faults.slow = Duration::from_millis(300));
     }
-    let asking = fleet.ask(0, chat("ice lines", 4));
+    let sending = fleet.send_and_read(0, chat("ice lines", 4));
     let crashing = async {
         let running = || {
             fleet
@@ -186,19 +189,20 @@
                 .iter()
                 .find(|engine| !engine.runs().is_empty())
         };
-        until("the draft runs", async || running().is_some()).await;
+        wait_until("the draft runs", async || running().is_some()).await;
         running().unwrap().crash(Duration::from_secs(1));
     };
-    let ((status, headers, body), ()) = tokio::join!(asking, crashing);
+    let ((status, headers, body), ()) = tokio::join!(sending, crashing);
     let text = String::from_utf8_lossy(&body);
     assert_eq!((status.as_u16(), outcome(&headers)), (200, "ran"), "{text}");
     assert_eq!(words(&body).len(), 4);
 }
 
-// An answer in one piece is cut off, and its engine ends it as if it were
-// whole. Only its syntax shows that; the caller gets another engine's.
+// An engine truncates a response that is not streamed and ends it as if it were
+// complete. Only the syntax of the body shows it. The caller must not get the
+// truncated response.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_truncated_answer_in_one_piece_is_not_passed_on() {
+async fn truncated_response_is_not_relayed() {
     let fleet = Fleet::start(SIZE).await;
     for engine in &fleet.engines[..2] {
         engine.faults().change(|faults| {
@@ -213,21 +217,21 @@
         let text = String::from_utf8(body.to_vec()).unwrap();
         let text = text.replace("\"stream\":true", "\"stream\":false");
         let request = http::Request::from_parts(parts, crate::fleet::full(&text));
-        let (status, _, body) = fleet.ask(n % SIZE.routers, request).await;
-        let answer = serde_json::from_slice::<serde_json::Value>(&body).unwrap();
+        let (status, _, body) = fleet.send_and_read(n % SIZE.routers, request).await;
+        let response = serde_json::from_slice::<serde_json::Value>(&body).unwrap();
         if status == 200 {
-            assert_eq!(answer["digest"], digest::of(text.as_bytes()));
+            assert_eq!(response["digest"], digest::of(text.as_bytes()));
         } else {
-            assert_eq!(answer["outcome"], "unknown");
+            assert_eq!(response["outcome"], "unknown");
         }
     }
 }
 
-// One prompt crashes each engine that runs it, and its caller sends it again
-// through another router. Two engines are lost to it and no third; and while
-// it may have run, the caller is not told that it wasn't.
+// A prompt crashes each engine that runs it, and its caller sends it again
+// through other routers. It must not crash more than two engines, and the first
+// response must not claim that it was not run.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_prompt_that_crashes_engines_costs_two_of_them() {
+async fn prompt_that_crashes_engines_crashes_at_most_two() {
     let fleet = Fleet::start(Size { engines: 8, ..SIZE }).await;
     for engine in &fleet.engines {
         engine.faults().change(|faults| {
@@ -239,22 +243,22 @@
     for prompt in 0..4 {
         let poison = || chat(&format!("poison {prompt}"), 4);
         let before = crashes();
-        let (_, headers, _) = fleet.ask(0, poison()).await;
+        let (_, headers, _) = fleet.send_and_read(0, poison()).await;
         assert_eq!(outcome(&headers), "unknown");
         for router in [1, 2, 0] {
-            let (status, _, _) = fleet.ask(router, poison()).await;
+            let (status, _, _) = fleet.send_and_read(router, poison()).await;
             assert!(!status.is_success());
         }
         assert!(crashes() - before <= 2, "prompt {prompt}");
     }
 }
 
-// The log drops records after a while. All routers are replaced at once, and
-// none has kept anything: the bundle must still be there to be found.
+// The log drops records after its retention, and all routers are replaced at
+// once without any state. The bundle must still be in the log.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_bundle_outlives_its_record_and_all_routers() {
+async fn bundle_outlasts_its_first_record_and_all_routers() {
     let mut fleet = Fleet::start_with(SIZE, Duration::from_secs(3)).await;
-    until("the bundle is appended again", async || {
+    wait_until("the bundle is appended again", async || {
         fleet.log.records("bundles").len() > 1
     })
     .await;
@@ -262,26 +266,27 @@
     fleet.routers.drain(..).for_each(Running::kill);
     fleet.add_router(4, &Private::from_seed(&[3; 32]));
     let late = fleet.routers[0].callers_address();
-    until("a router without memory is ready", async || {
+    wait_until("a router without state is ready", async || {
         fleet.get(late, "/readyz").await.0 == 200
     })
     .await;
 }
 
-// A router starts with empty memory and reads weeks of versions. Serving on
-// its way, it would show callers bundles that the fleet left long ago.
+// A router starts without state and reads weeks of versions. If it served
+// before it has read them all, it would apply bundles that were replaced long
+// ago.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_router_that_still_reads_the_stream_serves_under_no_old_version() {
-    // More than are read at once.
+async fn router_that_is_reading_the_stream_serves_under_no_old_version() {
+    // More than one page.
     const LAST: u64 = 1050;
     let mut fleet = Fleet::start(Size { routers: 0, ..SIZE }).await;
-    (1..LAST).for_each(|version| fleet.roll_after(version));
-    // Between two pages is time enough to look.
+    (1..LAST).for_each(|version| fleet.publish_version_after(version));
+    // Leaves time to check the version between two pages.
     let slow = Duration::from_millis(200);
     fleet.log.faults().change(|faults| faults.slow = slow);
     fleet.add_router(0, &Private::from_seed(&[3; 32]));
     let operators = fleet.routers[0].operators_address();
-    until("the last version is in force", async || {
+    wait_until("the last version is in force", async || {
         let (_, _, bundle) = fleet.get(operators, "/bundle").await;
         let bundle: serde_json::Value = serde_json::from_slice(&bundle).unwrap();
         let version = bundle["version"].as_u64().unwrap();
@@ -291,11 +296,11 @@
     .await;
 }
 
-// A service ends its answer by closing the connection, and nothing says
-// whether that is the whole of it. A stock list must not be taken for whole,
-// and an order's confirmation not for one.
+// A service ends its response by closing the connection, so that nothing shows
+// whether the response is complete. A list must not be relayed as complete, and
+// an order must not be reported as run.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_that_ends_with_its_connection_is_not_vouched_for() {
+async fn response_that_ends_with_its_connection_is_not_relayed_as_complete() {
     let fleet = Fleet::start(Size { plains: 0, ..SIZE }).await;
     let service = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     fleet.list_plain("unframed", service.local_addr().unwrap());
@@ -303,8 +308,8 @@
         while let Ok((mut stream, _)) = service.accept().await {
             let mut head = [0; 4096];
             assert!(stream.read(&mut head).await.unwrap() > 0);
-            let answer = b"HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nhalf";
-            stream.write_all(answer).await.unwrap();
+            let response = b"HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nhalf";
+            stream.write_all(response).await.unwrap();
         }
     });
     let stock = || {
@@ -313,32 +318,32 @@
             .body(crate::fleet::full(""))
             .unwrap()
     };
-    until(
-        "the service is known and its answer breaks off",
+    wait_until(
+        "the service is known and its response breaks off",
         async || {
             let response = fleet.send(0, stock()).await.unwrap();
             let status = response.status();
-            let whole = response.into_body().collect().await;
-            assert!(status == 503 || whole.is_err(), "{status}");
+            let body = response.into_body().collect().await;
+            assert!(status == 503 || body.is_err(), "{status}");
             status == 200
         },
     )
     .await;
-    let (_, headers, _) = fleet.ask(0, order(&key(8), "guides")).await;
+    let (_, headers, _) = fleet.send_and_read(0, order(&key(8), "guides")).await;
     assert_eq!(outcome(&headers), "unknown");
 }
 
-// A router is started while the list is down. It has the bundle from the log
-// and calls itself ready; the balancer sends it callers, and all of them hear
-// that there is no endpoint, which the routers beside it have.
+// A router starts while the list is down and reads the bundle from the log. If
+// it were ready with the bundle alone, the balancer would send it requests, and
+// all of them would fail because it knows no endpoint.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_router_is_not_ready_before_it_has_read_the_list() {
+async fn router_is_not_ready_before_it_has_read_the_list() {
     let mut fleet = Fleet::start(SIZE).await;
     fleet.list.faults().change(|faults| faults.down = true);
     fleet.add_router(9, &Private::from_seed(&[3; 32]));
     let late = fleet.routers.last().unwrap();
     let (callers, operators) = (late.callers_address(), late.operators_address());
-    until("the new router holds the bundle", async || {
+    wait_until("the new router holds the bundle", async || {
         let (_, _, bundle) = fleet.get(operators, "/bundle").await;
         let bundle: serde_json::Value = serde_json::from_slice(&bundle).unwrap();
         bundle["version"] == 1
@@ -350,12 +355,12 @@
         (503, b"no instance list yet\n".as_slice())
     );
     fleet.list.faults().change(|faults| faults.down = false);
-    until("the new router is ready", async || {
+    wait_until("the new router is ready", async || {
         fleet.get(callers, "/readyz").await.0 == 200
     })
     .await;
     let (status, _, _) = fleet
-        .ask(fleet.routers.len() - 1, chat("ice lines", 4))
+        .send_and_read(fleet.routers.len() - 1, chat("ice lines", 4))
         .await;
     assert_eq!(status, 200);
 }
--- a/crates/router/tests/router/fleet.rs
+++ b/crates/router/tests/router/fleet.rs
@@ -1,4 +1,5 @@
-//! A small fleet: a log, a list, endpoints and routers under a signed bundle.
+//! A small fleet for tests: a log, a list, endpoints and routers with a signed
+//! bundle.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -25,12 +26,12 @@
 /// The fleet's key in base64.
 pub(crate) const FLEET_KEY: &str = "AAECAwQFBgcICQoLDA0ODxAREhMUFRYXGBkaGxwdHh8=";
 
-/// The bound on all waiting; only a fault comes near it.
-const LONG: Duration = Duration::from_secs(20);
+/// Bound on all waits, far above what they take without a fault.
+const MAX_WAIT: Duration = Duration::from_secs(20);
 
 const ZONES: [&str; 4] = ["sapporo", "asahikawa", "otaru", "kushiro"];
 
-/// How many of each a fleet has.
+/// The numbers of a fleet's routers and endpoints.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Size {
     pub(crate) routers: usize,
@@ -38,7 +39,7 @@
     pub(crate) plains: usize,
 }
 
-/// A fleet that is ready.
+/// A running fleet.
 pub(crate) struct Fleet {
     pub(crate) log: log::Running,
     pub(crate) list: list::Running,
@@ -56,14 +57,19 @@
         Self::start_with(size, Duration::from_hours(1)).await
     }
 
-    /// Starts a fleet whose routers are told that the log keeps records for
-    /// so long.
+    /// Starts a fleet whose routers assume that the log retains records for
+    /// `retention`.
     pub(crate) async fn start_with(size: Size, retention: Duration) -> Self {
         let key = Private::from_seed(&[3; 32]);
-        let log = log::start(any(), log::Faults::default()).await.unwrap();
-        let list = list::start(any(), list::Faults::default()).await.unwrap();
-        let store = weights::start(any(), weights::Faults::default());
-        // Nobody may read half of the list: who joins later is on probation.
+        let log = log::start(any_port(), log::Faults::default())
+            .await
+            .unwrap();
+        let list = list::start(any_port(), list::Faults::default())
+            .await
+            .unwrap();
+        let store = weights::start(any_port(), weights::Faults::default());
+        // No router may read an incomplete list: instances that join later are on
+        // probation.
         list.faults().change(|faults| faults.down = true);
         let mut fleet = Self {
             engines: Vec::new(),
@@ -81,12 +87,12 @@
         for n in 0..size.plains {
             fleet.add_plain(n).await;
         }
-        fleet.roll(&key);
+        fleet.publish_bundle(&key);
         for n in 0..size.routers {
             fleet.add_router(n, &key);
         }
         fleet.list.faults().change(|faults| faults.down = false);
-        fleet.ready(size).await;
+        fleet.wait_until_ready(size).await;
         fleet
     }
 
@@ -96,9 +102,9 @@
             weights: Some(self.store.address()),
             ..engine::Settings::default()
         };
-        let engine = engine::start(any(), settings, engine::Faults::default()).await;
+        let engine = engine::start(any_port(), settings, engine::Faults::default()).await;
         let engine = engine.unwrap();
-        let mut entry = listed(&format!("runner-{n}"), Role::Endpoint, n, engine.address());
+        let mut entry = list_entry(&format!("runner-{n}"), Role::Endpoint, n, engine.address());
         entry.service = Some("drafting".to_owned());
         entry.models = BTreeSet::from(["writer".to_owned()]);
         self.list.set(entry);
@@ -106,7 +112,9 @@
     }
 
     async fn add_plain(&mut self, n: usize) {
-        let plain = plain::start(any(), plain::Faults::default()).await.unwrap();
+        let plain = plain::start(any_port(), plain::Faults::default())
+            .await
+            .unwrap();
         self.list_plain(&format!("orders-{n}"), plain.address());
         self.plains.push(plain);
     }
@@ -114,7 +122,7 @@
     pub(crate) fn add_router(&mut self, n: usize, key: &Private) {
         let router = start(self.settings(n, key)).unwrap();
         let name = format!("router-{n}");
-        let mut entry = listed(&name, Role::Router, n, router.peers_address());
+        let mut entry = list_entry(&name, Role::Router, n, router.peers_address());
         entry.operators_address = Some(router.operators_address());
         self.list.set(entry);
         self.routers.push(router);
@@ -144,12 +152,12 @@
         .unwrap()
     }
 
-    fn roll(&self, key: &Private) {
+    fn publish_bundle(&self, key: &Private) {
         self.append(&Change::sign(None, &bundle(key), "asahikawa", key));
     }
 
-    /// Rolls the second version, with other weights of the model.
-    pub(crate) fn roll_weights(&self, weights: &str) {
+    /// Publishes version 2, with other weights of the model.
+    pub(crate) fn publish_weights(&self, weights: &str) {
         let key = Private::from_seed(&[3; 32]);
         let mut second = bundle(&key);
         let first = Tree::new(entry::split(&second));
@@ -159,8 +167,8 @@
         self.append(&Change::sign(Some(&first), &second, "asahikawa", &key));
     }
 
-    /// Rolls the version after `version`, which differs in its claim window.
-    pub(crate) fn roll_after(&self, version: u64) {
+    /// Publishes the version after `version`, which differs in its claim window.
+    pub(crate) fn publish_version_after(&self, version: u64) {
         let key = Private::from_seed(&[3; 32]);
         let at = |version: u64| {
             let mut bundle = bundle(&key);
@@ -175,7 +183,7 @@
 
     /// Adds a plain endpoint that listens at `address`.
     pub(crate) fn list_plain(&self, name: &str, address: SocketAddr) {
-        let mut entry = listed(name, Role::Endpoint, 0, address);
+        let mut entry = list_entry(name, Role::Endpoint, 0, address);
         entry.service = Some("ordering".to_owned());
         self.list.set(entry);
     }
@@ -185,10 +193,10 @@
         self.log.append(STREAM, Bytes::from(bytes));
     }
 
-    async fn ready(&self, size: Size) {
+    async fn wait_until_ready(&self, size: Size) {
         let endpoints = size.engines + size.plains;
         for router in &self.routers {
-            until("a router is ready", async || {
+            wait_until("a router is ready", async || {
                 let (ready, _, _) = self.get(router.callers_address(), "/readyz").await;
                 let (_, _, known) = self.get(router.operators_address(), "/endpoints").await;
                 let known: Vec<serde_json::Value> = serde_json::from_slice(&known).unwrap();
@@ -200,23 +208,24 @@
         }
     }
 
-    /// Sends a request to a router's callers and returns the answer's head.
+    /// Sends a request to a router's callers' port and returns the response once
+    /// its head has arrived.
     pub(crate) async fn send(
         &self,
         router: usize,
         request: Request<Body>,
     ) -> Result<Response<Received>, connect::Error> {
         let address = self.routers[router].callers_address();
-        self.client.send(address, request, LONG).await
+        self.client.send(address, request, MAX_WAIT).await
     }
 
-    /// Sends a request and reads the whole answer.
-    pub(crate) async fn ask(
+    /// Sends a request and reads the complete response.
+    pub(crate) async fn send_and_read(
         &self,
         router: usize,
         request: Request<Body>,
     ) -> (StatusCode, HeaderMap, Bytes) {
-        whole(self.send(router, request).await.unwrap()).await
+        read_response(self.send(router, request).await.unwrap()).await
     }
 
     pub(crate) async fn get(
@@ -225,7 +234,7 @@
         path: &str,
     ) -> (StatusCode, HeaderMap, Bytes) {
         let request = Request::get(path).body(full("")).unwrap();
-        whole(self.client.send(address, request, LONG).await.unwrap()).await
+        read_response(self.client.send(address, request, MAX_WAIT).await.unwrap()).await
     }
 }
 
@@ -258,7 +267,7 @@
         .unwrap()
 }
 
-/// Returns a key that is dated now.
+/// Returns an idempotency key with the current time.
 pub(crate) fn key(last: u16) -> String {
     let now = std::time::SystemTime::now();
     let millis = now
@@ -272,7 +281,7 @@
     )
 }
 
-/// Returns the outcome that a head tells.
+/// Returns the outcome in a response's headers.
 pub(crate) fn outcome(headers: &HeaderMap) -> &str {
     headers["godwitpost-outcome"].to_str().unwrap()
 }
@@ -292,26 +301,26 @@
         .collect()
 }
 
-pub(crate) async fn whole(response: Response<Received>) -> (StatusCode, HeaderMap, Bytes) {
+pub(crate) async fn read_response(response: Response<Received>) -> (StatusCode, HeaderMap, Bytes) {
     let (parts, body) = response.into_parts();
     let bytes = body.collect().await.unwrap().to_bytes();
     (parts.status, parts.headers, bytes)
 }
 
-/// Waits until something holds; the bound is far above what it takes.
-pub(crate) async fn until(what: &str, holds: impl AsyncFnMut() -> bool) {
-    until_within(LONG, what, holds).await;
+/// Waits until a condition holds, for at most [`MAX_WAIT`].
+pub(crate) async fn wait_until(what: &str, holds: impl AsyncFnMut() -> bool) {
+    wait_until_within(MAX_WAIT, what, holds).await;
 }
 
-/// Waits until something holds that takes the terms of leases.
-pub(crate) async fn until_within(
+/// Waits until a condition holds, for at most `bound`.
+pub(crate) async fn wait_until_within(
     bound: Duration,
     what: &str,
     mut holds: impl AsyncFnMut() -> bool,
 ) {
     let start = tokio::time::Instant::now();
     while !holds().await {
-        assert!(start.elapsed() < bound, "waited in vain until {what}");
+        assert!(start.elapsed() < bound, "timed out waiting until {what}");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
@@ -322,7 +331,7 @@
         .boxed_unsync()
 }
 
-fn listed(name: &str, role: Role, n: usize, address: SocketAddr) -> Entry {
+fn list_entry(name: &str, role: Role, n: usize, address: SocketAddr) -> Entry {
     Entry {
         name: name.to_owned(),
         incarnation: 1,
@@ -337,6 +346,6 @@
     }
 }
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
--- a/crates/router/tests/router/peers.rs
+++ b/crates/router/tests/router/peers.rs
@@ -1,11 +1,11 @@
-//! The peers' port refuses strangers.
+//! The peers' port refuses messages without a valid seal.
 
 use std::time::Duration;
 
 use godwitpost_wire::auth::{Key, Message};
 use http::Request;
 
-use crate::fleet::{Fleet, Size, full, whole};
+use crate::fleet::{Fleet, Size, full, read_response};
 
 const SIZE: Size = Size {
     routers: 1,
@@ -13,10 +13,10 @@
     plains: 1,
 };
 
-// Someone who reaches the peers' port, but has no key of the fleet, sends a
-// forged dispatch. Taken for an instance's, it would run past all limits.
+// A sender without the fleet's key reaches the peers' port and forges messages.
+// A forged dispatch that was accepted would bypass all limits.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_forged_message_is_refused_and_counted() {
+async fn forged_message_is_refused_and_counted() {
     let fleet = Fleet::start(SIZE).await;
     let now = std::time::SystemTime::now();
     let now = now.duration_since(std::time::UNIX_EPOCH).unwrap();
@@ -37,11 +37,11 @@
         };
         Key::new([9; 32]).seal(&message, now, request.headers_mut());
         let address = fleet.routers[0].peers_address();
-        let answer = fleet
+        let response = fleet
             .client
             .send(address, request, Duration::from_secs(5))
             .await;
-        let (status, _, body) = whole(answer.unwrap()).await;
+        let (status, _, body) = read_response(response.unwrap()).await;
         assert_eq!((status.as_u16(), body.len()), (401, 0), "{path}");
     }
     let operators = fleet.routers[0].operators_address();
--- a/crates/router/tests/router/shutdown.rs
+++ b/crates/router/tests/router/shutdown.rs
@@ -1,6 +1,6 @@
-//! A graceful shutdown cuts nothing.
+//! A graceful shutdown cuts off no request.
 
-use godwitpost_router::Stopped;
+use godwitpost_router::ShutdownResult;
 use http_body_util::BodyExt as _;
 
 use crate::fleet::{Fleet, Size, chat, words};
@@ -11,15 +11,14 @@
     plains: 0,
 };
 
-// Operators replace routers in the middle of the day. Each one that stops has
-// streams of its own callers and relays streams that came in elsewhere; an
-// editor would lose a draft with either.
+// Guards against streams cut off while routers are replaced. A router that stops
+// has streams of its own callers and relays streams for other instances.
 #[tokio::test(flavor = "multi_thread")]
-async fn stopping_each_router_in_turn_cuts_no_stream() {
+async fn stopping_routers_cuts_off_no_stream() {
     let mut fleet = Fleet::start(SIZE).await;
     let mut streams = Vec::new();
     for n in 0..12 {
-        // At 200 tokens a second: two seconds, ten times the balancer's lag.
+        // Two seconds at 200 tokens per second, ten times the balancer's lag.
         let request = chat(&format!("draft {n}"), 400);
         let response = fleet.send(n % SIZE.routers, request).await.unwrap();
         assert_eq!(response.status(), 200);
@@ -31,16 +30,20 @@
         .map(|router| tokio::spawn(router.stop_gracefully()))
         .collect();
     for stream in streams {
-        let whole = stream.await.unwrap().expect("no stream is cut").to_bytes();
-        assert_eq!(words(&whole).len(), 400);
+        let body = stream
+            .await
+            .unwrap()
+            .expect("no stream is cut off")
+            .to_bytes();
+        assert_eq!(words(&body).len(), 400);
     }
     for stopped in stopping {
-        assert_eq!(stopped.await.unwrap(), Stopped::Whole);
+        assert_eq!(stopped.await.unwrap(), ShutdownResult::Whole);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn while_leaving_callers_are_served_and_told_to_close() {
+async fn leaving_router_serves_callers_and_closes_connections() {
     let mut fleet = Fleet::start(SIZE).await;
     let leaving = fleet.routers.remove(0);
     let address = leaving.callers_address();
@@ -51,7 +54,7 @@
         fleet.client.send(address, request, wait).await.unwrap()
     };
     let stopping = tokio::spawn(leaving.stop_gracefully());
-    crate::fleet::until("readiness fails", async || {
+    crate::fleet::wait_until("readiness fails", async || {
         let (status, _, _) = fleet.get(address, "/readyz").await;
         status == 503
     })
@@ -72,5 +75,5 @@
         300
     );
     hold.unwrap().into_body().collect().await.unwrap();
-    assert_eq!(stopping.await.unwrap(), Stopped::Whole);
+    assert_eq!(stopping.await.unwrap(), ShutdownResult::Whole);
 }
--- a/crates/state/src/claim/key.rs
+++ b/crates/state/src/claim/key.rs
@@ -1,28 +1,28 @@
-//! Idempotency keys and their time of issue.
+//! Idempotency keys and their issue times.
 //!
-//! The log keeps records for a limited time, so a key must say how old it is:
-//! otherwise one that the log has forgotten would look new and its request
-//! would run again. A version 7 UUID carries its time; any other key needs
-//! the header [`ISSUED_HEADER`]. The time is part of the key's identity: the
-//! same text with another time is another key.
+//! The log retains records for a limited time, so each key needs an issue time.
+//! Otherwise a key whose claim the log no longer has would look new, and its
+//! request would run again. A version 7 UUID contains its time; any other key
+//! needs the header [`ISSUED_HEADER`]. The time is part of the key's identity:
+//! the same text with another time is another key.
 
 use std::time::Duration;
 
 use godwitpost_types::clock::Moment;
 use godwitpost_types::id::{KeyDigest, WorkspaceId};
 
-use super::SKEW;
+use super::MAX_CLOCK_SKEW;
 
-/// The header that dates a key which is not a version 7 UUID.
+/// The header with the issue time of a key that is not a version 7 UUID.
 pub const ISSUED_HEADER: &str = "Godwitpost-Key-Issued";
 
-/// The longest key taken, in bytes; keeps heads and memory small.
-pub const LONGEST: usize = 255;
+/// The maximum length of a key; limits header sizes and memory use.
+pub const MAX_KEY_BYTES: usize = 255;
 
-/// A key as its caller identified it.
+/// An idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Key {
-    /// The digest of the workspace, the text and the time of issue.
+    /// The digest of the workspace, the text and the issue time.
     pub digest: KeyDigest,
     /// When the caller issued it, in whole milliseconds.
     pub issued: Moment,
@@ -34,11 +34,11 @@
     /// the Idempotency-Key is empty; send a version 7 UUID
     Empty,
     /// the Idempotency-Key is longer than 255 bytes; send a version 7 UUID
-    Long,
+    TooLong,
     /// the Idempotency-Key does not say when it was issued; send a version 7 UUID, or add Godwitpost-Key-Issued with unix seconds
-    Undated,
+    MissingIssueTime,
     /// Godwitpost-Key-Issued is not a number of unix seconds; send digits only
-    Date,
+    InvalidIssueTime,
     /// the key is older than the claim window; find out whether it ran before you send the request with a new key
     Expired,
     /// the key's time of issue lies in the future; set the caller's clock and send a new key
@@ -48,17 +48,18 @@
 impl std::error::Error for Error {}
 
 impl Key {
-    /// Reads a key from its header and the optional header that dates it.
+    /// Parses a key from its header and the optional header with its issue time.
     ///
     /// # Errors
     ///
-    /// Returns an [`Error`] for a key that is empty, too long or undated.
-    pub fn read(workspace: WorkspaceId, text: &str, issued: Option<&str>) -> Result<Self, Error> {
+    /// Returns an [`Error`] for a key that is empty, too long or has no valid
+    /// issue time.
+    pub fn parse(workspace: WorkspaceId, text: &str, issued: Option<&str>) -> Result<Self, Error> {
         if text.is_empty() {
             return Err(Error::Empty);
         }
-        if text.len() > LONGEST {
-            return Err(Error::Long);
+        if text.len() > MAX_KEY_BYTES {
+            return Err(Error::TooLong);
         }
         let issued = issue_time(text, issued)?;
         Ok(Self {
@@ -67,17 +68,17 @@
         })
     }
 
-    /// Checks on the instance's own clock that the key is not plainly too old
-    /// or too new; the log's clock decides in the end.
+    /// Checks by the instance's clock that the key is neither too old nor issued
+    /// too far in the future. The final decision is made by the log's clock.
     ///
     /// # Errors
     ///
     /// Returns [`Error::Expired`] or [`Error::Future`].
-    pub fn check(&self, now: Moment, window: Duration) -> Result<(), Error> {
+    pub fn check_issue_time(&self, now: Moment, window: Duration) -> Result<(), Error> {
         if self.issued + window < now {
             return Err(Error::Expired);
         }
-        if self.issued > now + SKEW {
+        if self.issued > now + MAX_CLOCK_SKEW {
             return Err(Error::Future);
         }
         Ok(())
@@ -87,21 +88,21 @@
 fn issue_time(text: &str, issued: Option<&str>) -> Result<Moment, Error> {
     match issued {
         Some(seconds) => unix_seconds(seconds),
-        None => uuid_time(text).ok_or(Error::Undated),
+        None => uuid_time(text).ok_or(Error::MissingIssueTime),
     }
 }
 
 fn unix_seconds(text: &str) -> Result<Moment, Error> {
-    // Twelve digits reach the year 33,658 and can't overflow milliseconds.
+    // Twelve digits reach the year 33,658 and cannot overflow as milliseconds.
     if text.is_empty() || text.len() > 12 || !text.bytes().all(|b| b.is_ascii_digit()) {
-        return Err(Error::Date);
+        return Err(Error::InvalidIssueTime);
     }
     text.parse()
         .map(Duration::from_secs)
-        .map_err(|_not_a_number| Error::Date)
+        .map_err(|_not_a_number| Error::InvalidIssueTime)
 }
 
-// The first 48 bits of a version 7 UUID are its unix time in milliseconds
+// The first 48 bits of a version 7 UUID are its Unix time in milliseconds
 // (RFC 9562, section 5.7).
 fn uuid_time(text: &str) -> Option<Moment> {
     let bytes = text.as_bytes();
--- a/crates/state/src/drain/tests.rs
+++ b/crates/state/src/drain/tests.rs
@@ -1,48 +1,46 @@
-//! Shutdowns cut nothing within their limits and end at them.
+//! A shutdown aborts no request before its limit and ends at the limit.
 
 use proptest::prelude::*;
 
 use super::*;
 
 const LIMITS: Limits = Limits {
-    lag: Duration::from_secs(5),
-    hard: Duration::from_mins(1),
-    second: Duration::from_secs(2),
+    balancer_lag: Duration::from_secs(5),
+    hard_limit: Duration::from_mins(1),
+    second_signal_limit: Duration::from_secs(2),
 };
 
 const fn at(seconds: u64) -> Moment {
     Duration::from_secs(seconds)
 }
 
-/// A caller's request is refused by an instance that is being replaced. The
-/// operator stops the instance; the balancer's list lags and still sends the
-/// request there; the instance had closed its listener at once, because
-/// nothing was in flight.
+/// Guards against refusing requests during a shutdown: the balancer's list lags
+/// and still sends a request to an instance that closed its listener at once
+/// because nothing was in flight.
 #[test]
 fn an_idle_instance_serves_while_the_balancer_lags() {
     let mut drain = Drain::new(LIMITS);
-    drain.signal(at(10));
+    drain.handle_signal(at(10));
     assert_eq!(drain.tick(at(10), 0), Next::Announce { until: at(15) });
     assert_eq!(drain.tick(at(14), 0), Next::Announce { until: at(15) });
     assert_eq!(drain.tick(at(15), 1), Next::Close { limit: at(70) });
-    drain.handed_over();
+    drain.record_handover();
     assert_eq!(drain.tick(at(16), 1), Next::Wait { limit: at(70) });
-    assert_eq!(drain.tick(at(17), 0), Next::Exit { cut: 0 });
+    assert_eq!(drain.tick(at(17), 0), Next::Exit { aborted: 0 });
 }
 
-/// An editor's streamed draft stops in mid-sentence. The operator stops the
-/// instance twice, impatient; the second signal ends it at once instead of
-/// after the short limit that is documented.
+/// Guards against aborting a stream early: a second signal from the operator
+/// ended the instance at once instead of after the documented short limit.
 #[test]
 fn a_second_signal_shortens_the_wait_and_a_third_does_not_lengthen_it() {
     let mut drain = Drain::new(LIMITS);
-    drain.signal(at(10));
-    drain.signal(at(20));
+    drain.handle_signal(at(10));
+    drain.handle_signal(at(20));
     assert_eq!(drain.tick(at(20), 1), Next::Close { limit: at(22) });
-    drain.handed_over();
-    drain.signal(at(21));
+    drain.record_handover();
+    drain.handle_signal(at(21));
     assert_eq!(drain.tick(at(21), 1), Next::Wait { limit: at(22) });
-    assert_eq!(drain.tick(at(22), 1), Next::Exit { cut: 1 });
+    assert_eq!(drain.tick(at(22), 1), Next::Exit { aborted: 1 });
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -62,7 +60,7 @@
 
 proptest! {
     #[test]
-    fn nothing_is_cut_before_a_limit_and_none_outlives_it(
+    fn no_request_is_aborted_before_a_limit_and_the_limit_is_kept(
         steps in prop::collection::vec(any_step(), 1..40),
     ) {
         let mut drain = Drain::new(LIMITS);
@@ -71,22 +69,22 @@
         for step in steps {
             match step {
                 Step::Signal => {
-                    drain.signal(now);
+                    drain.handle_signal(now);
                     signals.push(now);
                 }
-                Step::HandedOver => drain.handed_over(),
+                Step::HandedOver => drain.record_handover(),
                 Step::Tick(seconds, in_flight) => {
                     now += at(seconds);
-                    let hard = signals.first().map(|first| *first + LIMITS.hard);
-                    let second = signals.get(1).map(|second| *second + LIMITS.second);
-                    let limit = [hard, second].into_iter().flatten().min();
+                    let hard_limit = signals.first().map(|first| *first + LIMITS.hard_limit);
+                    let second = signals.get(1).map(|second| *second + LIMITS.second_signal_limit);
+                    let limit = [hard_limit, second].into_iter().flatten().min();
                     let next = drain.tick(now, in_flight);
-                    if let Next::Exit { cut } = next {
-                        prop_assert!(cut == 0 || limit.is_some_and(|limit| now >= limit));
+                    if let Next::Exit { aborted } = next {
+                        prop_assert!(aborted == 0 || limit.is_some_and(|limit| now >= limit));
                         return Ok(());
                     }
-                    // A limit that passed while announced is seen one tick
-                    // later, after the close.
+                    // A limit that passes in the announced state takes effect
+                    // one tick later, after the close.
                     let late = limit.is_some_and(|limit| now >= limit);
                     let closing = matches!(next, Next::Close { .. });
                     prop_assert!(!late || closing);
--- a/crates/state/src/gossip/message.rs
+++ b/crates/state/src/gossip/message.rs
@@ -1,7 +1,8 @@
-//! The message that instances exchange, and its bytes.
+//! The message that instances exchange, and its encoding.
 //!
-//! Its visitors are written by hand: it is the message that the control budget
-//! is spent on. All parts are arrays in a fixed order, without field names.
+//! The serializers and visitors are written by hand, because the control budget
+//! is spent on this message. All parts are arrays in a fixed order, without
+//! field names.
 
 use std::fmt;
 use std::time::Duration;
@@ -12,65 +13,65 @@
 use serde::de::{self, Deserialize, Deserializer, SeqAccess, Visitor};
 use serde::ser::{Serialize, SerializeTuple, Serializer};
 
-use crate::membership::endpoints::Leaving;
-use crate::membership::{Heartbeat, Rumour, State};
+use crate::membership::endpoints::LeavingNotice;
+use crate::membership::{Heartbeat, MemberUpdate, State};
 
 /// The size of one piece of quarantine evidence in bytes.
 ///
-/// A request's digest, the endpoint with its incarnation, the instance that
-/// saw it, and the time.
-pub const EVIDENCE: usize = 48;
+/// It holds a request's digest, the endpoint with its incarnation, the instance
+/// that observed it, and the time.
+pub const EVIDENCE_BYTES: usize = 48;
 
-/// Quarantine evidence; only the quarantine reads it.
-pub type Evidence = [u8; EVIDENCE];
+/// Quarantine evidence, opaque to gossip; only the quarantine decodes it.
+pub type Evidence = [u8; EVIDENCE_BYTES];
 
-/// A sender's sums over the endpoints of one pool that it is home to.
+/// The sender's load, summed over its home endpoints in one pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Load {
     /// The pool: a service, or a model of it.
     pub pool: u64,
-    /// Endpoints summed over.
+    /// The number of endpoints in the sums.
     pub endpoints: u32,
-    /// Their estimated work, in tokens still to be computed.
+    /// The estimated work of the endpoints, in tokens still to be computed.
     pub work: u64,
-    /// Requests that wait for them.
+    /// The number of requests that wait for these endpoints.
     pub waiting: u32,
     /// When the sums were taken, in whole milliseconds.
     pub taken: Moment,
 }
 
-/// What a workspace asks of the sender; the limits read it.
+/// The demand of a workspace at the sender, an input of the workspace limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Demand {
     /// The workspace.
     pub workspace: u64,
-    /// Requests in 1,000 seconds.
+    /// Requests per 1,000 seconds.
     pub rate: u32,
-    /// Requests at once.
+    /// Concurrent requests.
     pub running: u32,
 }
 
-/// What one instance tells another.
+/// A gossip message from one instance to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// The sender, alive at this beat.
+    /// The sender's heartbeat.
     pub from: Heartbeat,
     /// The bundle version in force at the sender; 0 for none.
     pub version: Version,
-    /// What is said of instances.
-    pub rumours: Vec<Rumour>,
-    /// Endpoints that leave.
-    pub leaving: Vec<Leaving>,
+    /// Updates about instances.
+    pub member_updates: Vec<MemberUpdate>,
+    /// Notices of leaving endpoints.
+    pub leaving: Vec<LeavingNotice>,
     /// The sender's load sums.
     pub loads: Vec<Load>,
     /// Quarantine evidence.
     pub evidence: Vec<Evidence>,
-    /// The sender's demand by workspaces near or over their share of it;
-    /// `None` if nothing is said of it.
+    /// The demand, at the sender, of workspaces near or over their share; `None`
+    /// if the message omits it.
     pub demands: Option<Vec<Demand>>,
 }
 
-/// Why bytes are no message.
+/// Why bytes could not be decoded as a message.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum Error {
     /// the bytes are no gossip message ({0}); check that all instances run the same release
@@ -84,7 +85,7 @@
     ///
     /// # Panics
     ///
-    /// Panics if the encoder fails, which writing to memory never does.
+    /// Panics if the encoder fails, which does not happen when writing to memory.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         rmp_serde::to_vec(self).expect("a message encodes into memory")
@@ -101,20 +102,20 @@
     }
 }
 
-const ELEMENTS: usize = 10;
+const ELEMENT_COUNT: usize = 10;
 
 impl Serialize for Message {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        let mut tuple = serializer.serialize_tuple(ELEMENTS)?;
+        let mut tuple = serializer.serialize_tuple(ELEMENT_COUNT)?;
         tuple.serialize_element(&self.from.id)?;
         tuple.serialize_element(&self.from.incarnation)?;
-        tuple.serialize_element(&self.from.beat)?;
+        tuple.serialize_element(&self.from.sequence)?;
         tuple.serialize_element(&(self.from.standing == Standing::Leaving))?;
         tuple.serialize_element(&self.version)?;
-        tuple.serialize_element(&self.rumours)?;
+        tuple.serialize_element(&self.member_updates)?;
         tuple.serialize_element(&self.leaving)?;
         tuple.serialize_element(&self.loads)?;
-        tuple.serialize_element(&Flat(&self.evidence))?;
+        tuple.serialize_element(&EvidenceBytes(&self.evidence))?;
         tuple.serialize_element(&self.demands)?;
         tuple.end()
     }
@@ -122,7 +123,7 @@
 
 impl<'de> Deserialize<'de> for Message {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_tuple(ELEMENTS, MessageVisitor)
+        deserializer.deserialize_tuple(ELEMENT_COUNT, MessageVisitor)
     }
 }
 
@@ -138,22 +139,22 @@
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Message, A::Error> {
         Ok(Message {
             from: Heartbeat {
-                id: element(&mut seq)?,
-                incarnation: element(&mut seq)?,
-                beat: element(&mut seq)?,
-                standing: standing(element(&mut seq)?),
+                id: required_element(&mut seq)?,
+                incarnation: required_element(&mut seq)?,
+                sequence: required_element(&mut seq)?,
+                standing: standing_from_flag(required_element(&mut seq)?),
             },
-            version: element(&mut seq)?,
-            rumours: element(&mut seq)?,
-            leaving: element(&mut seq)?,
-            loads: element(&mut seq)?,
-            evidence: element::<A, Pieces>(&mut seq)?.0,
-            demands: element(&mut seq)?,
+            version: required_element(&mut seq)?,
+            member_updates: required_element(&mut seq)?,
+            leaving: required_element(&mut seq)?,
+            loads: required_element(&mut seq)?,
+            evidence: required_element::<A, EvidenceList>(&mut seq)?.0,
+            demands: required_element(&mut seq)?,
         })
     }
 }
 
-const fn standing(leaving: bool) -> Standing {
+const fn standing_from_flag(leaving: bool) -> Standing {
     if leaving {
         Standing::Leaving
     } else {
@@ -161,12 +162,14 @@
     }
 }
 
-fn element<'de, A: SeqAccess<'de>, T: Deserialize<'de>>(seq: &mut A) -> Result<T, A::Error> {
+fn required_element<'de, A: SeqAccess<'de>, T: Deserialize<'de>>(
+    seq: &mut A,
+) -> Result<T, A::Error> {
     seq.next_element()?
         .ok_or_else(|| de::Error::custom("a message has too few elements"))
 }
 
-impl Serialize for Rumour {
+impl Serialize for MemberUpdate {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let state = match self.state {
             State::Live => 0_u8,
@@ -175,13 +178,13 @@
             State::Returning => 3,
             State::Gone => 4,
         };
-        (self.id, self.incarnation, self.beat, state).serialize(serializer)
+        (self.id, self.incarnation, self.sequence, state).serialize(serializer)
     }
 }
 
-impl<'de> Deserialize<'de> for Rumour {
+impl<'de> Deserialize<'de> for MemberUpdate {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        let (id, incarnation, beat, state) = Deserialize::deserialize(deserializer)?;
+        let (id, incarnation, sequence, state) = Deserialize::deserialize(deserializer)?;
         let state = match state {
             0_u8 => State::Live,
             1 => State::Suspect,
@@ -193,19 +196,19 @@
         Ok(Self {
             id,
             incarnation,
-            beat,
+            sequence,
             state,
         })
     }
 }
 
-impl Serialize for Leaving {
+impl Serialize for LeavingNotice {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         (self.id, self.incarnation).serialize(serializer)
     }
 }
 
-impl<'de> Deserialize<'de> for Leaving {
+impl<'de> Deserialize<'de> for LeavingNotice {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let (id, incarnation) = Deserialize::deserialize(deserializer)?;
         Ok(Self { id, incarnation })
@@ -249,38 +252,38 @@
     }
 }
 
-// Evidence as one byte string, so that a piece costs its 48 bytes alone.
-struct Flat<'a>(&'a [Evidence]);
+// Evidence as one byte string, so that a piece takes exactly its 48 bytes.
+struct EvidenceBytes<'a>(&'a [Evidence]);
 
-impl Serialize for Flat<'_> {
+impl Serialize for EvidenceBytes<'_> {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.serialize_bytes(self.0.as_flattened())
     }
 }
 
-struct Pieces(Vec<Evidence>);
+struct EvidenceList(Vec<Evidence>);
 
-impl<'de> Deserialize<'de> for Pieces {
+impl<'de> Deserialize<'de> for EvidenceList {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_bytes(PiecesVisitor)
+        deserializer.deserialize_bytes(EvidenceListVisitor)
     }
 }
 
-struct PiecesVisitor;
+struct EvidenceListVisitor;
 
-impl Visitor<'_> for PiecesVisitor {
-    type Value = Pieces;
+impl Visitor<'_> for EvidenceListVisitor {
+    type Value = EvidenceList;
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("pieces of evidence, 48 bytes each")
     }
 
-    fn visit_bytes<E: de::Error>(self, v: &[u8]) -> Result<Pieces, E> {
-        let (pieces, rest) = v.as_chunks::<EVIDENCE>();
+    fn visit_bytes<E: de::Error>(self, v: &[u8]) -> Result<EvidenceList, E> {
+        let (pieces, rest) = v.as_chunks::<EVIDENCE_BYTES>();
         if !rest.is_empty() {
             return Err(E::invalid_length(v.len(), &self));
         }
-        Ok(Pieces(pieces.to_vec()))
+        Ok(EvidenceList(pieces.to_vec()))
     }
 }
 
--- a/crates/state/src/gossip/pump/tests.rs
+++ b/crates/state/src/gossip/pump/tests.rs
@@ -1,4 +1,5 @@
-//! News is deferred by an empty bucket, never dropped, and fits its message.
+//! An empty bucket defers updates and never drops them, and messages fit their
+//! size limit.
 
 use std::net::SocketAddr;
 
@@ -7,7 +8,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use super::super::EVIDENCE;
+use super::super::EVIDENCE_BYTES;
 use super::*;
 
 const fn at(millis: u64) -> Moment {
@@ -31,7 +32,7 @@
 fn roster(size: u64) -> Roster {
     let mut roster = Roster::new(instance(1));
     let listed: Vec<Instance> = (1..=size).map(instance).collect();
-    roster.list(at(0), &listed);
+    roster.apply_list(at(0), &listed);
     roster
 }
 
@@ -39,29 +40,31 @@
     Pump::new(Budget::new(at(0), rate, 330))
 }
 
-/// A rolled bundle is not in force on a router for minutes. Its bucket was
-/// empty when the version came, and the push was dropped.
+/// Guards against a bundle version that takes minutes to reach a router: the
+/// bucket was empty when the version arrived, and the push was dropped instead
+/// of deferred.
 #[test]
-fn a_version_waits_for_the_bucket_and_is_told_then() {
+fn a_version_is_deferred_until_the_bucket_refills() {
     let roster = roster(20);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut pump = pump(2000);
     while !pump.tick(at(0), &roster, &mut rng).is_empty() {
-        pump.evidence([0; EVIDENCE]);
+        pump.queue_evidence([0; EVIDENCE_BYTES]);
         pump.set_version(pump.version + 1);
     }
     pump.set_version(99);
     assert_eq!(pump.tick(at(1), &roster, &mut rng), []);
-    let mut told = Vec::new();
+    let mut contacted = Vec::new();
     for second in 1..9 {
-        told.extend(pump.tick(at(second * 1000), &roster, &mut rng));
+        contacted.extend(pump.tick(at(second * 1000), &roster, &mut rng));
     }
-    assert!(told.len() >= HOT_PEERS, "told {told:?}");
-    let message = pump.message(told[0], &roster, &[]);
+    assert!(contacted.len() >= URGENT_FANOUT, "contacted {contacted:?}");
+    let message = pump.build_message(contacted[0], &roster, &[]);
     assert_eq!(message.version, 99);
 }
 
-/// The sum that the budget takes beforehand must cover the largest message.
+/// The amount that the budget reserves in advance must cover the largest
+/// message.
 #[test]
 fn the_largest_message_fits() {
     let roster = roster(2);
@@ -69,17 +72,17 @@
     pump.set_version(u64::MAX);
     for n in 0..64_u8 {
         let id = u64::MAX - u64::from(n);
-        pump.rumours(&[Rumour {
+        pump.queue_member_updates(&[MemberUpdate {
             id,
             incarnation: u64::MAX,
-            beat: u64::MAX,
+            sequence: u64::MAX,
             state: State::Gone,
         }]);
-        pump.leaving(Leaving {
+        pump.queue_leaving(LeavingNotice {
             id,
             incarnation: u64::MAX,
         });
-        pump.evidence([n; EVIDENCE]);
+        pump.queue_evidence([n; EVIDENCE_BYTES]);
     }
     let load = Load {
         pool: u64::MAX,
@@ -94,17 +97,18 @@
         running: u32::MAX,
     };
     pump.set_demands(vec![demand; 20]);
-    let message = pump.message(2, &roster, &[load; 20]);
-    assert_eq!(message.rumours.len(), RUMOURS);
+    let message = pump.build_message(2, &roster, &[load; 20]);
+    assert_eq!(message.member_updates.len(), MAX_MEMBER_UPDATES);
     assert_eq!(message.demands, None);
     assert!(
-        message.encode().len() <= LARGEST,
+        message.encode().len() <= MAX_BODY_BYTES,
         "{}",
         message.encode().len()
     );
 }
 
-/// A message with demands outgrows what was paid for it beforehand.
+/// Guards against a message with demands that exceeds the amount reserved for
+/// it in advance.
 #[test]
 fn the_largest_message_with_demands_fits() {
     let roster = roster(2);
@@ -113,16 +117,16 @@
     for n in 0..64_u8 {
         let id = u64::MAX - u64::from(n);
         let incarnation = u64::MAX;
-        if usize::from(n) < ROOM_RUMOURS {
-            pump.rumours(&[Rumour {
+        if usize::from(n) < MAX_UPDATES_WITH_DEMANDS {
+            pump.queue_member_updates(&[MemberUpdate {
                 id,
                 incarnation,
-                beat: u64::MAX,
+                sequence: u64::MAX,
                 state: State::Gone,
             }]);
         }
-        pump.leaving(Leaving { id, incarnation });
-        pump.evidence([n; EVIDENCE]);
+        pump.queue_leaving(LeavingNotice { id, incarnation });
+        pump.queue_evidence([n; EVIDENCE_BYTES]);
     }
     let load = Load {
         pool: u64::MAX,
@@ -137,48 +141,49 @@
         running: u32::MAX,
     };
     pump.set_demands(vec![demand; 20]);
-    let message = pump.message(2, &roster, &[load; 20]);
-    assert_eq!(message.demands.as_ref().map(Vec::len), Some(DEMANDS));
+    let message = pump.build_message(2, &roster, &[load; 20]);
+    assert_eq!(message.demands.as_ref().map(Vec::len), Some(MAX_DEMANDS));
     let bytes = message.encode().len();
-    assert!(bytes <= LARGEST, "{bytes}");
+    assert!(bytes <= MAX_BODY_BYTES, "{bytes}");
 }
 
-/// A dead instance is noticed late, or never, because chance leaves it out.
+/// Guards against late or missed detection of a dead instance: with independent
+/// random choices a peer may not be contacted for a long time.
 #[test]
-fn each_peer_is_met_once_a_round() {
+fn each_peer_is_contacted_once_a_round() {
     let roster = roster(20);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut pump = pump(6000);
-    let mut met = Vec::new();
+    let mut contacted = Vec::new();
     for second in 0..19 {
-        met.extend(pump.tick(at(second * 1000), &roster, &mut rng));
+        contacted.extend(pump.tick(at(second * 1000), &roster, &mut rng));
     }
-    met.sort_unstable();
+    contacted.sort_unstable();
     let all: Vec<InstanceId> = (2..=20).collect();
-    assert_eq!(met, all);
+    assert_eq!(contacted, all);
 }
 
-/// An accused instance must hear of it to answer.
+/// A suspected instance must learn of the suspicion to refute it.
 #[test]
-fn the_accused_is_told() {
+fn a_suspected_instance_is_informed() {
     let mut roster = roster(3);
-    roster.unreachable(at(0), 2);
+    roster.record_unreachable(at(0), 2);
     let mut pump = pump(6000);
-    let message = pump.message(2, &roster, &[]);
-    assert_eq!(message.rumours.len(), 1);
-    assert_eq!(message.rumours[0].state, State::Suspect);
+    let message = pump.build_message(2, &roster, &[]);
+    assert_eq!(message.member_updates.len(), 1);
+    assert_eq!(message.member_updates[0].state, State::Suspect);
 }
 
 #[test]
-fn news_is_told_a_limited_number_of_times() {
+fn an_item_is_sent_a_limited_number_of_times() {
     let roster = roster(20);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut pump = pump(6000);
     pump.tick(at(0), &roster, &mut rng);
-    pump.leaving(Leaving {
+    pump.queue_leaving(LeavingNotice {
         id: 7,
         incarnation: 1,
     });
-    let told = (0..100).filter(|_| !pump.message(2, &roster, &[]).leaving.is_empty());
-    assert_eq!(told.count(), times(19) as usize);
+    let sent = (0..100).filter(|_| !pump.build_message(2, &roster, &[]).leaving.is_empty());
+    assert_eq!(sent.count(), send_limit(19) as usize);
 }
--- a/crates/state/src/gossip/spread.rs
+++ b/crates/state/src/gossip/spread.rs
@@ -1,70 +1,74 @@
-//! News to pass on, each item a limited number of times.
+//! A queue of updates to propagate, each sent a limited number of times.
 //!
-//! Items told least often go first, so a burst of news can't starve the last
-//! of it, and an item is dropped once it was told often enough to have reached
-//! everyone with near certainty.
+//! The items sent least often go first, so no item of a burst is starved. An
+//! item is dropped once it has been sent often enough to have reached all
+//! instances with near certainty.
 
 use std::collections::VecDeque;
 
-/// A bounded queue of items to tell peers.
+/// A bounded queue of items to send to peers.
 #[derive(Clone, Debug)]
-pub struct Spread<T> {
-    longest: usize,
+pub struct SendQueue<T> {
+    capacity: usize,
     items: VecDeque<(u32, T)>,
 }
 
-impl<T: Copy + PartialEq> Spread<T> {
-    /// Returns an empty queue of at most `longest` items.
+impl<T: Copy + PartialEq> SendQueue<T> {
+    /// Returns an empty queue of at most `capacity` items.
     #[must_use]
-    pub const fn new(longest: usize) -> Self {
+    pub const fn new(capacity: usize) -> Self {
         Self {
-            longest,
+            capacity,
             items: VecDeque::new(),
         }
     }
 
-    /// Adds an item, unless it is held; the item told most often makes room.
-    pub fn add(&mut self, item: T) {
-        if self.items.iter().any(|(_, held)| *held == item) {
+    /// Adds an item unless it is queued already. A full queue drops the item
+    /// that was sent most often.
+    pub fn push(&mut self, item: T) {
+        if self.items.iter().any(|(_, queued)| *queued == item) {
             return;
         }
         self.items.push_front((0, item));
-        self.items.truncate(self.longest);
+        self.items.truncate(self.capacity);
     }
 
-    /// Removes the items that a newer one makes worthless.
+    /// Keeps only the items for which `keep` returns true, to remove those that
+    /// a newer item supersedes.
     pub fn retain(&mut self, keep: impl Fn(&T) -> bool) {
         self.items.retain(|(_, item)| keep(item));
     }
 
-    /// Returns up to `most` items to tell now and counts them as told; each is
-    /// dropped once told `times` times.
-    pub fn take(&mut self, most: usize, times: u32) -> Vec<T> {
-        let count = most.min(self.items.len());
-        let told: Vec<(u32, T)> = self.items.drain(..count).collect();
-        for &(n, item) in &told {
-            if n + 1 < times {
-                self.insert(n + 1, item);
+    /// Returns up to `max_items` items to send now and counts them as sent. An
+    /// item is dropped once it has been sent `max_sends` times.
+    pub fn take_batch(&mut self, max_items: usize, max_sends: u32) -> Vec<T> {
+        let count = max_items.min(self.items.len());
+        let sent: Vec<(u32, T)> = self.items.drain(..count).collect();
+        for &(sends, item) in &sent {
+            if sends + 1 < max_sends {
+                self.insert(sends + 1, item);
             }
         }
-        told.into_iter().map(|(_, item)| item).collect()
+        sent.into_iter().map(|(_, item)| item).collect()
     }
 
-    /// Returns the number of items held.
+    /// Returns the number of queued items.
     #[must_use]
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
-    /// Returns whether nothing is to be told.
+    /// Returns whether no items are queued.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    // Keeps the queue ordered by how often items were told.
-    fn insert(&mut self, told: u32, item: T) {
-        let at = self.items.partition_point(|(n, _)| *n <= told);
-        self.items.insert(at, (told, item));
+    // Keeps the queue ordered by how often items were sent.
+    fn insert(&mut self, sends: u32, item: T) {
+        let at = self
+            .items
+            .partition_point(|(queued_sends, _)| *queued_sends <= sends);
+        self.items.insert(at, (sends, item));
     }
 }
--- a/crates/state/src/membership/endpoints.rs
+++ b/crates/state/src/membership/endpoints.rs
@@ -1,9 +1,10 @@
-//! The endpoints, from the list, their own reports and peers' leaving signs.
+//! The endpoints, from the list, their own reports and peers' leaving notices.
 //!
-//! Any source may be behind: the list says live while the endpoint says
-//! leaving, or the reverse. The first leaving sign of an incarnation, from
-//! wherever, holds for that incarnation; only a greater incarnation is live
-//! again, because it is another process on the same address.
+//! Any source may be outdated: the list may show an endpoint as live while the
+//! endpoint reports that it is leaving, or the reverse. The first leaving notice
+//! for an incarnation, from any source, is final for that incarnation. Only a
+//! greater incarnation is live again, because it is another process at the same
+//! address.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,45 +13,47 @@
 use godwitpost_types::endpoint::{Endpoint, Report, Standing};
 use godwitpost_types::id::{EndpointId, Incarnation};
 
-/// How long an endpoint may miss from the list while it reports nothing.
+/// How long an endpoint may be missing from the list, and send no report,
+/// before it is removed.
 ///
-/// The list lags by seconds; an endpoint that still reports is kept.
-pub const ABSENT: Duration = Duration::from_secs(10);
+/// The list lags by seconds; an endpoint that still reports is retained.
+pub const MAX_UNLISTED: Duration = Duration::from_secs(10);
 
-/// A leaving sign, as instances pass it on.
+/// The notice that an endpoint is leaving, as instances forward it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Leaving {
+pub struct LeavingNotice {
     /// The endpoint that leaves.
     pub id: EndpointId,
-    /// The life that leaves.
+    /// The incarnation that leaves.
     pub incarnation: Incarnation,
 }
 
-/// What changed.
+/// A change of the known endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A new endpoint, or a new life of a known one.
+    /// A new endpoint, or a new incarnation of a known one.
     Joined(EndpointId),
-    /// It gets no new work from now on; the sign is to be passed on.
-    Left(Leaving),
-    /// It is off the list and silent.
+    /// The endpoint gets no new work from now on; the notice must be forwarded.
+    Left(LeavingNotice),
+    /// The endpoint is off the list and sends no reports.
     Gone(EndpointId),
 }
 
 /// The endpoints that an instance knows.
 #[derive(Debug, Default)]
 pub struct Endpoints {
-    known: BTreeMap<EndpointId, Known>,
-    // Signs outlive their endpoint's entry: the list may bring it back.
-    left: BTreeMap<EndpointId, Incarnation>,
+    entries: BTreeMap<EndpointId, Entry>,
+    // The greatest incarnation that left. It outlives the endpoint's entry,
+    // because a stale list may show the endpoint again.
+    left_incarnations: BTreeMap<EndpointId, Incarnation>,
     changes: Vec<Change>,
 }
 
 #[derive(Debug)]
-struct Known {
+struct Entry {
     endpoint: Endpoint,
-    reported: Option<Moment>,
-    unlisted: Option<Moment>,
+    reported_at: Option<Moment>,
+    unlisted_since: Option<Moment>,
 }
 
 impl Endpoints {
@@ -60,141 +63,151 @@
         Self::default()
     }
 
-    /// Takes an answer of the platform's list; an empty one is not believed.
-    pub fn list(&mut self, now: Moment, listed: &[Endpoint]) {
+    /// Applies a response of the platform's list; an empty one is ignored.
+    pub fn apply_list(&mut self, now: Moment, listed: &[Endpoint]) {
         if listed.is_empty() {
             return;
         }
         for endpoint in listed {
-            self.listed(endpoint);
+            self.apply_listed(endpoint);
         }
         let present: std::collections::BTreeSet<EndpointId> =
             listed.iter().map(|endpoint| endpoint.id).collect();
-        for (id, known) in &mut self.known {
+        for (id, entry) in &mut self.entries {
             if present.contains(id) {
-                known.unlisted = None;
-            } else if known.unlisted.is_none() {
-                known.unlisted = Some(now);
+                entry.unlisted_since = None;
+            } else if entry.unlisted_since.is_none() {
+                entry.unlisted_since = Some(now);
             }
         }
     }
 
-    /// Takes an endpoint's own report.
-    pub fn report(&mut self, now: Moment, id: EndpointId, report: &Report) {
-        let Some(known) = self.known.get_mut(&id) else {
+    /// Applies an endpoint's own report.
+    pub fn apply_report(&mut self, now: Moment, id: EndpointId, report: &Report) {
+        let Some(entry) = self.entries.get_mut(&id) else {
             return;
         };
-        if report.incarnation < known.endpoint.incarnation {
+        if report.incarnation < entry.endpoint.incarnation {
             return;
         }
-        known.reported = Some(now);
-        if report.incarnation > known.endpoint.incarnation {
-            // A restart that the list does not show yet.
-            known.endpoint.incarnation = report.incarnation;
-            self.rejoin(id);
+        entry.reported_at = Some(now);
+        if report.incarnation > entry.endpoint.incarnation {
+            // The endpoint restarted and the list does not show it yet.
+            entry.endpoint.incarnation = report.incarnation;
+            self.record_join(id);
         }
         if report.standing == Standing::Leaving {
-            self.sign(Leaving {
+            self.apply_notice(LeavingNotice {
                 id,
                 incarnation: report.incarnation,
             });
         }
     }
 
-    /// Takes a leaving sign: a peer's, or an answer that refused new work.
-    pub fn sign(&mut self, leaving: Leaving) {
-        let left = self.left.get(&leaving.id);
+    /// Applies a leaving notice from a peer or from a response that refused new
+    /// work.
+    pub fn apply_notice(&mut self, leaving: LeavingNotice) {
+        let left = self.left_incarnations.get(&leaving.id);
         if left.is_some_and(|left| leaving.incarnation <= *left) {
             return;
         }
-        self.left.insert(leaving.id, leaving.incarnation);
+        self.left_incarnations
+            .insert(leaving.id, leaving.incarnation);
         self.changes.push(Change::Left(leaving));
-        self.stand(leaving.id);
+        self.update_standing(leaving.id);
     }
 
-    /// Lets time pass and returns what changed since the last call.
+    /// Advances the time to `now` and returns the changes since the last call.
     pub fn tick(&mut self, now: Moment) -> Vec<Change> {
         let gone: Vec<EndpointId> = self
-            .known
+            .entries
             .iter()
-            .filter(|(_, known)| known.gone(now))
+            .filter(|(_, entry)| entry.is_gone(now))
             .map(|(id, _)| *id)
             .collect();
         for id in gone {
-            self.known.remove(&id);
+            self.entries.remove(&id);
             self.changes.push(Change::Gone(id));
         }
         std::mem::take(&mut self.changes)
     }
 
-    /// Returns every known endpoint, its standing settled.
+    /// Returns every known endpoint with its effective standing.
     pub fn endpoints(&self) -> impl Iterator<Item = &Endpoint> + '_ {
-        self.known.values().map(|known| &known.endpoint)
+        self.entries.values().map(|entry| &entry.endpoint)
     }
 
     /// Returns an endpoint by its id.
     #[must_use]
     pub fn get(&self, id: EndpointId) -> Option<&Endpoint> {
-        self.known.get(&id).map(|known| &known.endpoint)
+        self.entries.get(&id).map(|entry| &entry.endpoint)
     }
 
-    fn listed(&mut self, endpoint: &Endpoint) {
+    fn apply_listed(&mut self, endpoint: &Endpoint) {
         let id = endpoint.id;
-        let known_incarnation = self.known.get(&id).map(|known| known.endpoint.incarnation);
+        let known_incarnation = self
+            .entries
+            .get(&id)
+            .map(|entry| entry.endpoint.incarnation);
         match known_incarnation {
-            Some(known) if endpoint.incarnation < known => return,
-            Some(known) if endpoint.incarnation == known => self.refresh(endpoint),
-            _ => self.enter(endpoint),
+            Some(incarnation) if endpoint.incarnation < incarnation => return,
+            Some(incarnation) if endpoint.incarnation == incarnation => self.refresh(endpoint),
+            _ => self.insert_entry(endpoint),
         }
         if endpoint.standing == Standing::Leaving {
-            self.sign(Leaving {
+            self.apply_notice(LeavingNotice {
                 id,
                 incarnation: endpoint.incarnation,
             });
         }
-        self.stand(id);
+        self.update_standing(id);
     }
 
     fn refresh(&mut self, endpoint: &Endpoint) {
-        if let Some(known) = self.known.get_mut(&endpoint.id) {
-            known.endpoint = endpoint.clone();
+        if let Some(entry) = self.entries.get_mut(&endpoint.id) {
+            entry.endpoint = endpoint.clone();
         }
     }
 
-    fn enter(&mut self, endpoint: &Endpoint) {
-        let known = Known {
+    fn insert_entry(&mut self, endpoint: &Endpoint) {
+        let entry = Entry {
             endpoint: endpoint.clone(),
-            reported: None,
-            unlisted: None,
+            reported_at: None,
+            unlisted_since: None,
         };
-        self.known.insert(endpoint.id, known);
-        self.rejoin(endpoint.id);
+        self.entries.insert(endpoint.id, entry);
+        self.record_join(endpoint.id);
     }
 
-    fn rejoin(&mut self, id: EndpointId) {
-        self.stand(id);
+    fn record_join(&mut self, id: EndpointId) {
+        self.update_standing(id);
         if self.get(id).is_some_and(|e| e.standing == Standing::Live) {
             self.changes.push(Change::Joined(id));
         }
     }
 
-    // Sets the standing from the signs: the only place where it is decided.
-    fn stand(&mut self, id: EndpointId) {
-        let Some(known) = self.known.get_mut(&id) else {
+    // Sets the standing from the incarnation that left. No other code decides
+    // the standing.
+    fn update_standing(&mut self, id: EndpointId) {
+        let Some(entry) = self.entries.get_mut(&id) else {
             return;
         };
-        let left = self.left.get(&id).copied();
-        known.endpoint.standing = match left {
-            Some(left) if left >= known.endpoint.incarnation => Standing::Leaving,
+        let left = self.left_incarnations.get(&id).copied();
+        entry.endpoint.standing = match left {
+            Some(left) if left >= entry.endpoint.incarnation => Standing::Leaving,
             _ => Standing::Live,
         };
     }
 }
 
-impl Known {
-    fn gone(&self, now: Moment) -> bool {
-        let unlisted = self.unlisted.is_some_and(|from| since(now, from) >= ABSENT);
-        let silent = self.reported.is_none_or(|at| since(now, at) >= ABSENT);
+impl Entry {
+    fn is_gone(&self, now: Moment) -> bool {
+        let unlisted = self
+            .unlisted_since
+            .is_some_and(|from| since(now, from) >= MAX_UNLISTED);
+        let silent = self
+            .reported_at
+            .is_none_or(|at| since(now, at) >= MAX_UNLISTED);
         unlisted && silent
     }
 }
--- a/crates/state/src/membership/roster.rs
+++ b/crates/state/src/membership/roster.rs
@@ -1,10 +1,11 @@
 //! The router instances, as one of them sees the others.
 //!
-//! The list brings names and addresses; direct contact and rumours bring life
-//! and death. An instance that can't be reached is accused, and the accusation
-//! spreads until the accused answers it with a greater beat or is gone. So a
-//! broken path between two instances costs nothing, and a lost zone is gone
-//! for everyone within seconds though the list still shows it.
+//! The platform's list supplies names and addresses; direct contact and updates
+//! from peers show which instances are alive. An instance that can't be reached
+//! is suspected. The suspicion propagates until the subject refutes it with a
+//! greater sequence number or is considered gone. A broken path between two
+//! instances therefore moves no home endpoints, and a lost zone is gone in all
+//! views within seconds, even while the list still shows it.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -19,91 +20,92 @@
 
 use super::member::{Event, Machine, Member, State};
 
-/// How long an instance may miss from the list before it is accused, and how
-/// long a gone one is kept after it left the list.
+/// How long an instance may be missing from the list before it is suspected,
+/// and how long a gone one is retained after it left the list.
 ///
-/// The list lags by seconds; a shorter time would accuse instances that a
-/// single stale answer left out.
-pub const ABSENT: Duration = Duration::from_secs(10);
+/// The list lags by seconds; a shorter time would cause suspicion of instances
+/// that are missing from a single stale list.
+pub const MAX_UNLISTED: Duration = Duration::from_secs(10);
 
-/// What an instance says of itself on each message.
+/// The sender's own state, part of each message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Who speaks.
+    /// The sender.
     pub id: InstanceId,
-    /// Its life.
+    /// The sender's incarnation.
     pub incarnation: Incarnation,
-    /// A counter that it raises to answer an accusation.
-    pub beat: u64,
-    /// Whether it is leaving.
+    /// A counter that the sender increments to refute a suspicion.
+    #[serde(rename = "beat")]
+    pub sequence: u64,
+    /// Whether the sender is leaving.
     pub standing: Standing,
 }
 
-/// What an instance says of another, or a change in its own view.
+/// The state of one instance in the view of another, as exchanged by gossip.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rumour {
-    /// Whom it is about.
+pub struct MemberUpdate {
+    /// The subject of the update.
     pub id: InstanceId,
-    /// The life it is about.
+    /// The subject's incarnation.
     pub incarnation: Incarnation,
-    /// The beat that was known then.
-    pub beat: u64,
-    /// How the subject stands.
+    /// The subject's sequence number that the view knew at the time.
+    pub sequence: u64,
+    /// The subject's state.
     pub state: State,
 }
 
-/// The instances that one instance knows, itself among them.
+/// The instances that one instance knows, including itself.
 pub struct Roster {
     own: Instance,
-    beat: u64,
-    listed_once: bool,
+    sequence: u64,
+    has_list: bool,
     entries: BTreeMap<InstanceId, Entry>,
-    changes: Vec<Rumour>,
+    changes: Vec<MemberUpdate>,
 }
 
 struct Entry {
     instance: Instance,
     machine: Machine,
-    unlisted: Option<Moment>,
-    // Whether anyone but the list has shown this incarnation.
+    unlisted_since: Option<Moment>,
+    // Whether a source other than the list has shown this incarnation.
     confirmed: bool,
 }
 
 impl Roster {
-    /// Returns a roster that knows its own instance alone.
+    /// Returns a roster that knows only its own instance.
     #[must_use]
     pub const fn new(own: Instance) -> Self {
         Self {
             own,
-            beat: 0,
-            listed_once: false,
+            sequence: 0,
+            has_list: false,
             entries: BTreeMap::new(),
             changes: Vec::new(),
         }
     }
 
-    /// Takes an answer of the platform's list.
+    /// Applies a response of the platform's list.
     ///
-    /// An empty list is a fault of the platform and is not believed: at least
-    /// the reader itself exists.
-    pub fn list(&mut self, now: Moment, listed: &[Instance]) {
+    /// An empty list is a fault of the platform and is ignored, because at
+    /// least the reader itself exists.
+    pub fn apply_list(&mut self, now: Moment, listed: &[Instance]) {
         if listed.is_empty() {
             return;
         }
         for instance in listed {
             if instance.id != self.own.id {
-                self.listed(now, instance);
+                self.apply_listed(now, instance);
             }
         }
-        self.listed_once = true;
+        self.has_list = true;
         for (id, entry) in &mut self.entries {
             let present = listed.iter().any(|instance| instance.id == *id);
-            entry.mark(now, present);
+            entry.mark_listed(now, present);
         }
     }
 
-    /// Takes what an instance said of itself, directly.
-    pub fn heard(&mut self, now: Moment, heartbeat: &Heartbeat) {
+    /// Applies the heartbeat of an instance that was contacted directly.
+    pub fn apply_heartbeat(&mut self, now: Moment, heartbeat: &Heartbeat) {
         let Some(entry) = self.entries.get_mut(&heartbeat.id) else {
             return;
         };
@@ -111,64 +113,64 @@
             return;
         }
         if heartbeat.incarnation > entry.instance.incarnation {
-            // A restart that the list does not show yet.
-            entry.succeed(now, heartbeat.incarnation, heartbeat.beat);
+            // The instance restarted and the list does not show it yet.
+            entry.advance_incarnation(now, heartbeat.incarnation, heartbeat.sequence);
         }
         entry.confirmed = true;
-        let before = entry.state();
+        let previous = entry.state();
         entry.handle(Event::Alive {
-            beat: heartbeat.beat,
+            sequence: heartbeat.sequence,
             now,
         });
         if heartbeat.standing == Standing::Leaving {
             entry.handle(Event::Leave { now });
         }
-        self.note(heartbeat.id, before);
+        self.record_change(heartbeat.id, previous);
     }
 
-    /// Takes what a peer said of an instance.
-    pub fn rumour(&mut self, now: Moment, rumour: &Rumour) {
-        if rumour.id == self.own.id {
-            self.answer(rumour);
+    /// Applies a peer's update about an instance.
+    pub fn apply_update(&mut self, now: Moment, update: &MemberUpdate) {
+        if update.id == self.own.id {
+            self.refute(update);
             return;
         }
-        let Some(entry) = self.entries.get_mut(&rumour.id) else {
+        let Some(entry) = self.entries.get_mut(&update.id) else {
             return;
         };
-        if rumour.incarnation < entry.instance.incarnation {
+        if update.incarnation < entry.instance.incarnation {
             return;
         }
-        let before = entry.state();
-        if rumour.incarnation > entry.instance.incarnation {
-            entry.succeed(now, rumour.incarnation, rumour.beat);
+        let previous = entry.state();
+        if update.incarnation > entry.instance.incarnation {
+            entry.advance_incarnation(now, update.incarnation, update.sequence);
         }
         entry.confirmed = true;
-        entry.handle(told(rumour, now));
-        self.note(rumour.id, before);
+        entry.handle(member_event(update, now));
+        self.record_change(update.id, previous);
     }
 
-    /// Takes that a message to an instance found no answer.
-    pub fn unreachable(&mut self, now: Moment, id: InstanceId) {
+    /// Records that a message to an instance got no response.
+    pub fn record_unreachable(&mut self, now: Moment, id: InstanceId) {
         let Some(entry) = self.entries.get_mut(&id) else {
             return;
         };
-        let before = entry.state();
-        entry.accuse(now);
-        self.note(id, before);
+        let previous = entry.state();
+        entry.suspect(now);
+        self.record_change(id, previous);
     }
 
-    /// Marks the own instance as leaving, for good.
+    /// Marks the own instance as leaving; this can't be undone.
     pub fn leave(&mut self) {
         if self.own.standing == Standing::Live {
             self.own.standing = Standing::Leaving;
-            self.changes.push(self.own_rumour());
+            self.changes.push(self.own_update());
         }
     }
 
-    /// Lets time pass and returns what changed since the last call.
+    /// Advances the time to `now` and returns the changes since the last call.
     ///
-    /// Each change is a rumour worth telling peers.
-    pub fn tick(&mut self, now: Moment) -> Vec<Rumour> {
+    /// Each change should be propagated to peers.
+    pub fn tick(&mut self, now: Moment) -> Vec<MemberUpdate> {
         let ids: Vec<InstanceId> = self.entries.keys().copied().collect();
         for id in ids {
             self.tick_entry(now, id);
@@ -176,7 +178,8 @@
         std::mem::take(&mut self.changes)
     }
 
-    /// Returns the instances that get homes: the live and suspected ones.
+    /// Returns the instances that get home endpoints: the live and the
+    /// suspected ones.
     pub fn instances(&self) -> impl Iterator<Item = &Instance> + '_ {
         let own = Some(&self.own).filter(|own| own.standing == Standing::Live);
         let others = self
@@ -187,66 +190,66 @@
         others.chain(own)
     }
 
-    /// Returns every other instance with its state, for choosing whom to talk
-    /// to.
+    /// Returns every other instance with its state, for choosing gossip peers.
     pub fn others(&self) -> impl Iterator<Item = (&Instance, State)> + '_ {
         self.entries
             .values()
             .map(|entry| (&entry.instance, entry.state()))
     }
 
-    /// Returns how an instance stands; the own one is live or leaving.
+    /// Returns the state of an instance; the own one is live or leaving.
     #[must_use]
     pub fn state(&self, id: InstanceId) -> Option<State> {
         if id == self.own.id {
-            return Some(self.own_rumour().state);
+            return Some(self.own_update().state);
         }
         self.entries.get(&id).map(Entry::state)
     }
 
-    /// Returns what the own instance says of itself.
+    /// Returns the heartbeat of the own instance.
     #[must_use]
     pub const fn heartbeat(&self) -> Heartbeat {
         Heartbeat {
             id: self.own.id,
             incarnation: self.own.incarnation,
-            beat: self.beat,
+            sequence: self.sequence,
             standing: self.own.standing,
         }
     }
 
-    /// Returns the accusation against an instance that it should hear of.
+    /// Returns the suspicion about an instance, if any, so that the instance
+    /// can be informed and refute it.
     #[must_use]
-    pub fn accusation(&self, id: InstanceId) -> Option<Rumour> {
-        let rumour = self.entries.get(&id)?.rumour();
-        matches!(rumour.state, State::Suspect | State::Gone).then_some(rumour)
+    pub fn suspicion(&self, id: InstanceId) -> Option<MemberUpdate> {
+        let update = self.entries.get(&id)?.to_update();
+        matches!(update.state, State::Suspect | State::Gone).then_some(update)
     }
 
-    fn listed(&mut self, now: Moment, instance: &Instance) {
+    fn apply_listed(&mut self, now: Moment, instance: &Instance) {
         let Some(entry) = self.entries.get_mut(&instance.id) else {
-            self.join(now, instance);
+            self.insert_listed(now, instance);
             return;
         };
         if instance.incarnation < entry.instance.incarnation {
-            // The list has not seen the restart yet.
+            // The list does not show the restart yet.
             return;
         }
-        let before = entry.state();
+        let previous = entry.state();
         if instance.incarnation > entry.instance.incarnation {
-            entry.succeed(now, instance.incarnation, 0);
+            entry.advance_incarnation(now, instance.incarnation, 0);
         }
         entry.instance = instance.clone();
         if instance.standing == Standing::Leaving {
             entry.handle(Event::Leave { now });
         }
-        self.note(instance.id, before);
+        self.record_change(instance.id, previous);
     }
 
-    fn join(&mut self, now: Moment, instance: &Instance) {
+    fn insert_listed(&mut self, now: Moment, instance: &Instance) {
         let mut entry = Entry::new(now, instance.clone());
-        // At its own start an instance takes the list as it is; later
-        // newcomers wait out their probation, by which time all know them.
-        if self.listed_once {
+        // At startup an instance accepts the list as it is. Instances listed
+        // later start with a probation period, after which all views know them.
+        if self.has_list {
             entry.handle(Event::Probation { now });
         }
         if instance.standing == Standing::Leaving {
@@ -259,37 +262,41 @@
         let Some(entry) = self.entries.get_mut(&id) else {
             return;
         };
-        let before = entry.state();
+        let previous = entry.state();
         entry.handle(Event::Tick { now });
         let absent = entry
-            .unlisted
-            .is_some_and(|from| since(now, from) >= ABSENT);
+            .unlisted_since
+            .is_some_and(|from| since(now, from) >= MAX_UNLISTED);
         if absent && entry.state() == State::Gone {
             self.entries.remove(&id);
             return;
         }
         if absent {
-            // It is off the list: unless it answers, it is gone.
-            entry.accuse(now);
-            entry.unlisted = Some(now);
+            // The instance is off the list: unless it refutes the suspicion, it
+            // is gone.
+            entry.suspect(now);
+            entry.unlisted_since = Some(now);
         }
-        self.note(id, before);
+        self.record_change(id, previous);
     }
 
-    // Answers an accusation against the own instance.
-    fn answer(&mut self, rumour: &Rumour) {
-        let accused = matches!(rumour.state, State::Suspect | State::Gone);
-        if accused && rumour.incarnation == self.own.incarnation && rumour.beat >= self.beat {
-            self.beat = rumour.beat + 1;
-            self.changes.push(self.own_rumour());
+    // Refutes a suspicion about the own instance.
+    fn refute(&mut self, update: &MemberUpdate) {
+        let suspected = matches!(update.state, State::Suspect | State::Gone);
+        if suspected
+            && update.incarnation == self.own.incarnation
+            && update.sequence >= self.sequence
+        {
+            self.sequence = update.sequence + 1;
+            self.changes.push(self.own_update());
         }
     }
 
-    fn own_rumour(&self) -> Rumour {
-        Rumour {
+    fn own_update(&self) -> MemberUpdate {
+        MemberUpdate {
             id: self.own.id,
             incarnation: self.own.incarnation,
-            beat: self.beat,
+            sequence: self.sequence,
             state: match self.own.standing {
                 Standing::Live => State::Live,
                 Standing::Leaving => State::Leaving,
@@ -297,12 +304,12 @@
         }
     }
 
-    fn note(&mut self, id: InstanceId, before: State) {
+    fn record_change(&mut self, id: InstanceId, previous: State) {
         let Some(entry) = self.entries.get(&id) else {
             return;
         };
-        if entry.state() != before {
-            self.changes.push(entry.rumour());
+        if entry.state() != previous {
+            self.changes.push(entry.to_update());
         }
     }
 }
@@ -310,42 +317,42 @@
 impl Entry {
     fn new(now: Moment, instance: Instance) -> Self {
         let member = Member {
-            beat: 0,
-            heard: now,
-            left: false,
+            sequence: 0,
+            last_seen: now,
+            leaving_seen: false,
         };
         let mut machine = member.state_machine();
         machine.init();
         Self {
             instance,
             machine,
-            unlisted: None,
+            unlisted_since: None,
             confirmed: false,
         }
     }
 
-    /// Goes over to a greater incarnation.
+    /// Moves the entry to a greater incarnation.
     ///
-    /// The failure: a router starts and takes the list as it is; the list lags
-    /// and shows earlier lives of its peers. Taking each first contact for a
-    /// restart would put every peer on probation, and the newcomer alone would
-    /// own all endpoints for that time. Only a life that was seen can end in a
-    /// restart; until then the list was merely behind.
-    fn succeed(&mut self, now: Moment, incarnation: Incarnation, beat: u64) {
+    /// Only an incarnation that was confirmed by contact or by a peer can end in
+    /// a restart; otherwise the list was merely outdated. A router accepts the
+    /// list at startup, and a lagging list shows earlier incarnations of its
+    /// peers. If each first contact counted as a restart, every peer would be on
+    /// probation and the new router would own all endpoints for that time.
+    fn advance_incarnation(&mut self, now: Moment, incarnation: Incarnation, sequence: u64) {
         if self.confirmed || self.state() != State::Live {
-            self.restart(now, incarnation, beat);
+            self.restart(now, incarnation, sequence);
         } else {
             self.instance.incarnation = incarnation;
         }
     }
 
-    fn restart(&mut self, now: Moment, incarnation: Incarnation, beat: u64) {
+    fn restart(&mut self, now: Moment, incarnation: Incarnation, sequence: u64) {
         self.instance.incarnation = incarnation;
         self.instance.standing = Standing::Live;
         let member = Member {
-            beat,
-            heard: now,
-            left: false,
+            sequence,
+            last_seen: now,
+            leaving_seen: false,
         };
         self.machine = member.state_machine();
         self.machine.init();
@@ -356,16 +363,16 @@
         self.machine.handle(&event);
     }
 
-    fn accuse(&mut self, now: Moment) {
-        let beat = self.machine.inner().beat;
-        self.handle(Event::Accused { beat, now });
+    fn suspect(&mut self, now: Moment) {
+        let sequence = self.machine.inner().sequence;
+        self.handle(Event::Suspected { sequence, now });
     }
 
-    fn mark(&mut self, now: Moment, present: bool) {
+    fn mark_listed(&mut self, now: Moment, present: bool) {
         if present {
-            self.unlisted = None;
-        } else if self.unlisted.is_none() {
-            self.unlisted = Some(now);
+            self.unlisted_since = None;
+        } else if self.unlisted_since.is_none() {
+            self.unlisted_since = Some(now);
         }
     }
 
@@ -373,21 +380,21 @@
         self.machine.state().state()
     }
 
-    fn rumour(&self) -> Rumour {
-        Rumour {
+    fn to_update(&self) -> MemberUpdate {
+        MemberUpdate {
             id: self.instance.id,
             incarnation: self.instance.incarnation,
-            beat: self.machine.inner().beat,
+            sequence: self.machine.inner().sequence,
             state: self.state(),
         }
     }
 }
 
-fn told(rumour: &Rumour, now: Moment) -> Event {
-    let beat = rumour.beat;
-    match rumour.state {
-        State::Live | State::Returning => Event::Alive { beat, now },
-        State::Suspect | State::Gone => Event::Accused { beat, now },
+fn member_event(update: &MemberUpdate, now: Moment) -> Event {
+    let sequence = update.sequence;
+    match update.state {
+        State::Live | State::Returning => Event::Alive { sequence, now },
+        State::Suspect | State::Gone => Event::Suspected { sequence, now },
         State::Leaving => Event::Leave { now },
     }
 }
@@ -397,7 +404,7 @@
         let states = self.entries.iter().map(|(id, entry)| (id, entry.state()));
         f.debug_struct("Roster")
             .field("own", &self.own.id)
-            .field("beat", &self.beat)
+            .field("beat", &self.sequence)
             .field("states", &states.collect::<BTreeMap<_, _>>())
             .finish_non_exhaustive()
     }
