--- a/crates/direct/src/stream.rs
+++ b/crates/direct/src/stream.rs
@@ -301,7 +301,7 @@
                     Poll::Pending => return Poll::Pending,
                     Poll::Ready(Some(Ok(frame))) => match this.accept_frame(frame) {
                         None => None,
-                        step => return Poll::Ready(step),
+                        next_frame => return Poll::Ready(next_frame),
                     },
                     Poll::Ready(Some(Err(error))) => {
                         this.handle_failure(&Interruption::Failed(error.into()))
