--- a/crates/direct/tests/herd/main.rs
+++ b/crates/direct/tests/herd/main.rs
@@ -1,7 +1,7 @@
-//! Plain requests of many instances that all know the same old loads.
+//! Simulation of requests without prompts from many instances that know the same old loads.
 //!
-//! Time is driven and seeded, endpoints are queues in memory; the decisions are those
-//! that run.
+//! Time is simulated and random numbers are seeded; endpoints are queues in memory. The
+//! placement decisions are those of the production code.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -14,18 +14,18 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const SLOTS: u32 = 6;
+const SLOTS_PER_ENDPOINT: u32 = 6;
 
-/// Mean work of a request, in seconds.
-const WORK: f64 = 0.06;
+/// Mean time that an endpoint works on a request, in seconds.
+const MEAN_WORK_SECS: f64 = 0.06;
 
-/// The mean load of an endpoint without any waiting.
-const MEAN: f64 = 2.7;
+/// The mean number of running requests per endpoint, without any waiting.
+const MEAN_LOAD: f64 = 2.7;
 
-/// How often each instance hears what the others heard, in seconds.
-const TOLD: f64 = 1.4;
+/// Interval at which each instance learns the loads that the others received, in seconds.
+const PEER_UPDATE_SECS: f64 = 1.4;
 
-const TIME: f64 = 24.0;
+const SIMULATED_SECS: f64 = 24.0;
 
 #[derive(Clone, Copy, Debug)]
 struct Size {
@@ -41,30 +41,32 @@
         endpoint: u64,
         sent: Duration,
     },
-    Told {
+    PeerUpdate {
         instance: usize,
     },
 }
 
-/// What callers met.
+/// The measured result of a simulation.
 #[derive(Debug)]
-struct Met {
-    /// The part that met an endpoint above twice the mean, and three.
-    above: f64,
-    /// The part that had to wait for a slot.
+struct Measurement {
+    /// The fraction of requests that were sent to an endpoint loaded above twice the mean
+    /// plus three.
+    overloaded: f64,
+    /// The fraction of requests that waited for a slot.
     waited: f64,
 }
 
 struct World {
     size: Size,
     rng: ChaCha8Rng,
-    books: Vec<EndpointStats>,
-    hub: EndpointStats,
-    // Requests that each endpoint runs or holds, and when its slots are free.
+    stats: Vec<EndpointStats>,
+    seed_stats: EndpointStats,
+    // Number of requests that each endpoint runs or queues, and the times at which its
+    // slots become free.
     loads: Vec<u32>,
-    free: Vec<Vec<Duration>>,
+    slots_free_at: Vec<Vec<Duration>>,
     queue: BinaryHeap<Reverse<(Duration, u64, Event)>>,
-    pushed: u64,
+    pushed_events: u64,
 }
 
 fn secs(secs: f64) -> Duration {
@@ -77,26 +79,26 @@
         let mut world = Self {
             size,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            books: (0..size.instances)
+            stats: (0..size.instances)
                 .map(|_| EndpointStats::default())
                 .collect(),
-            hub: EndpointStats::default(),
+            seed_stats: EndpointStats::default(),
             loads: vec![0; endpoints],
-            free: vec![vec![Duration::ZERO; SLOTS as usize]; endpoints],
+            slots_free_at: vec![vec![Duration::ZERO; SLOTS_PER_ENDPOINT as usize]; endpoints],
             queue: BinaryHeap::new(),
-            pushed: 0,
+            pushed_events: 0,
         };
         for instance in 0..size.instances {
-            let at = secs(world.rng.random_range(0.0..TOLD));
-            world.push(at, Event::Told { instance });
+            let at = secs(world.rng.random_range(0.0..PEER_UPDATE_SECS));
+            world.push(at, Event::PeerUpdate { instance });
         }
         world.push(Duration::ZERO, Event::Arrival);
         world
     }
 
     fn push(&mut self, at: Duration, event: Event) {
-        self.pushed += 1;
-        self.queue.push(Reverse((at, self.pushed, event)));
+        self.pushed_events += 1;
+        self.queue.push(Reverse((at, self.pushed_events, event)));
     }
 
     fn exponential(&mut self, mean: f64) -> Duration {
@@ -114,19 +116,19 @@
 
     fn candidates(&self, instance: usize, now: Duration) -> Vec<Candidate> {
         let ids: Vec<u64> = (1..=self.size.endpoints).collect();
-        let looks = self.books[instance].estimate(&ids, now);
+        let estimates = self.stats[instance].estimate(&ids, now);
         let zone = |endpoint: u64| endpoint % 6;
         let own = zone(instance as u64);
         ids.iter()
-            .zip(looks)
-            .map(|(id, look)| Candidate {
+            .zip(estimates)
+            .map(|(id, estimate)| Candidate {
                 endpoint: *id,
-                load: look.load,
-                load_stddev: look.std_dev,
-                own_requests: look.own_requests,
-                observed_load: look.observed_load,
-                known_fraction: look.known,
-                slots: SLOTS,
+                load: estimate.load,
+                load_stddev: estimate.std_dev,
+                own_requests: estimate.own_requests,
+                observed_load: estimate.observed_load,
+                known_fraction: estimate.known,
+                slots: SLOTS_PER_ENDPOINT,
                 same_zone: zone(*id) == own,
                 path_clear: true,
                 access: Access::Full,
@@ -135,9 +137,9 @@
             .collect()
     }
 
-    // Returns the load that a request met, and whether it waited.
+    // Returns the endpoint's load before the request, and whether the request waits.
     fn arrival(&mut self, now: Duration) -> (u32, bool) {
-        let rate = MEAN / WORK * self.endpoints();
+        let rate = MEAN_LOAD / MEAN_WORK_SECS * self.endpoints();
         let next = now + self.exponential(1.0 / rate);
         self.push(next, Event::Arrival);
         let instance = self.rng.random_range(0..self.size.instances);
@@ -148,12 +150,12 @@
         else {
             panic!("no room at any endpoint");
         };
-        self.books[instance].start_request(endpoint);
-        let work = self.exponential(WORK);
+        self.stats[instance].start_request(endpoint);
+        let work = self.exponential(MEAN_WORK_SECS);
         let index = Self::index(endpoint);
-        let met = self.loads[index];
+        let load_before = self.loads[index];
         self.loads[index] += 1;
-        let slot = self.free[index].iter_mut().min().expect("a slot");
+        let slot = self.slots_free_at[index].iter_mut().min().expect("a slot");
         let waited = *slot > now;
         *slot = now.max(*slot) + work;
         let end = *slot;
@@ -165,52 +167,53 @@
                 sent: now,
             },
         );
-        (met, waited)
+        (load_before, waited)
     }
 
     fn end(&mut self, instance: usize, endpoint: u64, sent: Duration, now: Duration) {
         let load = &mut self.loads[Self::index(endpoint)];
         let report = Report {
-            running: (*load).min(SLOTS),
-            waiting: load.saturating_sub(SLOTS),
-            slots: SLOTS,
+            running: (*load).min(SLOTS_PER_ENDPOINT),
+            waiting: load.saturating_sub(SLOTS_PER_ENDPOINT),
+            slots: SLOTS_PER_ENDPOINT,
         };
         *load -= 1;
-        let book = &mut self.books[instance];
-        book.record_report(endpoint, report, now);
-        book.end_request(endpoint, since(now, sent));
+        let own_stats = &mut self.stats[instance];
+        own_stats.record_report(endpoint, report, now);
+        own_stats.end_request(endpoint, since(now, sent));
     }
 
-    // An instance tells what it heard to the one that is asked, and is told.
-    fn told(&mut self, instance: usize, now: Duration) {
-        let book = &mut self.books[instance];
-        for load in book.take_new_loads(now) {
-            self.hub
+    // Sends an instance's new loads to its seed, and the seed's recent loads to the
+    // instance.
+    fn exchange_loads(&mut self, instance: usize, now: Duration) {
+        let own_stats = &mut self.stats[instance];
+        for load in own_stats.take_new_loads(now) {
+            self.seed_stats
                 .record_peer_load(load.endpoint, load.requests, since(now, load.age));
         }
-        for load in self.hub.recent_loads(now, instance as u64) {
-            book.record_peer_load(load.endpoint, load.requests, since(now, load.age));
+        for load in self.seed_stats.recent_loads(now, instance as u64) {
+            own_stats.record_peer_load(load.endpoint, load.requests, since(now, load.age));
         }
-        self.push(now + secs(TOLD), Event::Told { instance });
+        self.push(now + secs(PEER_UPDATE_SECS), Event::PeerUpdate { instance });
     }
 }
 
-fn drive(size: Size, seed: u64) -> Met {
+fn simulate(size: Size, seed: u64) -> Measurement {
     let mut world = World::new(size, seed);
-    let (mut all, mut above, mut waited) = (0_u32, 0_u32, 0_u32);
+    let (mut request_count, mut overloaded, mut waited) = (0_u32, 0_u32, 0_u32);
     while let Some(Reverse((now, _, event))) = world.queue.pop() {
-        if now > secs(TIME) {
+        if now > secs(SIMULATED_SECS) {
             break;
         }
         match event {
             Event::Arrival => {
                 let sum: u32 = world.loads.iter().sum();
                 let mean = f64::from(sum) / world.endpoints();
-                let (met, had_to) = world.arrival(now);
-                if now > secs(TIME / 3.0) {
-                    all += 1;
-                    above += u32::from(f64::from(met) > 2.0 * mean + 3.0);
-                    waited += u32::from(had_to);
+                let (load_before, has_waited) = world.arrival(now);
+                if now > secs(SIMULATED_SECS / 3.0) {
+                    request_count += 1;
+                    overloaded += u32::from(f64::from(load_before) > 2.0 * mean + 3.0);
+                    waited += u32::from(has_waited);
                 }
             }
             Event::End {
@@ -218,44 +221,47 @@
                 endpoint,
                 sent,
             } => world.end(instance, endpoint, sent, now),
-            Event::Told { instance } => world.told(instance, now),
+            Event::PeerUpdate { instance } => world.exchange_loads(instance, now),
         }
     }
-    Met {
-        above: f64::from(above) / f64::from(all),
-        waited: f64::from(waited) / f64::from(all),
+    Measurement {
+        overloaded: f64::from(overloaded) / f64::from(request_count),
+        waited: f64::from(waited) / f64::from(request_count),
     }
 }
 
-/// Shop staff wait at the counter for a stock check that takes 60 ms. Three hundred
-/// instances are told the same loads, a second old, and all send to the endpoint that
-/// was the least loaded then, until the next one looks so: one holds 47 requests where
-/// the mean is 11, and the others idle.
+/// Guards against herding: three hundred instances that know the same loads, a second old,
+/// all send to the endpoint that was the least loaded then, until another one looks so. One
+/// then holds 47 requests where the mean is 11, the others are idle, and callers wait for
+/// requests that take 60 ms.
 #[test]
-fn instances_that_know_the_same_do_not_all_choose_the_same() {
+fn many_instances_with_the_same_loads_do_not_herd() {
     let size = Size {
         instances: 295,
         endpoints: 12,
     };
-    let met = [0, 1, 2].map(|seed| drive(size, seed));
-    for met in &met {
-        assert!(met.above < 0.03, "{met:?}");
+    let measurements = [0, 1, 2].map(|seed| simulate(size, seed));
+    for measurement in &measurements {
+        assert!(measurement.overloaded < 0.03, "{measurement:?}");
     }
-    // With each request at an endpoint drawn evenly 6.5% wait, by Erlang's formula.
-    let waited: f64 = met.iter().map(|met| met.waited).sum();
-    assert!(waited / 3.0 < 0.08, "{met:?}");
+    // With evenly drawn endpoints 6.5% of requests wait, by Erlang's formula.
+    let waited: f64 = measurements
+        .iter()
+        .map(|measurement| measurement.waited)
+        .sum();
+    assert!(waited / 3.0 < 0.08, "{measurements:?}");
 }
 
-/// Among a few instances each knows a good part of the load itself.
+/// With few instances, each knows a large part of the load from its own requests.
 #[test]
-fn a_few_instances_spread_their_requests_as_well() {
+fn few_instances_spread_their_requests() {
     let size = Size {
         instances: 6,
         endpoints: 12,
     };
     for seed in 0..3 {
-        let met = drive(size, seed);
-        assert!(met.above < 0.03, "{met:?}");
-        assert!(met.waited < 0.06, "{met:?}");
+        let measurement = simulate(size, seed);
+        assert!(measurement.overloaded < 0.03, "{measurement:?}");
+        assert!(measurement.waited < 0.06, "{measurement:?}");
     }
 }
--- a/crates/direct/tests/instance/crashes.rs
+++ b/crates/direct/tests/instance/crashes.rs
@@ -1,104 +1,109 @@
-//! Requests that end the endpoints that run them.
+//! Requests that crash the endpoints that run them.
 
 use std::time::Duration;
 
-use crate::endpoint::{Endpoint, Seen, Step, answer};
-use crate::fleet::Fleet;
-use crate::peers::follows;
+use crate::endpoint::{Endpoint, ReceivedRequest, Step, response_to};
+use crate::fleet::TestInstance;
+use crate::peers::wait_until_log_unread;
 
-const POISON: &str = "/stock/poison";
+const POISON_PATH: &str = "/stock/poison";
 
-/// Within what time all instances know what one of them saw.
-const PASSED: Duration = Duration::from_secs(2);
+/// Time within which all instances learn of a crash that one of them observed.
+const PROPAGATION_TIME: Duration = Duration::from_secs(2);
 
-// Ends at one request and answers all others.
-fn brittle(_: usize, seen: &Seen) -> Vec<Step> {
-    if seen.head.starts_with("GET /stock/poison") {
-        vec![Step::End]
+// Stops at the poison request and answers all others.
+fn crash_on_poison(_: usize, received: &ReceivedRequest) -> Vec<Step> {
+    if received.head.starts_with("GET /stock/poison") {
+        vec![Step::Stop]
     } else {
-        vec![answer(seen, "200 OK", "", "ok")]
+        vec![response_to(received, "200 OK", "", "ok")]
     }
 }
 
 async fn endpoints(count: usize) -> Vec<Endpoint> {
     let mut endpoints = Vec::new();
     for _ in 0..count {
-        endpoints.push(Endpoint::start(brittle).await);
+        endpoints.push(Endpoint::start(crash_on_poison).await);
     }
     endpoints
 }
 
-// How many endpoints got the request that ends them.
-fn ended(endpoints: &[Endpoint]) -> usize {
-    let poisoned = |one: &&Endpoint| one.seen().iter().any(|seen| seen.head.contains(POISON));
+// Returns how many endpoints received the poison request.
+fn crashed_count(endpoints: &[Endpoint]) -> usize {
+    let poisoned = |one: &&Endpoint| {
+        one.received()
+            .iter()
+            .any(|received| received.head.contains(POISON_PATH))
+    };
     endpoints.iter().filter(poisoned).count()
 }
 
-async fn send(fleet: &Fleet, path: &str) -> String {
-    let answer = fleet.call("GET", path, "").await;
-    // Whether an endpoint ended is seen a moment after its connection broke.
+async fn send(instance: &TestInstance, path: &str) -> String {
+    let response = instance.call("GET", path, "").await;
+    // A crash is detected a moment after the connection broke.
     tokio::time::sleep(Duration::from_millis(60)).await;
-    answer
+    response
 }
 
-fn status(answer: &str) -> &str {
-    answer.get(9..12).unwrap_or_default()
+fn status(response: &str) -> &str {
+    response.get(9..12).unwrap_or_default()
 }
 
-/// A stock check ends each endpoint that runs it, and its client sends it again
-/// and again. After the third endpoint it gets no further one: the client is
-/// told that it has not run, and when to come back. Other stock checks are
-/// served by the endpoints that are left.
+/// Guards against a request that crashes endpoint after endpoint as its client retries it.
+/// After the third endpoint it is refused as not run, with a retry delay. Other requests
+/// are served by the remaining endpoints.
 #[tokio::test]
-async fn a_request_that_ends_its_endpoints_is_held_back_after_three() {
+async fn crashing_request_is_held_after_three_endpoints() {
     let endpoints = endpoints(5).await;
     let addresses: Vec<_> = endpoints.iter().map(|one| one.address).collect();
-    let fleet = Fleet::start(&addresses).await;
-    let first = send(&fleet, POISON).await;
-    assert_eq!((status(&first), ended(&endpoints)), ("502", 2));
-    let second = send(&fleet, POISON).await;
+    let instance = TestInstance::start(&addresses).await;
+    let first = send(&instance, POISON_PATH).await;
+    assert_eq!((status(&first), crashed_count(&endpoints)), ("502", 2));
+    let second = send(&instance, POISON_PATH).await;
     assert_eq!(status(&second), "502", "{second}");
-    let after = ended(&endpoints);
-    assert!(after <= 4, "{after} ended");
+    let after = crashed_count(&endpoints);
+    assert!(after <= 4, "{after} endpoints crashed");
     for _ in 0..3 {
-        let held = send(&fleet, POISON).await;
+        let held = send(&instance, POISON_PATH).await;
         assert_eq!(status(&held), "503", "{held}");
         assert!(held.contains("\r\nretry-after: "), "{held}");
     }
-    assert_eq!(ended(&endpoints), after);
-    assert_eq!(status(&send(&fleet, "/stock/1").await), "200");
+    assert_eq!(crashed_count(&endpoints), after);
+    assert_eq!(status(&send(&instance, "/stock/1").await), "200");
 }
 
-/// A server breaks off its answers, and goes on living. However often that
-/// happens to a request, it is sent again: an answer that is lost is no sign
-/// that the request did harm.
+/// Guards against holding a request whose responses are lost while its endpoints stay
+/// alive: a lost response is no sign of a crash.
 #[tokio::test]
-async fn a_request_whose_answers_are_lost_is_not_held_back() {
-    let breaks = |_: usize, _: &Seen| vec![Step::Close];
-    let endpoints = [Endpoint::start(breaks).await, Endpoint::start(breaks).await];
+async fn request_with_lost_responses_is_not_held() {
+    let close_connection = |_: usize, _: &ReceivedRequest| vec![Step::Close];
+    let endpoints = [
+        Endpoint::start(close_connection).await,
+        Endpoint::start(close_connection).await,
+    ];
     let addresses: Vec<_> = endpoints.iter().map(|one| one.address).collect();
-    let fleet = Fleet::start(&addresses).await;
+    let instance = TestInstance::start(&addresses).await;
     for _ in 0..5 {
-        let answer = send(&fleet, "/stock/1").await;
-        assert_eq!(status(&answer), "502", "{answer}");
+        let response = send(&instance, "/stock/1").await;
+        assert_eq!(status(&response), "502", "{response}");
     }
 }
 
-/// The client goes to another instance each time. What one instance saw is
-/// known to the one that is asked for the log, and from it to the others.
+/// Guards against a client that crashes endpoints by retrying at another instance each
+/// time. Crashes observed at one instance reach the polled seed and, from it, the others.
 #[tokio::test]
-async fn what_one_instance_saw_holds_at_the_others() {
+async fn crash_evidence_reaches_other_instances() {
     for from in [0, 1] {
         let endpoints = endpoints(6).await;
         let addresses: Vec<_> = endpoints.iter().map(|one| one.address).collect();
-        let fleets = Fleet::start_two(&addresses).await;
-        follows(&fleets[1]).await;
-        send(&fleets[from], POISON).await;
-        send(&fleets[from], POISON).await;
-        let before = ended(&endpoints);
-        tokio::time::sleep(PASSED).await;
-        let answer = send(&fleets[1 - from], POISON).await;
-        assert_eq!(status(&answer), "503", "from {from}: {answer}");
-        assert_eq!(ended(&endpoints), before, "from {from}");
+        let instances = TestInstance::start_seed_and_poller(&addresses).await;
+        wait_until_log_unread(&instances[1]).await;
+        send(&instances[from], POISON_PATH).await;
+        send(&instances[from], POISON_PATH).await;
+        let before = crashed_count(&endpoints);
+        tokio::time::sleep(PROPAGATION_TIME).await;
+        let response = send(&instances[1 - from], POISON_PATH).await;
+        assert_eq!(status(&response), "503", "from {from}: {response}");
+        assert_eq!(crashed_count(&endpoints), before, "from {from}");
     }
 }
--- a/crates/direct/tests/instance/endpoint.rs
+++ b/crates/direct/tests/instance/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint that does with each request what a script says.
+//! A scripted endpoint.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -8,27 +8,27 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::task::AbortHandle;
 
-/// What an endpoint does next on a connection.
+/// One step of an endpoint's script.
 #[derive(Clone, Debug)]
 pub(crate) enum Step {
     /// Sends bytes.
     Send(String),
-    /// Waits.
+    /// Waits this many milliseconds.
     Wait(u64),
     /// Closes the connection.
     Close,
-    /// Ends the endpoint: it takes no more connections, and this one closes.
-    End,
+    /// Stops the endpoint: it accepts no more connections and closes this one.
+    Stop,
 }
 
-/// A request as an endpoint read it.
+/// A request received by an endpoint.
 #[derive(Clone, Debug)]
-pub(crate) struct Seen {
+pub(crate) struct ReceivedRequest {
     pub(crate) head: String,
     pub(crate) body: String,
 }
 
-impl Seen {
+impl ReceivedRequest {
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.head.lines().find_map(|line| {
             let (key, value) = line.split_once(':')?;
@@ -37,81 +37,92 @@
     }
 }
 
-type Script = Arc<dyn Fn(usize, &Seen) -> Vec<Step> + Send + Sync>;
+type Script = Arc<dyn Fn(usize, &ReceivedRequest) -> Vec<Step> + Send + Sync>;
 
 #[derive(Default)]
-struct Notes {
-    seen: Vec<Seen>,
+struct EndpointState {
+    received: Vec<ReceivedRequest>,
     connections: usize,
-    gone: usize,
+    disconnects: usize,
     accepting: Option<AbortHandle>,
     paused: bool,
 }
 
-/// Connections that wait to be taken; the system drops the first packets of
-/// those beyond.
-const BACKLOG: u32 = 1_024;
+/// Size of the accept queue; the system drops the first packets of connections beyond it.
+const LISTEN_BACKLOG: u32 = 1_024;
 
-/// How often an endpoint that takes no connections looks whether it does again.
-const PAUSED: Duration = Duration::from_millis(5);
+/// Interval at which a paused endpoint checks whether it may accept again.
+const PAUSE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A running endpoint.
 #[derive(Clone)]
 pub(crate) struct Endpoint {
     pub(crate) address: SocketAddr,
-    notes: Arc<Mutex<Notes>>,
+    state: Arc<Mutex<EndpointState>>,
 }
 
 impl Endpoint {
-    /// Starts one; the script gets the number of the request, from 0.
+    /// Starts an endpoint; the script gets the number of the request, from 0.
     #[expect(
         clippy::unused_async,
         reason = "tests await it like the rest of a start"
     )]
     pub(crate) async fn start(
-        script: impl Fn(usize, &Seen) -> Vec<Step> + Send + Sync + 'static,
+        script: impl Fn(usize, &ReceivedRequest) -> Vec<Step> + Send + Sync + 'static,
     ) -> Self {
-        Self::start_narrow(script, BACKLOG)
+        Self::start_with_backlog(script, LISTEN_BACKLOG)
     }
 
-    /// Starts one at which few connections can wait to be taken.
-    pub(crate) fn start_narrow(
-        script: impl Fn(usize, &Seen) -> Vec<Step> + Send + Sync + 'static,
+    /// Starts an endpoint with an accept queue of this size.
+    pub(crate) fn start_with_backlog(
+        script: impl Fn(usize, &ReceivedRequest) -> Vec<Step> + Send + Sync + 'static,
         backlog: u32,
     ) -> Self {
         let listener = listen(backlog).expect("a free port");
         let address = listener.local_addr().expect("a bound address");
-        let notes = Arc::<Mutex<Notes>>::default();
-        let (script, kept): (Script, _) = (Arc::new(script), Arc::clone(&notes));
+        let state = Arc::<Mutex<EndpointState>>::default();
+        let (script, accept_state): (Script, _) = (Arc::new(script), Arc::clone(&state));
         let accepting = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                while kept.lock().expect("notes").paused {
-                    tokio::time::sleep(PAUSED).await;
+                while accept_state.lock().expect("endpoint state lock").paused {
+                    tokio::time::sleep(PAUSE_POLL_INTERVAL).await;
                 }
-                kept.lock().expect("notes").connections += 1;
-                tokio::spawn(serve(stream, Arc::clone(&script), Arc::clone(&kept)));
+                accept_state
+                    .lock()
+                    .expect("endpoint state lock")
+                    .connections += 1;
+                tokio::spawn(serve(
+                    stream,
+                    Arc::clone(&script),
+                    Arc::clone(&accept_state),
+                ));
             }
         });
-        notes.lock().expect("notes").accepting = Some(accepting.abort_handle());
-        Self { address, notes }
+        state.lock().expect("endpoint state lock").accepting = Some(accepting.abort_handle());
+        Self { address, state }
     }
 
-    /// Says whether it takes no new connections for now; one it takes still.
+    /// Pauses or resumes accepting. One more connection is still accepted after a pause
+    /// begins.
     pub(crate) fn pause(&self, paused: bool) {
-        self.notes.lock().expect("notes").paused = paused;
+        self.state.lock().expect("endpoint state lock").paused = paused;
     }
 
-    pub(crate) fn seen(&self) -> Vec<Seen> {
-        self.notes.lock().expect("notes").seen.clone()
+    pub(crate) fn received(&self) -> Vec<ReceivedRequest> {
+        self.state
+            .lock()
+            .expect("endpoint state lock")
+            .received
+            .clone()
     }
 
     pub(crate) fn connections(&self) -> usize {
-        self.notes.lock().expect("notes").connections
+        self.state.lock().expect("endpoint state lock").connections
     }
 
-    /// Returns how many callers went away while a script waited.
-    pub(crate) fn gone(&self) -> usize {
-        self.notes.lock().expect("notes").gone
+    /// Returns how many callers disconnected while a script waited.
+    pub(crate) fn disconnects(&self) -> usize {
+        self.state.lock().expect("endpoint state lock").disconnects
     }
 }
 
@@ -121,13 +132,13 @@
     socket.listen(backlog)
 }
 
-async fn serve(mut stream: TcpStream, script: Script, notes: Arc<Mutex<Notes>>) {
+async fn serve(mut stream: TcpStream, script: Script, state: Arc<Mutex<EndpointState>>) {
     let mut buffer = Vec::new();
-    while let Some(seen) = read(&mut stream, &mut buffer).await {
+    while let Some(received) = read(&mut stream, &mut buffer).await {
         let steps = {
-            let mut notes = notes.lock().expect("notes");
-            notes.seen.push(seen.clone());
-            script(notes.seen.len() - 1, &seen)
+            let mut state = state.lock().expect("endpoint state lock");
+            state.received.push(received.clone());
+            script(state.received.len() - 1, &received)
         };
         for step in steps {
             match step {
@@ -142,16 +153,19 @@
                     if let Ok(Ok(0) | Err(_)) =
                         tokio::time::timeout(wait, stream.peek(&mut byte)).await
                     {
-                        notes.lock().expect("notes").gone += 1;
+                        state.lock().expect("endpoint state lock").disconnects += 1;
                         return;
                     }
                 }
                 Step::Close => return,
-                Step::End => {
-                    if let Some(accepting) = notes.lock().expect("notes").accepting.take() {
+                Step::Stop => {
+                    if let Some(accepting) =
+                        state.lock().expect("endpoint state lock").accepting.take()
+                    {
                         accepting.abort();
                     }
-                    // The listener goes when its task has run once more.
+                    // The listener is closed when its aborted task has been polled once
+                    // more.
                     tokio::time::sleep(Duration::from_millis(5)).await;
                     return;
                 }
@@ -160,10 +174,10 @@
     }
 }
 
-async fn read(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<Seen> {
+async fn read(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<ReceivedRequest> {
     loop {
-        if let Some(seen) = whole(buffer) {
-            return Some(seen);
+        if let Some(received) = take_request(buffer) {
+            return Some(received);
         }
         let mut bytes = [0; 4096];
         match stream.read(&mut bytes).await {
@@ -173,15 +187,15 @@
     }
 }
 
-// Takes a whole request out of the buffer; bodies have a length.
-fn whole(buffer: &mut Vec<u8>) -> Option<Seen> {
+// Takes a complete request out of the buffer. Bodies have a content length.
+fn take_request(buffer: &mut Vec<u8>) -> Option<ReceivedRequest> {
     let text = String::from_utf8_lossy(buffer).into_owned();
     let end = text.find("\r\n\r\n")? + 4;
-    let seen = Seen {
+    let received = ReceivedRequest {
         head: text[..end].to_owned(),
         body: String::new(),
     };
-    let length: usize = seen
+    let length: usize = received
         .header("content-length")
         .map_or(0, |length| length.parse().expect("a length"));
     if buffer.len() < end + length {
@@ -189,33 +203,40 @@
     }
     let body = text[end..end + length].to_owned();
     buffer.drain(..end + length);
-    Some(Seen { body, ..seen })
+    Some(ReceivedRequest { body, ..received })
 }
 
-/// Returns the head and body of an answer to `seen`.
-pub(crate) fn answer(seen: &Seen, status: &str, more: &str, body: &str) -> Step {
-    let attempt = seen.header("x-attempt").unwrap_or_default();
+/// Returns a response to `received`.
+pub(crate) fn response_to(
+    received: &ReceivedRequest,
+    status: &str,
+    more: &str,
+    body: &str,
+) -> Step {
+    let attempt = received.header("x-attempt").unwrap_or_default();
     Step::Send(format!(
         "HTTP/1.1 {status}\r\nx-attempt: {attempt}\r\nx-signed: s1\r\n{more}content-length: {}\r\n\r\n{body}",
         body.len()
     ))
 }
 
-/// Returns an answer that is late, to another attempt than any of the tests'.
-pub(crate) fn late_answer(status: &str, more: &str) -> Step {
+/// Returns a late response that belongs to an attempt that no test makes.
+pub(crate) fn response_to_other_attempt(status: &str, more: &str) -> Step {
     Step::Send(format!(
         "HTTP/1.1 {status}\r\nx-attempt: a0\r\nx-signed: s1\r\n{more}content-length: 5\r\n\r\nother"
     ))
 }
 
-/// Returns a script that answers every request with this body.
-pub(crate) fn says(body: &'static str) -> impl Fn(usize, &Seen) -> Vec<Step> + Send + Sync {
-    move |_, seen| vec![answer(seen, "200 OK", "", body)]
+/// Returns a script that answers every request with status 200 and this body.
+pub(crate) fn ok_with_body(
+    body: &'static str,
+) -> impl Fn(usize, &ReceivedRequest) -> Vec<Step> + Send + Sync {
+    move |_, received| vec![response_to(received, "200 OK", "", body)]
 }
 
-/// Returns the head of an event stream in chunks.
-pub(crate) fn stream_head(seen: &Seen, signature: &str) -> Step {
-    let attempt = seen.header("x-attempt").unwrap_or_default();
+/// Returns the head of a chunked event stream.
+pub(crate) fn stream_head(received: &ReceivedRequest, signature: &str) -> Step {
+    let attempt = received.header("x-attempt").unwrap_or_default();
     Step::Send(format!(
         "HTTP/1.1 200 OK\r\nx-attempt: {attempt}\r\nx-signed: {signature}\r\n\
          content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n"
@@ -234,7 +255,7 @@
         .collect()
 }
 
-/// Returns the end of a body in chunks.
+/// Returns the last chunk of a body.
 pub(crate) fn last_chunk() -> Step {
     Step::Send("0\r\n\r\n".to_owned())
 }
--- a/crates/direct/tests/instance/fleet.rs
+++ b/crates/direct/tests/instance/fleet.rs
@@ -1,4 +1,4 @@
-//! One instance with its log in memory, and callers that speak plain HTTP.
+//! An instance under test with its log in memory, and callers that speak plain HTTP.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -15,21 +15,21 @@
 use godwitpost_direct::source::{Directive, Page, ReadError, Record, Reply, Source, Tail, Value};
 use godwitpost_direct::{Running, start};
 use godwitpost_process::logging::queue::Queue;
-use godwitpost_types::endpoint::{Endpoint as Listed, Standing};
+use godwitpost_types::endpoint::{Endpoint as ListedEndpoint, Standing};
 use godwitpost_types::id::{self, Era};
 use http::{HeaderMap, HeaderValue, StatusCode};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// The service of every route.
+/// The target service of every route.
 const SERVICE: &str = "desk";
 
-/// A topic in memory that can be taken away.
+/// A log topic in memory that can be made unavailable.
 pub(crate) struct Topic<T> {
     state: Arc<Mutex<State<T>>>,
 }
 
-struct Since<T> {
+struct TopicRecords<T> {
     records: Vec<Record<T>>,
     end: u64,
 }
@@ -62,28 +62,28 @@
     }
 
     pub(crate) fn append(&self, key: &str, value: Value<T>) {
-        let mut state = self.state.lock().expect("the topic");
+        let mut state = self.state.lock().expect("topic lock");
         state.records.push((key.to_owned(), value));
     }
 
     pub(crate) fn set_down(&self, down: bool) {
-        self.state.lock().expect("the topic").down = down;
+        self.state.lock().expect("topic lock").down = down;
     }
 
-    /// Brings it back from a copy that holds the first records alone.
-    pub(crate) fn restore(&self, kept: usize) {
-        let mut state = self.state.lock().expect("the topic");
-        state.records.truncate(kept);
+    /// Restores the topic from a backup that holds only the first `retained` records.
+    pub(crate) fn restore(&self, retained: usize) {
+        let mut state = self.state.lock().expect("topic lock");
+        state.records.truncate(retained);
         state.era += 1;
     }
 
-    /// Returns how often it was asked.
+    /// Returns the number of calls made to the topic.
     pub(crate) fn calls(&self) -> usize {
-        self.state.lock().expect("the topic").calls
+        self.state.lock().expect("topic lock").calls
     }
 
-    fn since(&self, from: u64) -> Result<Reply<Since<T>>, ReadError> {
-        let mut state = self.state.lock().expect("the topic");
+    fn records_since(&self, from: u64) -> Result<Reply<TopicRecords<T>>, ReadError> {
+        let mut state = self.state.lock().expect("topic lock");
         state.calls += 1;
         if state.down {
             return Err(ReadError::Refused(503));
@@ -98,7 +98,7 @@
             });
         Ok(Reply {
             era: Some(state.era),
-            body: Since {
+            body: TopicRecords {
                 records: records.collect(),
                 end: state.records.len() as u64,
             },
@@ -109,7 +109,7 @@
         let (lister, reader) = (self.clone(), self.clone());
         Source {
             list: Box::new(move |_| {
-                let answer = lister.since(0).map(|Reply { era, body }| Reply {
+                let response = lister.records_since(0).map(|Reply { era, body }| Reply {
                     era,
                     body: Page {
                         records: body.records,
@@ -117,17 +117,17 @@
                         end: body.end,
                     },
                 });
-                Box::pin(async move { answer })
+                Box::pin(async move { response })
             }),
             read: Box::new(move |from, wait| {
                 let reader = reader.clone();
                 Box::pin(async move {
-                    // A tenth of the wait: tests are in a hurry.
+                    // Waits a tenth of the requested time to keep the tests short.
                     tokio::time::sleep(wait / 10).await;
                     let Reply {
                         era,
-                        body: Since { records, end },
-                    } = reader.since(from)?;
+                        body: TopicRecords { records, end },
+                    } = reader.records_since(from)?;
                     let body = if from > end {
                         Tail::Expired
                     } else {
@@ -145,7 +145,7 @@
 }
 
 /// A running instance and its log.
-pub(crate) struct Fleet {
+pub(crate) struct TestInstance {
     pub(crate) running: Running,
     pub(crate) operator: Topic<Directive>,
     pub(crate) endpoints: Topic<Registration>,
@@ -168,25 +168,25 @@
 memory_mb: 260
 ";
 
-impl Fleet {
-    /// Starts an instance before these endpoints, with version 1 in force.
+impl TestInstance {
+    /// Starts an instance with these endpoints in its log and version 1 in force.
     pub(crate) async fn start(addresses: &[SocketAddr]) -> Self {
-        let fleet = Self::start_cold();
+        let instance = Self::start_with_empty_log();
         for (n, address) in addresses.iter().enumerate() {
-            fleet.join(&format!("e{n}"), *address);
+            instance.register(&format!("e{n}"), *address);
         }
-        fleet.roll(content(1));
-        fleet.ready().await;
-        fleet
+        instance.publish(content(1));
+        instance.wait_until_ready().await;
+        instance
     }
 
     /// Starts an instance whose log is empty.
-    pub(crate) fn start_cold() -> Self {
+    pub(crate) fn start_with_empty_log() -> Self {
         Self::start_with(SETTINGS, Topic::new(), Topic::new())
     }
 
-    /// Starts an instance whose log holds these endpoints and version 1, and has just
-    /// come back from a copy.
+    /// Starts an instance whose log holds these endpoints and version 1, and has just been
+    /// restored from a backup.
     pub(crate) fn start_restored(addresses: &[SocketAddr]) -> Self {
         let (operator, endpoints) = topics(addresses);
         operator.restore(1);
@@ -194,23 +194,23 @@
         Self::start_with(SETTINGS, operator, endpoints)
     }
 
-    /// Starts an instance that reads for others, and one that asks it. Each
-    /// has a log of its own, so that a test can tell which one is read.
-    pub(crate) async fn start_two(addresses: &[SocketAddr]) -> [Self; 2] {
+    /// Starts a seed and an instance that polls it. Each has a log of its own, so that a
+    /// test can tell which one is read.
+    pub(crate) async fn start_seed_and_poller(addresses: &[SocketAddr]) -> [Self; 2] {
         let [seed, own] = free_addresses();
-        let fleets = [
-            Self::start_among(&[seed], seed, addresses),
-            Self::start_among(&[seed], own, addresses),
+        let instances = [
+            Self::start_with_seeds(&[seed], seed, addresses),
+            Self::start_with_seeds(&[seed], own, addresses),
         ];
-        for fleet in &fleets {
-            fleet.ready().await;
+        for instance in &instances {
+            instance.wait_until_ready().await;
         }
-        fleets
+        instances
     }
 
-    /// Starts one of several instances, with a log of its own that holds these
-    /// endpoints and version 1. It is one of the seeds or asks them.
-    pub(crate) fn start_among(
+    /// Starts one of several instances, with a log of its own that holds these endpoints
+    /// and version 1. It is one of the seeds or polls them.
+    pub(crate) fn start_with_seeds(
         seeds: &[SocketAddr],
         own: SocketAddr,
         addresses: &[SocketAddr],
@@ -223,7 +223,7 @@
         Self::start_with(&text, operator, endpoints)
     }
 
-    /// Returns how often the instance called its log.
+    /// Returns the number of calls that the instance made to its log.
     pub(crate) fn calls(&self) -> usize {
         self.operator.calls() + self.endpoints.calls()
     }
@@ -247,12 +247,12 @@
         }
     }
 
-    pub(crate) fn roll(&self, content: Content) {
+    pub(crate) fn publish(&self, content: Content) {
         self.operator.append("config", policy(content));
     }
 
-    /// Writes that a zone is to be kept empty, or that it may be used again.
-    pub(crate) fn evacuate(&self, zone: &str, evacuated: bool) {
+    /// Writes or withdraws the evacuation of a zone.
+    pub(crate) fn set_evacuated(&self, zone: &str, evacuated: bool) {
         let value = if evacuated {
             Value::Set(Directive::Evacuate(zone.to_owned()))
         } else {
@@ -261,40 +261,40 @@
         self.operator.append(&format!("empty-{zone}"), value);
     }
 
-    pub(crate) fn join(&self, name: &str, address: SocketAddr) {
+    pub(crate) fn register(&self, name: &str, address: SocketAddr) {
         self.endpoints.append(
             name,
             Value::Set(registration(name, address, Standing::Live)),
         );
     }
 
-    pub(crate) fn join_in(&self, zone: &str, name: &str, address: SocketAddr) {
+    pub(crate) fn register_in_zone(&self, zone: &str, name: &str, address: SocketAddr) {
         let mut joined = registration(name, address, Standing::Live);
         joined.endpoint.zone = id::of(zone);
         self.endpoints.append(name, Value::Set(joined));
     }
 
-    pub(crate) fn leave(&self, name: &str, address: SocketAddr) {
+    pub(crate) fn register_leaving(&self, name: &str, address: SocketAddr) {
         self.endpoints.append(
             name,
             Value::Set(registration(name, address, Standing::Leaving)),
         );
     }
 
-    pub(crate) async fn ready(&self) {
-        until(async || self.is_ready().await).await;
+    pub(crate) async fn wait_until_ready(&self) {
+        wait_until(async || self.is_ready().await).await;
     }
 
     pub(crate) async fn is_ready(&self) -> bool {
-        let answer = exchange(
+        let response = exchange(
             self.running.ready_address(),
             "GET /readyz HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n",
         )
         .await;
-        answer.starts_with("HTTP/1.1 200")
+        response.starts_with("HTTP/1.1 200")
     }
 
-    /// Sends a request with the usual headers and returns the whole answer.
+    /// Sends a request with the default headers and returns the complete response.
     pub(crate) async fn call(&self, method: &str, path: &str, more: &str) -> String {
         let text = request(method, path, more, "");
         exchange(self.running.callers_address(), &text).await
@@ -309,7 +309,7 @@
     }
 }
 
-// Topics that hold these endpoints and version 1.
+// Returns topics that hold these endpoints and version 1.
 fn topics(addresses: &[SocketAddr]) -> (Topic<Directive>, Topic<Registration>) {
     let (operator, endpoints) = (Topic::new(), Topic::new());
     for (n, address) in addresses.iter().enumerate() {
@@ -325,17 +325,17 @@
     Value::Set(Directive::Policy(Policy::new(content)))
 }
 
-/// Returns addresses at which nobody listens, and which the system gives to nobody
-/// who asks for any: an instance that starts later has to find its own free.
+/// Returns addresses at which nobody listens and which the system does not hand out as
+/// ephemeral ports: an instance that starts later must find its own address free.
 pub(crate) fn free_addresses<const N: usize>() -> [SocketAddr; N] {
-    // Below the ports that the system gives away.
+    // Below the ephemeral port range.
     const FIRST: u32 = 12_000;
     const COUNT: u32 = 18_000;
-    static TAKEN: AtomicU32 = AtomicU32::new(0);
+    static USED_PORTS: AtomicU32 = AtomicU32::new(0);
     let free = || {
         (0..COUNT).find_map(|_| {
-            let taken = TAKEN.fetch_add(1, Ordering::Relaxed);
-            let own = std::process::id().wrapping_mul(97).wrapping_add(taken);
+            let used = USED_PORTS.fetch_add(1, Ordering::Relaxed);
+            let own = std::process::id().wrapping_mul(97).wrapping_add(used);
             let port = u16::try_from(FIRST + own % COUNT).ok()?;
             let address = SocketAddr::from(([127, 0, 0, 1], port));
             std::net::TcpListener::bind(address).ok().map(|_| address)
@@ -344,7 +344,7 @@
     [(); N].map(|()| free().expect("a free port"))
 }
 
-/// Returns a request with the usual headers.
+/// Returns a request with the default headers.
 pub(crate) fn request(method: &str, path: &str, more: &str, body: &str) -> String {
     format!(
         "{method} {path} HTTP/1.1\r\nhost: shop.example\r\nx-attempt: a1\r\nx-key: k1\r\n\
@@ -353,35 +353,35 @@
     )
 }
 
-/// Sends a request and returns the whole answer.
+/// Sends a request and returns the complete response.
 pub(crate) async fn exchange(address: SocketAddr, text: &str) -> String {
     let mut stream = TcpStream::connect(address).await.expect("a connection");
     stream.write_all(text.as_bytes()).await.expect("a request");
-    rest(&mut stream).await
+    read_rest(&mut stream).await
 }
 
-/// Reads what still comes, also if the connection is reset then.
-pub(crate) async fn rest(stream: &mut TcpStream) -> String {
+/// Reads until the connection ends, by a close or a reset.
+pub(crate) async fn read_rest(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
-    // A reset ends it like a close: what came is what is looked at.
+    // A reset is treated like a close; the bytes read so far are returned.
     drop(stream.read_to_end(&mut bytes).await);
     String::from_utf8(bytes).expect("text")
 }
 
-/// Waits until something holds, for five seconds at most.
-pub(crate) async fn until(mut holds: impl AsyncFnMut() -> bool) {
+/// Waits until a condition holds, for five seconds at most.
+pub(crate) async fn wait_until(mut condition: impl AsyncFnMut() -> bool) {
     for _ in 0..500 {
-        if holds().await {
+        if condition().await {
             return;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("it never came to hold");
+    panic!("condition was not met within five seconds");
 }
 
 pub(crate) fn registration(name: &str, address: SocketAddr, standing: Standing) -> Registration {
     Registration {
-        endpoint: Listed {
+        endpoint: ListedEndpoint {
             id: id::of(name),
             name: name.to_owned(),
             incarnation: 1,
@@ -417,7 +417,7 @@
     }
 }
 
-/// Returns what a version says unless a test wants it otherwise.
+/// Returns the policy content that tests use unless they need another.
 pub(crate) fn content(version: u64) -> Content {
     let workspace = Arc::new(Workspace {
         name: "franchise".to_owned(),
@@ -470,7 +470,7 @@
     })
 }
 
-// The parts' ids, of a thousand tokens each.
+// Returns the prompt parts with these ids, of a thousand tokens each.
 fn parts(text: &str) -> Vec<Part> {
     let ids = text.split(',').filter_map(|id| id.parse().ok());
     ids.map(|id| Part { id, tokens: 1_000 }).collect()
--- a/crates/direct/tests/instance/freshness.rs
+++ b/crates/direct/tests/instance/freshness.rs
@@ -1,4 +1,4 @@
-//! The configuration and the endpoints as they change, and the log as it goes.
+//! Changes of the policy and the endpoints, and outages of the log.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,119 +6,119 @@
 
 use godwitpost_direct::source::Value;
 
-use crate::endpoint::{Endpoint, says};
-use crate::fleet::{Fleet, content, exchange, request, until};
+use crate::endpoint::{Endpoint, ok_with_body};
+use crate::fleet::{TestInstance, content, exchange, request, wait_until};
 
 #[tokio::test]
-async fn a_key_that_is_taken_away_stops_working() {
-    let endpoint = Endpoint::start(says("ok")).await;
-    let fleet = Fleet::start(&[endpoint.address]).await;
-    let mut without = content(2);
-    without.keys = Some(BTreeMap::new());
-    fleet.roll(without);
-    until(async || {
-        let whole = fleet.call("GET", "/stock/1", "").await;
-        whole.starts_with("HTTP/1.1 401")
+async fn revoked_key_stops_working() {
+    let endpoint = Endpoint::start(ok_with_body("ok")).await;
+    let instance = TestInstance::start(&[endpoint.address]).await;
+    let mut without_keys = content(2);
+    without_keys.keys = Some(BTreeMap::new());
+    instance.publish(without_keys);
+    wait_until(async || {
+        let response = instance.call("GET", "/stock/1", "").await;
+        response.starts_with("HTTP/1.1 401")
     })
     .await;
 }
 
-/// The log turns this instance away, and meanwhile a key may be revoked. Its
-/// requests are refused before the bound, as not run; what needs no key is
-/// served on.
+/// Guards against keys that stay valid while the log is unavailable and they may have been
+/// revoked. Requests with keys are refused as not run before the revocation bound; open
+/// routes are still served.
 #[tokio::test]
-async fn keys_are_not_acted_on_when_the_log_stays_away() {
-    let endpoint = Endpoint::start(says("ok")).await;
-    let fleet = Fleet::start(&[endpoint.address]).await;
-    fleet.operator.set_down(true);
+async fn keys_are_refused_while_the_log_is_unavailable() {
+    let endpoint = Endpoint::start(ok_with_body("ok")).await;
+    let instance = TestInstance::start(&[endpoint.address]).await;
+    instance.operator.set_down(true);
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let whole = fleet.call("GET", "/stock/1", "").await;
-    assert!(whole.starts_with("HTTP/1.1 503"), "{whole}");
+    let response = instance.call("GET", "/stock/1", "").await;
+    assert!(response.starts_with("HTTP/1.1 503"), "{response}");
     assert!(
-        whole.contains("unconfirmed") && whole.contains("retry-after"),
-        "{whole}"
+        response.contains("unconfirmed") && response.contains("retry-after"),
+        "{response}"
     );
-    assert!(!fleet.is_ready().await);
-    let whole = fleet.call("GET", "/open/1", "").await;
-    assert!(whole.starts_with("HTTP/1.1 200"), "{whole}");
-    // A route that may be there by now is not denied.
-    let whole = fleet.call("GET", "/nowhere/1", "").await;
-    assert!(whole.starts_with("HTTP/1.1 503"), "{whole}");
-    fleet.operator.set_down(false);
-    fleet.ready().await;
-    let whole = fleet.call("GET", "/stock/1", "").await;
-    assert!(whole.starts_with("HTTP/1.1 200"), "{whole}");
+    assert!(!instance.is_ready().await);
+    let response = instance.call("GET", "/open/1", "").await;
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
+    // A route that may exist by now is not denied.
+    let response = instance.call("GET", "/nowhere/1", "").await;
+    assert!(response.starts_with("HTTP/1.1 503"), "{response}");
+    instance.operator.set_down(false);
+    instance.wait_until_ready().await;
+    let response = instance.call("GET", "/stock/1", "").await;
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
 }
 
 #[tokio::test]
-async fn an_older_version_never_replaces_a_newer_one() {
-    let endpoint = Endpoint::start(says("ok")).await;
-    let fleet = Fleet::start(&[endpoint.address]).await;
+async fn older_version_never_replaces_a_newer_one() {
+    let endpoint = Endpoint::start(ok_with_body("ok")).await;
+    let instance = TestInstance::start(&[endpoint.address]).await;
     let mut newer = content(9);
     newer.routes.retain(|route| route.prefix != "/open/");
-    fleet.roll(newer);
-    until(async || {
-        fleet
+    instance.publish(newer);
+    wait_until(async || {
+        instance
             .call("GET", "/open/1", "")
             .await
             .starts_with("HTTP/1.1 404")
     })
     .await;
-    fleet.roll(content(8));
+    instance.publish(content(8));
     tokio::time::sleep(Duration::from_millis(400)).await;
-    let whole = fleet.call("GET", "/open/1", "").await;
-    assert!(whole.starts_with("HTTP/1.1 404"), "{whole}");
+    let response = instance.call("GET", "/open/1", "").await;
+    assert!(response.starts_with("HTTP/1.1 404"), "{response}");
 }
 
 #[tokio::test]
-async fn a_leaving_endpoint_gets_no_more() {
-    let first = Endpoint::start(says("ok")).await;
-    let second = Endpoint::start(says("ok")).await;
-    let fleet = Fleet::start(&[first.address, second.address]).await;
-    fleet.leave("e0", first.address);
+async fn leaving_endpoint_gets_no_requests() {
+    let first = Endpoint::start(ok_with_body("ok")).await;
+    let second = Endpoint::start(ok_with_body("ok")).await;
+    let instance = TestInstance::start(&[first.address, second.address]).await;
+    instance.register_leaving("e0", first.address);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let before = first.seen().len();
+    let before = first.received().len();
     for _ in 0..6 {
-        let whole = fleet.call("GET", "/stock/1", "").await;
-        assert!(whole.starts_with("HTTP/1.1 200"), "{whole}");
+        let response = instance.call("GET", "/stock/1", "").await;
+        assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     }
-    assert_eq!(first.seen().len(), before);
+    assert_eq!(first.received().len(), before);
 }
 
-/// Somebody writes nonsense to the list of endpoints. The others must go on.
+/// Guards against unreadable records that affect other endpoints or the policy.
 #[tokio::test]
-async fn an_entry_that_cannot_be_read_harms_no_other() {
-    let endpoint = Endpoint::start(says("ok")).await;
-    let fleet = Fleet::start(&[endpoint.address]).await;
-    fleet
+async fn unreadable_entry_does_not_affect_others() {
+    let endpoint = Endpoint::start(ok_with_body("ok")).await;
+    let instance = TestInstance::start(&[endpoint.address]).await;
+    instance
         .endpoints
         .append("e7", Value::Unreadable("no address".to_owned()));
-    fleet
+    instance
         .operator
         .append("config", Value::Unreadable("no routes".to_owned()));
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let whole = fleet.call("GET", "/stock/1", "").await;
-    assert!(whole.starts_with("HTTP/1.1 200"), "{whole}");
+    let response = instance.call("GET", "/stock/1", "").await;
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
 }
 
-/// The log was away for longer than entries live. On its return all are
-/// removed and set again a moment later; meanwhile callers are served.
+/// Guards against refusals after a log outage that is longer than the lifetime of entries.
+/// When the log returns, all entries are removed and set again a moment later.
 #[tokio::test]
-async fn entries_that_lapsed_are_used_until_they_are_back() {
-    let endpoint = Endpoint::start(says("ok")).await;
-    let fleet = Fleet::start(&[endpoint.address]).await;
-    fleet.endpoints.set_down(true);
+async fn expired_entries_are_used_until_they_return() {
+    let endpoint = Endpoint::start(ok_with_body("ok")).await;
+    let instance = TestInstance::start(&[endpoint.address]).await;
+    instance.endpoints.set_down(true);
     tokio::time::sleep(Duration::from_millis(700)).await;
-    fleet.endpoints.append("e0", Value::Removed);
-    fleet.endpoints.set_down(false);
+    instance.endpoints.append("e0", Value::Removed);
+    instance.endpoints.set_down(false);
     for _ in 0..8 {
         tokio::time::sleep(Duration::from_millis(100)).await;
-        let whole = fleet.call("GET", "/stock/1", "").await;
-        assert!(whole.starts_with("HTTP/1.1 200"), "{whole}");
+        let response = instance.call("GET", "/stock/1", "").await;
+        assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     }
-    // It never comes back: it is gone.
-    until(async || {
-        fleet
+    // It does not register again, so it is removed in the end.
+    wait_until(async || {
+        instance
             .call("GET", "/stock/1", "")
             .await
             .contains("no-endpoint")
@@ -126,36 +126,34 @@
     .await;
 }
 
-/// A look-up's first endpoint says nothing, and before it is tried elsewhere
-/// its key is taken away. Sent under the configuration that it arrived under,
-/// it would run after the key had stopped working.
+/// Guards against a retry under the policy of the first attempt: the first endpoint does
+/// not answer, and the key is revoked before the retry.
 #[tokio::test]
-async fn a_further_attempt_goes_by_what_is_in_force_then() {
-    let silent = |_, _: &_| vec![crate::endpoint::Step::Wait(10_000)];
-    let first = Endpoint::start(silent).await;
-    let second = Endpoint::start(silent).await;
-    let fleet = Fleet::start(&[first.address, second.address]).await;
-    let seen = || first.seen().len() + second.seen().len();
-    let call = fleet.call("GET", "/stock/1", "");
+async fn retry_uses_the_current_policy() {
+    let no_response = |_, _: &_| vec![crate::endpoint::Step::Wait(10_000)];
+    let first = Endpoint::start(no_response).await;
+    let second = Endpoint::start(no_response).await;
+    let instance = TestInstance::start(&[first.address, second.address]).await;
+    let received = || first.received().len() + second.received().len();
+    let call = instance.call("GET", "/stock/1", "");
     let revoke = async {
-        until(async || seen() == 1).await;
-        let mut without = content(2);
-        without.keys = Some(BTreeMap::new());
-        fleet.roll(without);
+        wait_until(async || received() == 1).await;
+        let mut without_keys = content(2);
+        without_keys.keys = Some(BTreeMap::new());
+        instance.publish(without_keys);
     };
-    let (whole, ()) = tokio::join!(call, revoke);
-    // It may have run at the first one, so no word of it not having run.
-    assert!(whole.starts_with("HTTP/1.1 502"), "{whole}");
-    assert_eq!(seen(), 1);
+    let (response, ()) = tokio::join!(call, revoke);
+    // The request may have run at the first endpoint, so it is not reported as not run.
+    assert!(response.starts_with("HTTP/1.1 502"), "{response}");
+    assert_eq!(received(), 1);
 }
 
-/// A franchise loses its key, and a second later another one does. The lease
-/// counts from the last confirmation, whichever version that was of: neither
-/// key may live on for the other's change.
+/// Guards against a revoked key that works longer because another version followed a second
+/// later. The lease counts from the last confirmation of any version.
 #[tokio::test]
-async fn two_keys_that_are_taken_away_a_second_apart_both_stop() {
-    let endpoint = Endpoint::start(says("ok")).await;
-    let fleet = Fleet::start(&[endpoint.address]).await;
+async fn two_keys_revoked_a_second_apart_both_stop_working() {
+    let endpoint = Endpoint::start(ok_with_body("ok")).await;
+    let instance = TestInstance::start(&[endpoint.address]).await;
     let keys = |names: &[&str]| {
         let workspace = content(1).keys.and_then(|mut keys| keys.remove("k1"));
         let workspace = workspace.expect("a workspace");
@@ -165,15 +163,15 @@
     let roll = |version, names: &[&str]| {
         let mut content = content(version);
         content.keys = keys(names);
-        fleet.roll(content);
+        instance.publish(content);
     };
     let status = async |key: &str| {
         let text = request("GET", "/stock/1", "", "").replace("k1", key);
-        let whole = exchange(fleet.running.callers_address(), &text).await;
-        whole.get(9..12).unwrap_or_default().to_owned()
+        let response = exchange(instance.running.callers_address(), &text).await;
+        response.get(9..12).unwrap_or_default().to_owned()
     };
     roll(2, &["k1", "k2", "k3"]);
-    until(async || status("k3").await == "200").await;
+    wait_until(async || status("k3").await == "200").await;
     roll(3, &["k2", "k3"]);
     tokio::time::sleep(Duration::from_secs(1)).await;
     roll(4, &["k3"]);
@@ -184,66 +182,65 @@
     assert_eq!(status("k3").await, "200");
 }
 
-/// Fifty versions come within a second, each with a route more. Callers are
-/// served all the while, and the last version is in force a moment later.
+/// Fifty versions are published within a second, each with one route more. Callers are
+/// served meanwhile, and the last version takes effect soon after.
 #[tokio::test]
-async fn versions_in_quick_succession_end_with_the_last() {
-    let endpoint = Endpoint::start(says("ok")).await;
-    let fleet = Fleet::start(&[endpoint.address]).await;
+async fn last_of_many_quick_versions_takes_effect() {
+    let endpoint = Endpoint::start(ok_with_body("ok")).await;
+    let instance = TestInstance::start(&[endpoint.address]).await;
     let mut grown = content(1);
     for version in 2..52 {
         let mut route = grown.routes[0].clone();
         route.prefix = format!("/more/{version}/");
         grown.routes.push(route);
         grown.version = version;
-        fleet.roll(grown.clone());
+        instance.publish(grown.clone());
         if version % 5 == 0 {
-            let whole = fleet.call("GET", "/stock/1", "").await;
-            assert!(whole.starts_with("HTTP/1.1 200"), "{whole}");
+            let response = instance.call("GET", "/stock/1", "").await;
+            assert!(response.starts_with("HTTP/1.1 200"), "{response}");
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    until(async || {
-        let whole = fleet.call("GET", "/more/51/1", "").await;
-        whole.starts_with("HTTP/1.1 200")
+    wait_until(async || {
+        let response = instance.call("GET", "/more/51/1", "").await;
+        response.starts_with("HTTP/1.1 200")
     })
     .await;
 }
 
-/// All instances lost power, and everybody comes back at once to some that have
-/// listened for a moment. Refused there, callers used up their only repeat at the
-/// next one that had just started.
+/// Guards against refusals by instances that have just started. After a power loss of all
+/// instances, callers used up their only retry at another starting instance.
 #[tokio::test]
-async fn at_a_start_callers_wait_until_the_instance_is_informed() {
-    let endpoint = Endpoint::start(says("ok")).await;
-    let fleet = Fleet::start_cold();
+async fn callers_of_a_starting_instance_wait_until_it_can_route() {
+    let endpoint = Endpoint::start(ok_with_body("ok")).await;
+    let instance = TestInstance::start_with_empty_log();
     let early = async {
         let start = Instant::now();
-        (fleet.call("GET", "/stock/1", "").await, start.elapsed())
+        (instance.call("GET", "/stock/1", "").await, start.elapsed())
     };
-    let informed = async {
+    let publish = async {
         tokio::time::sleep(Duration::from_millis(150)).await;
-        fleet.join("e0", endpoint.address);
-        fleet.roll(content(1));
+        instance.register("e0", endpoint.address);
+        instance.publish(content(1));
     };
-    let ((answer, took), ()) = tokio::join!(early, informed);
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+    let ((response, took), ()) = tokio::join!(early, publish);
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     assert!(took < Duration::from_millis(700), "{took:?}");
 }
 
-/// The log is away while an instance starts. Nothing is served by waiting for it:
-/// callers are refused by half of their time, and at once when the start is over.
+/// Guards against callers that wait in vain when the log is unavailable at startup: they
+/// are refused after half of their time, and at once when the startup period is over.
 #[tokio::test]
-async fn with_the_log_away_at_a_start_nobody_waits_for_long() {
-    let fleet = Fleet::start_cold();
+async fn callers_do_not_wait_long_if_the_log_is_unavailable_at_startup() {
+    let instance = TestInstance::start_with_empty_log();
     let start = Instant::now();
-    let answer = fleet.call("GET", "/stock/1", "").await;
-    assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
-    assert!(answer.contains("retry-after"), "{answer}");
+    let response = instance.call("GET", "/stock/1", "").await;
+    assert!(response.starts_with("HTTP/1.1 503"), "{response}");
+    assert!(response.contains("retry-after"), "{response}");
     assert!(start.elapsed() < Duration::from_millis(900));
     tokio::time::sleep(Duration::from_millis(1_300).saturating_sub(start.elapsed())).await;
     let later = Instant::now();
-    let answer = fleet.call("GET", "/stock/1", "").await;
-    assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
+    let response = instance.call("GET", "/stock/1", "").await;
+    assert!(response.starts_with("HTTP/1.1 503"), "{response}");
     assert!(later.elapsed() < Duration::from_millis(100));
 }
--- a/crates/direct/tests/instance/homes.rs
+++ b/crates/direct/tests/instance/homes.rs
@@ -1,4 +1,4 @@
-//! Routes and workspaces whose requests stay in some regions.
+//! Routes and workspaces that are restricted to home regions.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -6,78 +6,79 @@
 use godwitpost_direct::policy::Content;
 use godwitpost_types::id;
 
-use crate::endpoint::{Endpoint, says};
-use crate::fleet::{Fleet, content, until};
+use crate::endpoint::{Endpoint, ok_with_body};
+use crate::fleet::{TestInstance, content, wait_until};
 
-// Version 2, with these homes of the stock route and of the workspace.
-fn at_home(route: &[&str], workspace: &[&str]) -> Content {
+// Returns version 2, with these home regions of the stock route and of the workspace.
+fn content_with_homes(route: &[&str], workspace: &[&str]) -> Content {
     let regions = |names: &[&str]| names.iter().map(|name| id::of(name)).collect();
     let mut content = content(2);
     content.routes[0].homes = regions(route);
     let homes: BTreeSet<_> = regions(workspace);
-    for held in content.keys.iter_mut().flat_map(|keys| keys.values_mut()) {
-        Arc::make_mut(held).homes.clone_from(&homes);
+    for workspace_of_key in content.keys.iter_mut().flat_map(|keys| keys.values_mut()) {
+        Arc::make_mut(workspace_of_key).homes.clone_from(&homes);
     }
     content
 }
 
-// An instance with an endpoint in each of two regions; the nearer is not in honshu.
-async fn two_regions() -> (Fleet, Endpoint, Endpoint) {
-    let near = Endpoint::start(says("near")).await;
-    let far = Endpoint::start(says("far")).await;
-    let fleet = Fleet::start(&[near.address]).await;
-    fleet.join_in("sendai", "e1", far.address);
-    (fleet, near, far)
+// Starts an instance with an endpoint in each of two regions; the nearer one is not in
+// honshu.
+async fn two_regions() -> (TestInstance, Endpoint, Endpoint) {
+    let near = Endpoint::start(ok_with_body("near")).await;
+    let far = Endpoint::start(ok_with_body("far")).await;
+    let instance = TestInstance::start(&[near.address]).await;
+    instance.register_in_zone("sendai", "e1", far.address);
+    (instance, near, far)
 }
 
-/// Guards against a request that leaves the regions of its route for a lighter or
+/// Guards against a request that leaves the home regions of its route for a less loaded or
 /// nearer endpoint.
 #[tokio::test]
-async fn a_request_goes_to_its_homes_alone() {
-    let (fleet, near, far) = two_regions().await;
-    fleet.roll(at_home(&["honshu"], &[]));
-    until(async || fleet.call("GET", "/stock/1", "").await.contains("far")).await;
-    let before = near.seen().len();
+async fn request_stays_in_its_home_regions() {
+    let (instance, near, far) = two_regions().await;
+    instance.publish(content_with_homes(&["honshu"], &[]));
+    wait_until(async || instance.call("GET", "/stock/1", "").await.contains("far")).await;
+    let before = near.received().len();
     for _ in 0..10 {
-        let whole = fleet.call("GET", "/stock/1", "").await;
-        assert!(whole.contains("far"), "{whole}");
+        let response = instance.call("GET", "/stock/1", "").await;
+        assert!(response.contains("far"), "{response}");
     }
-    assert_eq!(near.seen().len(), before);
-    // Other routes go where they like.
-    let before = far.seen().len();
-    let whole = fleet.call("POST", "/order/1", "").await;
-    assert!(whole.contains("near"), "{whole}");
-    assert_eq!(far.seen().len(), before);
+    assert_eq!(near.received().len(), before);
+    // Other routes are not restricted.
+    let before = far.received().len();
+    let response = instance.call("POST", "/order/1", "").await;
+    assert!(response.contains("near"), "{response}");
+    assert_eq!(far.received().len(), before);
 }
 
-/// Guards against a workspace's request that goes where its route may and it may
-/// not, and against a wait for what can't come.
+/// Guards against a request that its route allows in a region but its workspace does not,
+/// and against waiting for an endpoint that cannot become available.
 #[tokio::test]
-async fn with_no_common_home_a_request_is_refused() {
-    let (fleet, near, far) = two_regions().await;
-    fleet.roll(at_home(&["honshu"], &["hokkaido"]));
-    until(async || {
-        let whole = fleet.call("GET", "/stock/1", "").await;
-        whole.contains("no-home")
+async fn request_without_a_common_home_is_refused() {
+    let (instance, near, far) = two_regions().await;
+    instance.publish(content_with_homes(&["honshu"], &["hokkaido"]));
+    wait_until(async || {
+        let response = instance.call("GET", "/stock/1", "").await;
+        response.contains("no-home")
     })
     .await;
-    let before = (near.seen().len(), far.seen().len());
-    let whole = fleet.call("GET", "/stock/1", "").await;
-    assert!(whole.starts_with("HTTP/1.1 503"), "{whole}");
-    assert!(whole.contains("retry-after: "), "{whole}");
-    assert_eq!((near.seen().len(), far.seen().len()), before);
+    let before = (near.received().len(), far.received().len());
+    let response = instance.call("GET", "/stock/1", "").await;
+    assert!(response.starts_with("HTTP/1.1 503"), "{response}");
+    assert!(response.contains("retry-after: "), "{response}");
+    assert_eq!((near.received().len(), far.received().len()), before);
 }
 
-/// Guards against requests that go to an endpoint whose region nobody knows.
+/// Guards against restricted requests to an endpoint of unknown region.
 #[tokio::test]
-async fn an_endpoint_in_an_unknown_zone_is_nobodys_home() {
-    let far = Endpoint::start(says("far")).await;
-    let fleet = Fleet::start_cold();
-    fleet.join_in("nowhere", "e1", far.address);
-    fleet.roll(at_home(&["honshu"], &[]));
-    fleet.ready().await;
-    let whole = fleet.call("GET", "/stock/1", "").await;
-    assert!(whole.contains("no-home"), "{whole}");
-    let whole = fleet.call("POST", "/order/1", "").await;
-    assert!(whole.contains("far"), "{whole}");
+async fn endpoint_in_an_unknown_zone_is_in_no_home() {
+    let far = Endpoint::start(ok_with_body("far")).await;
+    let instance = TestInstance::start_with_empty_log();
+    instance.register_in_zone("nowhere", "e1", far.address);
+    instance.publish(content_with_homes(&["honshu"], &[]));
+    instance.wait_until_ready().await;
+    let response = instance.call("GET", "/stock/1", "").await;
+    assert!(response.contains("no-home"), "{response}");
+    let response = instance.call("POST", "/order/1", "").await;
+    assert!(response.contains("far"), "{response}");
 }
--- a/crates/direct/tests/instance/leaving.rs
+++ b/crates/direct/tests/instance/leaving.rs
@@ -1,114 +1,117 @@
-//! Endpoints that say in their answers that they are leaving.
+//! Endpoints that announce in their responses that they are leaving.
 
 use std::time::Duration;
 
 use godwitpost_direct::source::Value;
 
-use crate::endpoint::{Endpoint, Seen, Step, answer, late_answer, says};
-use crate::fleet::Fleet;
+use crate::endpoint::{
+    Endpoint, ReceivedRequest, Step, ok_with_body, response_to, response_to_other_attempt,
+};
+use crate::fleet::TestInstance;
 
-/// The header by which an endpoint says so.
-const LEAVING: &str = "x-leaving: 1\r\n";
+/// Response header of an endpoint that is leaving.
+const LEAVING_HEADER: &str = "x-leaving: 1\r\n";
 
-/// Calls after which an endpoint that may get requests will have had one.
-const MANY: usize = 12;
+/// Number of calls after which each usable endpoint has received a request.
+const CALLS_TO_REACH_ALL: usize = 12;
 
-fn leaves(_: usize, seen: &Seen) -> Vec<Step> {
-    vec![answer(seen, "200 OK", LEAVING, "last")]
+fn respond_leaving(_: usize, received: &ReceivedRequest) -> Vec<Step> {
+    vec![response_to(received, "200 OK", LEAVING_HEADER, "last")]
 }
 
-async fn call_often(fleet: &Fleet) {
-    for _ in 0..MANY {
-        let whole = fleet.call("GET", "/open/1", "").await;
-        assert!(whole.starts_with("HTTP/1.1 200"), "{whole}");
+async fn call_repeatedly(instance: &TestInstance) {
+    for _ in 0..CALLS_TO_REACH_ALL {
+        let response = instance.call("GET", "/open/1", "").await;
+        assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     }
 }
 
-// Calls until one of them was answered by an endpoint that is leaving.
-async fn call_until_told(fleet: &Fleet, endpoint: &Endpoint) {
-    for _ in 0..MANY {
-        fleet.call("GET", "/open/1", "").await;
-        if !endpoint.seen().is_empty() {
+// Calls until the endpoint has received a request.
+async fn call_until_received(instance: &TestInstance, endpoint: &Endpoint) {
+    for _ in 0..CALLS_TO_REACH_ALL {
+        instance.call("GET", "/open/1", "").await;
+        if !endpoint.received().is_empty() {
             return;
         }
     }
     panic!("the endpoint never got a request");
 }
 
-// Sends requests, all of which others serve.
-async fn gets_no_more(fleet: &Fleet, endpoint: &Endpoint) {
-    let before = endpoint.seen().len();
-    call_often(fleet).await;
-    assert_eq!(endpoint.seen().len(), before);
+// Sends requests and checks that other endpoints serve all of them.
+async fn assert_gets_no_requests(instance: &TestInstance, endpoint: &Endpoint) {
+    let before = endpoint.received().len();
+    call_repeatedly(instance).await;
+    assert_eq!(endpoint.received().len(), before);
 }
 
-/// Guards against requests to an endpoint whose leaving only its own answers tell, since
-/// the log still lists it.
+/// Guards against requests to an endpoint that announces its leaving only in its responses,
+/// while the log still lists it.
 #[tokio::test]
-async fn an_endpoint_that_says_that_it_leaves_gets_no_more() {
-    let leaving = Endpoint::start(leaves).await;
-    let other = Endpoint::start(says("ok")).await;
-    let fleet = Fleet::start(&[leaving.address, other.address]).await;
-    call_until_told(&fleet, &leaving).await;
-    gets_no_more(&fleet, &leaving).await;
-    fleet.join("e0", leaving.address);
+async fn endpoint_that_announces_leaving_gets_no_requests() {
+    let leaving = Endpoint::start(respond_leaving).await;
+    let other = Endpoint::start(ok_with_body("ok")).await;
+    let instance = TestInstance::start(&[leaving.address, other.address]).await;
+    call_until_received(&instance, &leaving).await;
+    assert_gets_no_requests(&instance, &leaving).await;
+    instance.register("e0", leaving.address);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    gets_no_more(&fleet, &leaving).await;
+    assert_gets_no_requests(&instance, &leaving).await;
 }
 
-/// Guards against a log that comes back after an absence and still lists, or lists anew,
-/// an endpoint that said meanwhile that it leaves.
+/// Guards against a log that returns after an outage and still lists, or lists again, an
+/// endpoint that announced its leaving during the outage.
 #[tokio::test]
-async fn leaving_that_an_answer_told_outlasts_an_absence_of_the_log() {
-    let leaving = Endpoint::start(leaves).await;
-    let other = Endpoint::start(says("ok")).await;
-    let fleet = Fleet::start(&[leaving.address, other.address]).await;
-    fleet.endpoints.set_down(true);
-    fleet.operator.set_down(true);
-    call_until_told(&fleet, &leaving).await;
+async fn announced_leaving_outlasts_a_log_outage() {
+    let leaving = Endpoint::start(respond_leaving).await;
+    let other = Endpoint::start(ok_with_body("ok")).await;
+    let instance = TestInstance::start(&[leaving.address, other.address]).await;
+    instance.endpoints.set_down(true);
+    instance.operator.set_down(true);
+    call_until_received(&instance, &leaving).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
-    fleet.endpoints.append("e0", Value::Removed);
-    fleet.join("e0", leaving.address);
-    fleet.endpoints.set_down(false);
-    fleet.operator.set_down(false);
-    fleet.ready().await;
+    instance.endpoints.append("e0", Value::Removed);
+    instance.register("e0", leaving.address);
+    instance.endpoints.set_down(false);
+    instance.operator.set_down(false);
+    instance.wait_until_ready().await;
     tokio::time::sleep(Duration::from_millis(300)).await;
-    gets_no_more(&fleet, &leaving).await;
-    fleet.endpoints.append("e0", Value::Removed);
+    assert_gets_no_requests(&instance, &leaving).await;
+    instance.endpoints.append("e0", Value::Removed);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    fleet.join("e0", leaving.address);
+    instance.register("e0", leaving.address);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    gets_no_more(&fleet, &leaving).await;
+    assert_gets_no_requests(&instance, &leaving).await;
 }
 
-/// Guards against an endpoint that gets nothing more for a word that came late, in the
-/// place of another answer.
+/// Guards against an endpoint that gets no more requests because of a late response to
+/// another attempt that announced a leaving.
 #[tokio::test]
-async fn a_word_in_an_answer_to_another_attempt_says_nothing() {
-    let endpoint = Endpoint::start(|n, seen| match n {
-        0 => vec![late_answer("200 OK", "x-leaving: 1\r\n")],
-        _ => vec![answer(seen, "200 OK", "", "mine")],
+async fn leaving_in_a_response_to_another_attempt_is_ignored() {
+    let endpoint = Endpoint::start(|n, received| match n {
+        0 => vec![response_to_other_attempt("200 OK", "x-leaving: 1\r\n")],
+        _ => vec![response_to(received, "200 OK", "", "mine")],
     })
     .await;
-    let fleet = Fleet::start(&[endpoint.address]).await;
-    let whole = fleet.call("POST", "/order/1", "").await;
-    assert!(whole.starts_with("HTTP/1.1 502"), "{whole}");
+    let instance = TestInstance::start(&[endpoint.address]).await;
+    let response = instance.call("POST", "/order/1", "").await;
+    assert!(response.starts_with("HTTP/1.1 502"), "{response}");
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let whole = fleet.call("POST", "/order/1", "").await;
-    assert!(whole.ends_with("mine"), "{whole}");
+    let response = instance.call("POST", "/order/1", "").await;
+    assert!(response.ends_with("mine"), "{response}");
 }
 
-/// Guards against callers who wait for an endpoint of a service that leaves as a whole.
+/// Guards against callers that wait for an endpoint when all endpoints of the service are
+/// leaving.
 #[tokio::test]
-async fn with_all_endpoints_leaving_callers_are_told_at_once() {
-    let endpoint = Endpoint::start(leaves).await;
-    let fleet = Fleet::start(&[endpoint.address]).await;
-    call_until_told(&fleet, &endpoint).await;
-    let whole = fleet.call("GET", "/stock/1", "").await;
-    assert!(whole.starts_with("HTTP/1.1 503"), "{whole}");
+async fn callers_are_refused_at_once_if_all_endpoints_leave() {
+    let endpoint = Endpoint::start(respond_leaving).await;
+    let instance = TestInstance::start(&[endpoint.address]).await;
+    call_until_received(&instance, &endpoint).await;
+    let response = instance.call("GET", "/stock/1", "").await;
+    assert!(response.starts_with("HTTP/1.1 503"), "{response}");
     assert!(
-        whole.contains("no-endpoint") && whole.contains("retry-after"),
-        "{whole}"
+        response.contains("no-endpoint") && response.contains("retry-after"),
+        "{response}"
     );
-    assert_eq!(endpoint.seen().len(), 1);
+    assert_eq!(endpoint.received().len(), 1);
 }
--- a/crates/direct/tests/instance/main.rs
+++ b/crates/direct/tests/instance/main.rs
@@ -1,7 +1,7 @@
-//! One whole instance between callers and endpoints that misbehave.
+//! Tests of one complete instance between callers and misbehaving endpoints.
 //!
-//! Endpoints are scripted sockets, the log is a source in memory, and headers
-//! are spelled in a dialect of the tests' own.
+//! Endpoints are scripted sockets, the log is a source in memory, and headers use a dialect
+//! defined by these tests.
 
 mod callers;
 mod crashes;
--- a/crates/direct/tests/instance/metrics.rs
+++ b/crates/direct/tests/instance/metrics.rs
@@ -1,12 +1,13 @@
-//! What whoever collects metrics finds, by the names that the docs give.
+//! Metrics under their documented names.
 
-use crate::endpoint::{Endpoint, Step, answer, says};
-use crate::fleet::{Fleet, exchange, until};
+use crate::endpoint::{Endpoint, Step, ok_with_body, response_to};
+use crate::fleet::{TestInstance, exchange, wait_until};
 
 /// A request for the metrics.
-pub(crate) const ASK: &str = "GET /metrics HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n";
+pub(crate) const METRICS_REQUEST: &str =
+    "GET /metrics HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n";
 
-const NAMES: [&str; 16] = [
+const METRIC_NAMES: [&str; 16] = [
     "godwitpost_requests_total",
     "godwitpost_first_byte_seconds_bucket",
     "godwitpost_whole_seconds_bucket",
@@ -26,50 +27,53 @@
 ];
 
 #[tokio::test]
-async fn metrics_have_the_names_that_operators_are_told() {
-    let endpoint = Endpoint::start(says("ok")).await;
-    let fleet = Fleet::start(&[endpoint.address]).await;
-    fleet.call("GET", "/stock/1", "").await;
-    fleet.call("GET", "/nowhere/1", "").await;
-    let text = || exchange(fleet.running.metrics_address(), ASK);
-    // Gauges of the control thread come with its next tick.
-    until(async || text().await.contains("godwitpost_policy_age_ms")).await;
+async fn metrics_have_their_documented_names() {
+    let endpoint = Endpoint::start(ok_with_body("ok")).await;
+    let instance = TestInstance::start(&[endpoint.address]).await;
+    instance.call("GET", "/stock/1", "").await;
+    instance.call("GET", "/nowhere/1", "").await;
+    let text = || exchange(instance.running.metrics_address(), METRICS_REQUEST);
+    // Gauges of the control thread are set at its next tick.
+    wait_until(async || text().await.contains("godwitpost_policy_age_ms")).await;
     let text = text().await;
-    let missing: Vec<_> = NAMES.iter().filter(|name| !text.contains(**name)).collect();
+    let missing: Vec<_> = METRIC_NAMES
+        .iter()
+        .filter(|name| !text.contains(**name))
+        .collect();
     assert!(missing.is_empty(), "{missing:?} in {text}");
     assert!(text.contains("workspace=\"franchise\""), "{text}");
     assert!(text.contains("reason=\"no-route\""), "{text}");
-    assert!(!text.contains("k1"), "a key is told");
+    assert!(!text.contains("k1"), "the metrics contain a key");
 }
 
-/// An on-call engineer asks whether calls to a service fail for want of
-/// connections, of room or of retries. While two requests are at an endpoint
-/// that says it runs five, and one connection rests, each of these shows under
-/// the service's name.
+/// Checks that an operator can tell whether calls to a service fail for lack of
+/// connections, capacity or retries. While two requests are at an endpoint that reports
+/// five running, and one connection is idle, each of these shows under the name of the
+/// service.
 #[tokio::test]
-async fn gauges_tell_what_an_instance_has_at_a_service() {
-    let endpoint = Endpoint::start(|_, seen| {
-        if seen.head.starts_with("GET /stock/slow") {
+async fn gauges_show_the_use_of_a_service() {
+    let endpoint = Endpoint::start(|_, received| {
+        if received.head.starts_with("GET /stock/slow") {
             return vec![Step::Wait(5_000)];
         }
-        vec![answer(seen, "200 OK", "x-load: 5,0,8\r\n", "ok")]
+        vec![response_to(received, "200 OK", "x-load: 5,0,8\r\n", "ok")]
     })
     .await;
-    let fleet = Fleet::start(&[endpoint.address]).await;
+    let instance = TestInstance::start(&[endpoint.address]).await;
     tokio::join!(
-        fleet.call("GET", "/stock/1", ""),
-        fleet.call("GET", "/stock/2", "")
+        instance.call("GET", "/stock/1", ""),
+        instance.call("GET", "/stock/2", "")
     );
-    let slow = async { fleet.call("GET", "/stock/slow", "").await };
-    let read = async {
-        until(async || endpoint.seen().len() == 3).await;
-        exchange(fleet.running.metrics_address(), ASK).await
+    let slow_call = async { instance.call("GET", "/stock/slow", "").await };
+    let read_metrics = async {
+        wait_until(async || endpoint.received().len() == 3).await;
+        exchange(instance.running.metrics_address(), METRICS_REQUEST).await
     };
     let text = tokio::select! {
-        text = read => text,
-        _ = slow => panic!("the slow one came back"),
+        text = read_metrics => text,
+        _ = slow_call => panic!("the slow request was answered early"),
     };
-    let value = |name| value(&text, name);
+    let value = |name| sample_value(&text, name);
     assert_eq!(value("godwitpost_service_in_flight{"), Some(1.0), "{text}");
     assert_eq!(
         value("godwitpost_service_idle_connections{"),
@@ -80,8 +84,8 @@
     assert!(value("godwitpost_repeats_left{") > Some(0.0), "{text}");
 }
 
-/// Returns the value of the first sample whose line begins so.
-pub(crate) fn value(text: &str, begin: &str) -> Option<f64> {
-    let line = text.lines().find(|line| line.starts_with(begin))?;
+/// Returns the value of the first sample whose line has this prefix.
+pub(crate) fn sample_value(text: &str, prefix: &str) -> Option<f64> {
+    let line = text.lines().find(|line| line.starts_with(prefix))?;
     line.rsplit(' ').next()?.parse().ok()
 }
--- a/crates/direct/tests/instance/peers.rs
+++ b/crates/direct/tests/instance/peers.rs
@@ -1,59 +1,59 @@
-//! An instance that asks another one what the log says.
+//! An instance that polls another one for the log's content.
 
 use std::time::{Duration, Instant};
 
-use crate::endpoint::{Endpoint, Seen, answer, says};
-use crate::fleet::{Fleet, content, exchange, free_addresses, until};
-use crate::metrics::{ASK, value};
+use crate::endpoint::{Endpoint, ReceivedRequest, ok_with_body, response_to};
+use crate::fleet::{TestInstance, content, exchange, free_addresses, wait_until};
+use crate::metrics::{METRICS_REQUEST, sample_value};
 
-/// Waits until an instance reads its log no more.
-pub(crate) async fn follows(fleet: &Fleet) {
-    until(async || {
-        let before = fleet.calls();
+/// Waits until the instance no longer reads its log.
+pub(crate) async fn wait_until_log_unread(instance: &TestInstance) {
+    wait_until(async || {
+        let before = instance.calls();
         tokio::time::sleep(Duration::from_millis(500)).await;
-        fleet.calls() == before
+        instance.calls() == before
     })
     .await;
 }
 
-async fn status(fleet: &Fleet, path: &str) -> String {
-    let whole = fleet.call("GET", path, "").await;
-    whole.get(9..12).unwrap_or_default().to_owned()
+async fn status(instance: &TestInstance, path: &str) -> String {
+    let response = instance.call("GET", path, "").await;
+    response.get(9..12).unwrap_or_default().to_owned()
 }
 
 #[tokio::test]
-async fn news_comes_through_the_one_that_reads() {
-    let first = Endpoint::start(says("ok")).await;
-    let second = Endpoint::start(says("ok")).await;
-    let [seed, other] = Fleet::start_two(&[first.address]).await;
-    follows(&other).await;
+async fn updates_arrive_through_the_seed() {
+    let first = Endpoint::start(ok_with_body("ok")).await;
+    let second = Endpoint::start(ok_with_body("ok")).await;
+    let [seed, other] = TestInstance::start_seed_and_poller(&[first.address]).await;
+    wait_until_log_unread(&other).await;
     let mut more = content(2);
     more.routes.retain(|route| route.prefix != "/open/");
-    seed.roll(more);
-    until(async || status(&other, "/open/1").await == "404").await;
-    seed.join("e1", second.address);
-    seed.leave("e0", first.address);
-    until(async || {
+    seed.publish(more);
+    wait_until(async || status(&other, "/open/1").await == "404").await;
+    seed.register("e1", second.address);
+    seed.register_leaving("e0", first.address);
+    wait_until(async || {
         status(&other, "/stock/1").await;
-        !second.seen().is_empty()
+        !second.received().is_empty()
     })
     .await;
-    let before = first.seen().len();
+    let before = first.received().len();
     for _ in 0..5 {
         assert_eq!(status(&other, "/stock/1").await, "200");
     }
-    assert_eq!(first.seen().len(), before);
+    assert_eq!(first.received().len(), before);
 }
 
-/// Seventy instances start together. Each read the log for three seconds before it
-/// looked for one to ask, while the log had them all to serve.
+/// Guards against load on the log when many instances start together: seventy instances
+/// each read it for three seconds before they polled a seed.
 #[tokio::test]
-async fn an_instance_that_starts_soon_reads_the_log_no_more() {
-    let endpoint = Endpoint::start(says("ok")).await;
-    let [_seed, other] = Fleet::start_two(&[endpoint.address]).await;
+async fn starting_instance_soon_stops_reading_the_log() {
+    let endpoint = Endpoint::start(ok_with_body("ok")).await;
+    let [_seed, other] = TestInstance::start_seed_and_poller(&[endpoint.address]).await;
     let start = Instant::now();
-    follows(&other).await;
-    // Half a second without a call is what shows it.
+    wait_until_log_unread(&other).await;
+    // The wait includes half a second without a call, which shows that the log is not read.
     assert!(
         start.elapsed() < Duration::from_millis(1_800),
         "{:?}",
@@ -61,136 +61,143 @@
     );
 }
 
-/// Instances of hundreds are replaced one after the other. Each read the log for
-/// itself first, six calls and more, although three others knew what it says.
+/// Guards against instances that read the log at their start although seeds can inform
+/// them. In a rolling replacement of hundreds, each made six or more calls although three
+/// others knew the content.
 #[tokio::test]
-async fn an_instance_that_starts_beside_others_reads_no_log() {
-    let endpoint = Endpoint::start(says("ok")).await;
+async fn instance_that_starts_beside_seeds_does_not_read_the_log() {
+    let endpoint = Endpoint::start(ok_with_body("ok")).await;
     let [first, second, own] = free_addresses();
-    let seed = Fleet::start_among(&[first, second], first, &[endpoint.address]);
-    seed.ready().await;
-    // The second seed is gone, and may be the one that is asked first.
-    let other = Fleet::start_among(&[first, second], own, &[endpoint.address]);
-    other.ready().await;
+    let seed = TestInstance::start_with_seeds(&[first, second], first, &[endpoint.address]);
+    seed.wait_until_ready().await;
+    // The second seed does not run, and may be polled first.
+    let other = TestInstance::start_with_seeds(&[first, second], own, &[endpoint.address]);
+    other.wait_until_ready().await;
     assert_eq!(status(&other, "/stock/1").await, "200");
     assert_eq!(other.calls(), 0);
 }
 
-/// All instances start at once, and nobody can be asked yet. Each topic is one call,
-/// since a list that comes whole needs no read after it.
+/// All instances start at once, and no peer can be polled yet. Each topic takes one call,
+/// since a complete list needs no read after it.
 #[tokio::test]
-async fn an_instance_that_starts_alone_lists_each_topic_once() {
-    let endpoint = Endpoint::start(says("ok")).await;
+async fn instance_that_starts_alone_lists_each_topic_once() {
+    let endpoint = Endpoint::start(ok_with_body("ok")).await;
     let [seed, own] = free_addresses();
-    let other = Fleet::start_among(&[seed], own, &[endpoint.address]);
-    other.ready().await;
+    let other = TestInstance::start_with_seeds(&[seed], own, &[endpoint.address]);
+    other.wait_until_ready().await;
     assert_eq!(other.calls(), 2);
     assert_eq!(status(&other, "/stock/1").await, "200");
 }
 
-/// Two instances read for others, and the one that is followed is killed. Those that
-/// asked it went to the log, a hundred at once, although the other one knew as much.
+/// Guards against instances that go to the log, a hundred at once, when the seed they poll
+/// is killed although another seed is as current.
 #[tokio::test]
-async fn with_one_that_reads_gone_another_one_is_asked() {
-    let endpoint = Endpoint::start(says("ok")).await;
+async fn another_seed_is_polled_when_one_is_lost() {
+    let endpoint = Endpoint::start(ok_with_body("ok")).await;
     let [first, second, own] = free_addresses();
     let seeds = [first, second];
-    let mut read = seeds.map(|seed| Fleet::start_among(&seeds, seed, &[endpoint.address]));
-    for fleet in &read {
-        fleet.ready().await;
+    let mut seed_instances =
+        seeds.map(|seed| TestInstance::start_with_seeds(&seeds, seed, &[endpoint.address]));
+    for instance in &seed_instances {
+        instance.wait_until_ready().await;
     }
-    let other = Fleet::start_among(&seeds, own, &[endpoint.address]);
-    other.ready().await;
+    let other = TestInstance::start_with_seeds(&seeds, own, &[endpoint.address]);
+    other.wait_until_ready().await;
     let mut without = content(2);
     without.routes.retain(|route| route.prefix != "/open/");
-    read[0].roll(without);
+    seed_instances[0].publish(without);
     tokio::time::sleep(Duration::from_millis(600)).await;
-    let follows_first = status(&other, "/open/1").await == "404";
-    read.rotate_left(usize::from(!follows_first));
-    let [followed, left] = read;
-    drop(followed);
+    let polls_first = status(&other, "/open/1").await == "404";
+    seed_instances.rotate_left(usize::from(!polls_first));
+    let [polled, remaining_seed] = seed_instances;
+    drop(polled);
     let mut more = content(3);
     more.routes.retain(|route| route.prefix != "/stock/");
-    left.roll(more);
-    until(async || status(&other, "/stock/1").await == "404").await;
+    remaining_seed.publish(more);
+    wait_until(async || status(&other, "/stock/1").await == "404").await;
     assert_eq!(other.calls(), 0);
 }
 
-/// The only instance that reads for others loses power, for good. A few standbys
-/// read the log in its place; had everybody gone there, hundreds would have.
+/// Guards against hundreds of instances that read the log when the only seed is lost for
+/// good. A few standbys read it instead.
 #[tokio::test]
-async fn with_all_that_read_gone_only_standbys_read_the_log() {
-    let endpoint = Endpoint::start(says("ok")).await;
+async fn only_standbys_read_the_log_when_all_seeds_are_lost() {
+    let endpoint = Endpoint::start(ok_with_body("ok")).await;
     let [address, a, b, c, d] = free_addresses();
-    let seed = Fleet::start_among(&[address], address, &[endpoint.address]);
-    seed.ready().await;
-    let start = |own| Fleet::start_among(&[address], own, &[endpoint.address]);
+    let seed = TestInstance::start_with_seeds(&[address], address, &[endpoint.address]);
+    seed.wait_until_ready().await;
+    let start = |own| TestInstance::start_with_seeds(&[address], own, &[endpoint.address]);
     let others = [a, b, c, d].map(start);
-    for fleet in &others {
-        fleet.ready().await;
+    for instance in &others {
+        instance.wait_until_ready().await;
     }
-    // All have asked, and were told who stands by.
+    // By now all have polled the seed and learned who is a standby.
     tokio::time::sleep(Duration::from_millis(1_200)).await;
     drop(seed);
     tokio::time::sleep(Duration::from_millis(2_500)).await;
-    let reading = others.iter().filter(|fleet| fleet.calls() > 0).count();
+    let reading = others
+        .iter()
+        .filter(|instance| instance.calls() > 0)
+        .count();
     assert_eq!(reading, 2);
-    for fleet in &others {
-        assert_eq!(status(fleet, "/stock/1").await, "200");
+    for instance in &others {
+        assert_eq!(status(instance, "/stock/1").await, "200");
     }
 }
 
-/// The instance that reads for others is stopped. Those that asked it go back
-/// to the log before anything they know is too old.
+/// Guards against outdated state after the only seed has stopped. Its pollers return to the
+/// log before their state is too old.
 #[tokio::test]
-async fn with_the_one_that_reads_gone_the_log_is_read() {
-    let endpoint = Endpoint::start(says("ok")).await;
-    let [seed, other] = Fleet::start_two(&[endpoint.address]).await;
-    follows(&other).await;
+async fn log_is_read_when_the_only_seed_is_lost() {
+    let endpoint = Endpoint::start(ok_with_body("ok")).await;
+    let [seed, other] = TestInstance::start_seed_and_poller(&[endpoint.address]).await;
+    wait_until_log_unread(&other).await;
     drop(seed);
     let mut more = content(2);
     more.routes.retain(|route| route.prefix != "/open/");
-    other.roll(more);
+    other.publish(more);
     let start = Instant::now();
-    until(async || status(&other, "/open/1").await == "404").await;
+    wait_until(async || status(&other, "/open/1").await == "404").await;
     assert!(start.elapsed() < Duration::from_secs(2));
     assert_eq!(status(&other, "/stock/1").await, "200");
 }
 
-/// The log goes away for both. The one that asks must not take the other's
-/// word for fresh: its lease ends like that of the one that read.
+/// Guards against a lease that is extended by a poll. When the log is unavailable to both,
+/// the lease of the polling instance ends like that of the seed.
 #[tokio::test]
-async fn a_lease_does_not_grow_by_being_passed_on() {
-    let endpoint = Endpoint::start(says("ok")).await;
-    let [seed, other] = Fleet::start_two(&[endpoint.address]).await;
-    follows(&other).await;
+async fn lease_is_not_extended_by_polling() {
+    let endpoint = Endpoint::start(ok_with_body("ok")).await;
+    let [seed, other] = TestInstance::start_seed_and_poller(&[endpoint.address]).await;
+    wait_until_log_unread(&other).await;
     other.operator.set_down(true);
-    // What the other one confirms counts here as well, for longer than a lease.
+    // Confirmations of the seed count here as well, for longer than one lease.
     tokio::time::sleep(Duration::from_secs(6)).await;
     assert_eq!(status(&other, "/stock/1").await, "200");
     seed.operator.set_down(true);
     let start = Instant::now();
-    until(async || status(&other, "/stock/1").await == "503").await;
+    wait_until(async || status(&other, "/stock/1").await == "503").await;
     assert!(start.elapsed() < Duration::from_secs(5));
     assert_eq!(status(&other, "/open/1").await, "200");
     other.operator.set_down(false);
-    until(async || status(&other, "/stock/1").await == "200").await;
+    wait_until(async || status(&other, "/stock/1").await == "200").await;
 }
 
-/// A model engine is busy, and only one instance has asked it lately. The other
-/// one would take it for idle, as would eighty others.
+/// Guards against a busy engine that looks idle to instances that have not used it lately.
+/// Only one instance has its load report; eighty others would lack it.
 #[tokio::test]
-async fn what_one_instance_hears_of_a_load_the_other_knows() {
-    let busy = |_: usize, seen: &Seen| vec![answer(seen, "200 OK", "x-load: 14,2,64\r\n", "ok")];
+async fn load_report_reaches_other_instances() {
+    let busy = |_: usize, received: &ReceivedRequest| {
+        vec![response_to(received, "200 OK", "x-load: 14,2,64\r\n", "ok")]
+    };
     for from in [0, 1] {
         let endpoint = Endpoint::start(busy).await;
-        let fleets = Fleet::start_two(&[endpoint.address]).await;
-        follows(&fleets[1]).await;
-        let told = &fleets[1 - from];
-        until(async || {
-            assert_eq!(status(&fleets[from], "/stock/1").await, "200");
-            let text = exchange(told.running.metrics_address(), ASK).await;
-            value(&text, "godwitpost_service_load{") > Some(8.0)
+        let instances = TestInstance::start_seed_and_poller(&[endpoint.address]).await;
+        wait_until_log_unread(&instances[1]).await;
+        let receiver = &instances[1 - from];
+        wait_until(async || {
+            assert_eq!(status(&instances[from], "/stock/1").await, "200");
+            let text = exchange(receiver.running.metrics_address(), METRICS_REQUEST).await;
+            sample_value(&text, "godwitpost_service_load{") > Some(8.0)
         })
         .await;
     }
--- a/crates/direct/tests/instance/restored.rs
+++ b/crates/direct/tests/instance/restored.rs
@@ -1,297 +1,298 @@
-//! A log that came back from an older copy, where offsets are given out again.
+//! A log that was restored from an older backup, so that offsets are assigned again.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use godwitpost_direct::source::Value;
 
-use crate::endpoint::{Endpoint, says};
-use crate::fleet::{Fleet, content, free_addresses, until};
-use crate::peers::follows;
+use crate::endpoint::{Endpoint, ok_with_body};
+use crate::fleet::{TestInstance, content, free_addresses, wait_until};
+use crate::peers::wait_until_log_unread;
 
-/// How long a change may take to be in force here; the log answers at once.
-const SOON: Duration = Duration::from_secs(2);
+/// Time within which a change must take effect here; the log answers at once.
+const MAX_CHANGE_DELAY: Duration = Duration::from_secs(2);
 
-// What callers of a route that the given version took away are told.
-async fn without_open(fleet: &Fleet) -> bool {
-    let whole = fleet.call("GET", "/open/1", "").await;
-    whole.starts_with("HTTP/1.1 404")
+// Returns whether the open route has been removed, as callers see it.
+async fn open_route_is_removed(instance: &TestInstance) -> bool {
+    let response = instance.call("GET", "/open/1", "").await;
+    response.starts_with("HTTP/1.1 404")
 }
 
-fn roll_without_open(fleet: &Fleet, version: u64) {
+fn publish_without_open_route(instance: &TestInstance, version: u64) {
     let mut content = content(version);
     content.routes.retain(|route| route.prefix != "/open/");
-    fleet.roll(content);
+    instance.publish(content);
 }
 
-// Sends requests, all of which others serve.
-async fn gets_nothing(fleet: &Fleet, endpoint: &Endpoint) {
-    let before = endpoint.seen().len();
+// Sends requests and checks that other endpoints serve all of them.
+async fn assert_gets_no_requests(instance: &TestInstance, endpoint: &Endpoint) {
+    let before = endpoint.received().len();
     for _ in 0..10 {
-        let whole = fleet.call("GET", "/stock/1", "").await;
-        assert!(whole.starts_with("HTTP/1.1 200"), "{whole}");
+        let response = instance.call("GET", "/stock/1", "").await;
+        assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     }
-    assert_eq!(endpoint.seen().len(), before);
+    assert_eq!(endpoint.received().len(), before);
 }
 
-// Rolls versions up to this one, each of them read.
-async fn roll_up_to(fleet: &Fleet, version: u64) {
+// Publishes all versions up to this one and waits until they are read.
+async fn publish_versions_up_to(instance: &TestInstance, version: u64) {
     for version in 2..=version {
-        fleet.roll(content(version));
+        instance.publish(content(version));
     }
     tokio::time::sleep(Duration::from_millis(400)).await;
 }
 
-/// Guards against versions that are dropped since their offsets are below those of
+/// Guards against versions that are ignored because their offsets are below those of
 /// records that the log has lost.
 #[tokio::test]
-async fn a_version_after_the_log_went_back_is_in_force() {
-    let endpoint = Endpoint::start(says("ok")).await;
-    let fleet = Fleet::start(&[endpoint.address]).await;
-    roll_up_to(&fleet, 4).await;
-    fleet.operator.restore(1);
-    fleet.roll(content(4));
+async fn version_written_after_a_restore_takes_effect() {
+    let endpoint = Endpoint::start(ok_with_body("ok")).await;
+    let instance = TestInstance::start(&[endpoint.address]).await;
+    publish_versions_up_to(&instance, 4).await;
+    instance.operator.restore(1);
+    instance.publish(content(4));
     tokio::time::sleep(Duration::from_millis(400)).await;
     let start = Instant::now();
-    roll_without_open(&fleet, 5);
-    until(async || without_open(&fleet).await).await;
-    assert!(start.elapsed() < SOON, "{:?}", start.elapsed());
+    publish_without_open_route(&instance, 5);
+    wait_until(async || open_route_is_removed(&instance).await).await;
+    assert!(start.elapsed() < MAX_CHANGE_DELAY, "{:?}", start.elapsed());
 }
 
-/// Guards against versions that are passed over since the log has grown beyond what was
-/// read of it before it went back.
+/// Guards against versions that are skipped because the restored log has grown beyond the
+/// offset up to which it was read before.
 #[tokio::test]
-async fn a_version_where_lost_records_were_read_is_in_force() {
-    let endpoint = Endpoint::start(says("ok")).await;
-    let fleet = Fleet::start(&[endpoint.address]).await;
-    roll_up_to(&fleet, 4).await;
-    fleet.operator.set_down(true);
-    fleet.operator.restore(1);
-    roll_without_open(&fleet, 5);
+async fn version_at_offsets_of_lost_records_takes_effect() {
+    let endpoint = Endpoint::start(ok_with_body("ok")).await;
+    let instance = TestInstance::start(&[endpoint.address]).await;
+    publish_versions_up_to(&instance, 4).await;
+    instance.operator.set_down(true);
+    instance.operator.restore(1);
+    publish_without_open_route(&instance, 5);
     for zone in ["sendai", "kushiro"] {
-        fleet.evacuate(zone, true);
-        fleet.evacuate(zone, false);
+        instance.set_evacuated(zone, true);
+        instance.set_evacuated(zone, false);
     }
-    fleet.operator.set_down(false);
+    instance.operator.set_down(false);
     let start = Instant::now();
-    until(async || without_open(&fleet).await).await;
-    assert!(start.elapsed() < SOON, "{:?}", start.elapsed());
+    wait_until(async || open_route_is_removed(&instance).await).await;
+    assert!(start.elapsed() < MAX_CHANGE_DELAY, "{:?}", start.elapsed());
 }
 
-/// Guards against instances that are kept at an old version by the one they ask.
+/// Guards against instances that stay at an old version because the peer they poll does.
 #[tokio::test]
-async fn a_version_after_the_log_went_back_is_told_to_peers() {
-    let endpoint = Endpoint::start(says("ok")).await;
-    let [seed, other] = Fleet::start_two(&[endpoint.address]).await;
-    follows(&other).await;
-    roll_up_to(&seed, 4).await;
+async fn version_written_after_a_restore_reaches_peers() {
+    let endpoint = Endpoint::start(ok_with_body("ok")).await;
+    let [seed, other] = TestInstance::start_seed_and_poller(&[endpoint.address]).await;
+    wait_until_log_unread(&other).await;
+    publish_versions_up_to(&seed, 4).await;
     seed.operator.restore(1);
-    seed.roll(content(4));
+    seed.publish(content(4));
     tokio::time::sleep(Duration::from_millis(800)).await;
     let start = Instant::now();
-    roll_without_open(&seed, 5);
-    until(async || without_open(&other).await).await;
-    assert!(start.elapsed() < SOON, "{:?}", start.elapsed());
+    publish_without_open_route(&seed, 5);
+    wait_until(async || open_route_is_removed(&other).await).await;
+    assert!(start.elapsed() < MAX_CHANGE_DELAY, "{:?}", start.elapsed());
 }
 
-/// Guards against requests to an endpoint that says it is leaving where lost
+/// Guards against requests to an endpoint whose leaving is written at offsets where lost
 /// heartbeats were read before.
 #[tokio::test]
-async fn an_endpoint_that_leaves_after_the_log_went_back_gets_no_more() {
-    let first = Endpoint::start(says("ok")).await;
-    let second = Endpoint::start(says("ok")).await;
-    let fleet = Fleet::start(&[first.address, second.address]).await;
+async fn endpoint_that_leaves_after_a_restore_gets_no_requests() {
+    let first = Endpoint::start(ok_with_body("ok")).await;
+    let second = Endpoint::start(ok_with_body("ok")).await;
+    let instance = TestInstance::start(&[first.address, second.address]).await;
     for _ in 0..4 {
-        fleet.join("e0", first.address);
-        fleet.join("e1", second.address);
+        instance.register("e0", first.address);
+        instance.register("e1", second.address);
     }
     tokio::time::sleep(Duration::from_millis(300)).await;
-    fleet.endpoints.restore(2);
+    instance.endpoints.restore(2);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    fleet.leave("e0", first.address);
+    instance.register_leaving("e0", first.address);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    gets_nothing(&fleet, &first).await;
+    assert_gets_no_requests(&instance, &first).await;
 }
 
-/// Guards against requests to an endpoint that a copy of the log lists although it was
-/// seen to be gone.
+/// Guards against requests to a removed endpoint that the restored log still lists.
 #[tokio::test]
-async fn an_endpoint_that_is_gone_does_not_come_back_with_an_older_copy() {
-    let first = Endpoint::start(says("ok")).await;
-    let second = Endpoint::start(says("ok")).await;
-    let fleet = Fleet::start(&[first.address, second.address]).await;
-    fleet.endpoints.append("e1", Value::Removed);
+async fn removed_endpoint_does_not_return_with_a_restored_log() {
+    let first = Endpoint::start(ok_with_body("ok")).await;
+    let second = Endpoint::start(ok_with_body("ok")).await;
+    let instance = TestInstance::start(&[first.address, second.address]).await;
+    instance.endpoints.append("e1", Value::Removed);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    fleet.endpoints.restore(2);
+    instance.endpoints.restore(2);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    gets_nothing(&fleet, &second).await;
-    let before = second.seen().len();
-    // One that had lapsed only writes again.
-    fleet.join("e1", second.address);
-    until(async || {
-        fleet.call("GET", "/stock/1", "").await;
-        second.seen().len() > before
+    assert_gets_no_requests(&instance, &second).await;
+    let before = second.received().len();
+    // An endpoint whose entry had only expired writes it again.
+    instance.register("e1", second.address);
+    wait_until(async || {
+        instance.call("GET", "/stock/1", "").await;
+        second.received().len() > before
     })
     .await;
 }
 
-/// Guards against requests to an endpoint that a copy of the log still has for ready.
+/// Guards against requests to a leaving endpoint that the restored log still lists as live.
 #[tokio::test]
-async fn an_endpoint_that_is_leaving_does_not_come_back_with_an_older_copy() {
-    let first = Endpoint::start(says("ok")).await;
-    let second = Endpoint::start(says("ok")).await;
-    let fleet = Fleet::start(&[first.address, second.address]).await;
-    fleet.leave("e1", second.address);
+async fn leaving_endpoint_does_not_return_with_a_restored_log() {
+    let first = Endpoint::start(ok_with_body("ok")).await;
+    let second = Endpoint::start(ok_with_body("ok")).await;
+    let instance = TestInstance::start(&[first.address, second.address]).await;
+    instance.register_leaving("e1", second.address);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    fleet.endpoints.restore(2);
+    instance.endpoints.restore(2);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    gets_nothing(&fleet, &second).await;
+    assert_gets_no_requests(&instance, &second).await;
 }
 
-/// Guards against refusals while endpoints that a copy of the log lacks write again.
+/// Guards against refusals before endpoints that the restored log lacks have registered
+/// again.
 #[tokio::test]
-async fn endpoints_that_a_copy_lacks_are_used_until_they_are_back() {
-    let endpoint = Endpoint::start(says("ok")).await;
-    let fleet = Fleet::start(&[endpoint.address]).await;
-    fleet.endpoints.restore(0);
+async fn endpoints_that_a_restored_log_lacks_are_used_until_they_return() {
+    let endpoint = Endpoint::start(ok_with_body("ok")).await;
+    let instance = TestInstance::start(&[endpoint.address]).await;
+    instance.endpoints.restore(0);
     for _ in 0..8 {
         tokio::time::sleep(Duration::from_millis(100)).await;
-        let whole = fleet.call("GET", "/stock/1", "").await;
-        assert!(whole.starts_with("HTTP/1.1 200"), "{whole}");
+        let response = instance.call("GET", "/stock/1", "").await;
+        assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     }
 }
 
-/// Guards against requests to an evacuated zone that a copy of the log knows nothing of.
+/// Guards against requests to an evacuated zone when the restored log lacks the evacuation.
 #[tokio::test]
-async fn a_zone_evacuated_before_the_log_went_back_stays_empty() {
-    let near = Endpoint::start(says("near")).await;
-    let far = Endpoint::start(says("far")).await;
-    let fleet = Fleet::start(&[near.address]).await;
-    fleet.join_in("kushiro", "e1", far.address);
-    fleet.roll(content(2));
-    fleet.evacuate("otaru", true);
-    until(async || fleet.call("GET", "/stock/1", "").await.contains("far")).await;
+async fn zone_evacuated_before_a_restore_stays_evacuated() {
+    let near = Endpoint::start(ok_with_body("near")).await;
+    let far = Endpoint::start(ok_with_body("far")).await;
+    let instance = TestInstance::start(&[near.address]).await;
+    instance.register_in_zone("kushiro", "e1", far.address);
+    instance.publish(content(2));
+    instance.set_evacuated("otaru", true);
+    wait_until(async || instance.call("GET", "/stock/1", "").await.contains("far")).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let before = near.seen().len();
-    fleet.operator.restore(1);
-    fleet.roll(content(2));
+    let before = near.received().len();
+    instance.operator.restore(1);
+    instance.publish(content(2));
     for _ in 0..10 {
         tokio::time::sleep(Duration::from_millis(50)).await;
-        let whole = fleet.call("GET", "/stock/1", "").await;
-        assert!(whole.contains("far"), "{whole}");
+        let response = instance.call("GET", "/stock/1", "").await;
+        assert!(response.contains("far"), "{response}");
     }
-    // The operator writes that again as well.
-    fleet.evacuate("otaru", true);
+    // The operator writes the evacuation again as well.
+    instance.set_evacuated("otaru", true);
     tokio::time::sleep(Duration::from_millis(4_500)).await;
-    fleet.call("GET", "/stock/1", "").await;
-    assert_eq!(near.seen().len(), before);
-    fleet.evacuate("otaru", false);
-    until(async || fleet.call("GET", "/stock/1", "").await.contains("near")).await;
+    instance.call("GET", "/stock/1", "").await;
+    assert_eq!(near.received().len(), before);
+    instance.set_evacuated("otaru", false);
+    wait_until(async || instance.call("GET", "/stock/1", "").await.contains("near")).await;
 }
 
-/// Guards against an evacuation that is not known since its offset is below the one up
-/// to which the log was read before it went back.
+/// Guards against an evacuation that is ignored because its offset is below the one up to
+/// which the log was read before the restore.
 #[tokio::test]
-async fn a_zone_evacuated_after_the_log_went_back_gets_nothing() {
-    let near = Endpoint::start(says("near")).await;
-    let far = Endpoint::start(says("far")).await;
-    let fleet = Fleet::start(&[near.address]).await;
-    fleet.join_in("kushiro", "e1", far.address);
-    roll_up_to(&fleet, 6).await;
-    fleet.operator.restore(1);
-    fleet.roll(content(6));
+async fn zone_evacuated_after_a_restore_gets_no_requests() {
+    let near = Endpoint::start(ok_with_body("near")).await;
+    let far = Endpoint::start(ok_with_body("far")).await;
+    let instance = TestInstance::start(&[near.address]).await;
+    instance.register_in_zone("kushiro", "e1", far.address);
+    publish_versions_up_to(&instance, 6).await;
+    instance.operator.restore(1);
+    instance.publish(content(6));
     tokio::time::sleep(Duration::from_millis(300)).await;
-    fleet.evacuate("otaru", true);
+    instance.set_evacuated("otaru", true);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    gets_nothing(&fleet, &near).await;
+    assert_gets_no_requests(&instance, &near).await;
 }
 
-/// Guards against a zone that stays empty for good since the copy of the log, and what
-/// was written after it, name it no more.
+/// Guards against a zone that stays evacuated for good because neither the restored log nor
+/// later records mention it.
 #[tokio::test]
-async fn a_zone_that_is_not_evacuated_again_is_used_in_the_end() {
-    let near = Endpoint::start(says("near")).await;
-    let far = Endpoint::start(says("far")).await;
-    let fleet = Fleet::start(&[near.address]).await;
-    fleet.join_in("kushiro", "e1", far.address);
-    fleet.evacuate("otaru", true);
-    until(async || fleet.call("GET", "/stock/1", "").await.contains("far")).await;
-    fleet.operator.restore(1);
-    until(async || fleet.call("GET", "/stock/1", "").await.contains("near")).await;
+async fn zone_that_is_not_evacuated_again_is_eventually_used() {
+    let near = Endpoint::start(ok_with_body("near")).await;
+    let far = Endpoint::start(ok_with_body("far")).await;
+    let instance = TestInstance::start(&[near.address]).await;
+    instance.register_in_zone("kushiro", "e1", far.address);
+    instance.set_evacuated("otaru", true);
+    wait_until(async || instance.call("GET", "/stock/1", "").await.contains("far")).await;
+    instance.operator.restore(1);
+    wait_until(async || instance.call("GET", "/stock/1", "").await.contains("near")).await;
 }
 
-/// Guards against keys that live on since a log without the version in force, and maybe
-/// without a newer one, is taken to confirm it.
+/// Guards against keys that stay valid because a log that lacks the version in force, and
+/// possibly a newer one, is taken to confirm it.
 #[tokio::test]
-async fn a_log_that_lacks_the_version_in_force_confirms_nothing() {
-    let endpoint = Endpoint::start(says("ok")).await;
-    let fleet = Fleet::start(&[endpoint.address]).await;
-    roll_up_to(&fleet, 2).await;
-    fleet.operator.restore(1);
+async fn log_that_lacks_the_version_in_force_does_not_confirm_it() {
+    let endpoint = Endpoint::start(ok_with_body("ok")).await;
+    let instance = TestInstance::start(&[endpoint.address]).await;
+    publish_versions_up_to(&instance, 2).await;
+    instance.operator.restore(1);
     tokio::time::sleep(Duration::from_millis(1_200)).await;
-    let whole = fleet.call("GET", "/stock/1", "").await;
-    assert!(whole.starts_with("HTTP/1.1 503"), "{whole}");
-    assert!(whole.contains("unconfirmed"), "{whole}");
-    fleet.roll(content(2));
-    fleet.ready().await;
-    let whole = fleet.call("GET", "/stock/1", "").await;
-    assert!(whole.starts_with("HTTP/1.1 200"), "{whole}");
+    let response = instance.call("GET", "/stock/1", "").await;
+    assert!(response.starts_with("HTTP/1.1 503"), "{response}");
+    assert!(response.contains("unconfirmed"), "{response}");
+    instance.publish(content(2));
+    instance.wait_until_ready().await;
+    let response = instance.call("GET", "/stock/1", "").await;
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
 }
 
-/// Guards against the same by the word of an instance whose log lacks that version.
+/// Guards against the same fault through a peer whose log lacks that version.
 #[tokio::test]
-async fn a_peer_without_the_version_in_force_confirms_nothing() {
-    let endpoint = Endpoint::start(says("ok")).await;
+async fn peer_that_lacks_the_version_in_force_does_not_confirm_it() {
+    let endpoint = Endpoint::start(ok_with_body("ok")).await;
     let [first, second, own] = free_addresses();
     let seeds = [first, second];
-    let mut read = seeds.map(|seed| Fleet::start_among(&seeds, seed, &[endpoint.address]));
-    for fleet in &read {
-        fleet.ready().await;
+    let mut seed_instances =
+        seeds.map(|seed| TestInstance::start_with_seeds(&seeds, seed, &[endpoint.address]));
+    for instance in &seed_instances {
+        instance.wait_until_ready().await;
     }
-    let other = Fleet::start_among(&seeds, own, &[endpoint.address]);
-    other.ready().await;
-    roll_without_open(&read[0], 2);
+    let other = TestInstance::start_with_seeds(&seeds, own, &[endpoint.address]);
+    other.wait_until_ready().await;
+    publish_without_open_route(&seed_instances[0], 2);
     tokio::time::sleep(Duration::from_millis(600)).await;
-    let follows_first = without_open(&other).await;
-    read.rotate_left(usize::from(!follows_first));
-    let [followed, lacking] = read;
-    followed.roll(content(3));
+    let polls_first = open_route_is_removed(&other).await;
+    seed_instances.rotate_left(usize::from(!polls_first));
+    let [polled, lagging] = seed_instances;
+    polled.publish(content(3));
     tokio::time::sleep(Duration::from_millis(600)).await;
-    drop(followed);
+    drop(polled);
     tokio::time::sleep(Duration::from_millis(5_500)).await;
-    let whole = other.call("GET", "/stock/1", "").await;
-    assert!(whole.starts_with("HTTP/1.1 503"), "{whole}");
-    lacking.roll(content(3));
-    until(async || {
-        let whole = other.call("GET", "/stock/1", "").await;
-        whole.starts_with("HTTP/1.1 200")
+    let response = other.call("GET", "/stock/1", "").await;
+    assert!(response.starts_with("HTTP/1.1 503"), "{response}");
+    lagging.publish(content(3));
+    wait_until(async || {
+        let response = other.call("GET", "/stock/1", "").await;
+        response.starts_with("HTTP/1.1 200")
     })
     .await;
 }
 
-/// Guards against a key that works at an instance which starts before the operator has
-/// written again what took it away.
+/// Guards against a revoked key that works at an instance which starts before the operator
+/// has written the revocation again.
 #[tokio::test]
-async fn an_instance_that_starts_beside_a_restored_log_acts_on_no_key_at_once() {
-    let endpoint = Endpoint::start(says("ok")).await;
-    let fleet = Fleet::start_restored(&[endpoint.address]);
+async fn instance_started_with_a_restored_log_accepts_no_key_at_once() {
+    let endpoint = Endpoint::start(ok_with_body("ok")).await;
+    let instance = TestInstance::start_restored(&[endpoint.address]);
     let revoked = async {
         tokio::time::sleep(Duration::from_millis(250)).await;
-        let mut without = content(2);
-        without.keys = Some(BTreeMap::new());
-        fleet.roll(without);
+        let mut without_keys = content(2);
+        without_keys.keys = Some(BTreeMap::new());
+        instance.publish(without_keys);
     };
-    let (whole, ()) = tokio::join!(fleet.call("GET", "/stock/1", ""), revoked);
-    assert!(whole.starts_with("HTTP/1.1 401"), "{whole}");
-    assert_eq!(endpoint.seen().len(), 0);
+    let (response, ()) = tokio::join!(instance.call("GET", "/stock/1", ""), revoked);
+    assert!(response.starts_with("HTTP/1.1 401"), "{response}");
+    assert_eq!(endpoint.received().len(), 0);
 }
 
-/// Guards against an instance that waits for ever for a version that nobody wrote.
+/// Guards against an instance that waits forever for a version that nobody writes.
 #[tokio::test]
-async fn an_instance_that_starts_beside_a_restored_log_serves() {
-    let endpoint = Endpoint::start(says("ok")).await;
-    let fleet = Fleet::start_restored(&[endpoint.address]);
-    fleet.ready().await;
-    let whole = fleet.call("GET", "/stock/1", "").await;
-    assert!(whole.starts_with("HTTP/1.1 200"), "{whole}");
+async fn instance_started_with_a_restored_log_serves() {
+    let endpoint = Endpoint::start(ok_with_body("ok")).await;
+    let instance = TestInstance::start_restored(&[endpoint.address]);
+    instance.wait_until_ready().await;
+    let response = instance.call("GET", "/stock/1", "").await;
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
 }
--- a/crates/direct/tests/instance/streams.rs
+++ b/crates/direct/tests/instance/streams.rs
@@ -1,58 +1,63 @@
-//! Event streams that break, fall silent or are left.
+//! Event streams that break, stall or are abandoned.
 
-use crate::endpoint::{Endpoint, Seen, Step, chunk, events, last_chunk, stream_head};
-use crate::fleet::{Fleet, request, rest, until};
+use crate::endpoint::{Endpoint, ReceivedRequest, Step, chunk, events, last_chunk, stream_head};
+use crate::fleet::{TestInstance, read_rest, request, wait_until};
 
-fn whole(seen: &Seen, from: u64, to: u64) -> Vec<Step> {
-    let mut steps = vec![stream_head(seen, "s2")];
+fn complete_stream(received: &ReceivedRequest, from: u64, to: u64) -> Vec<Step> {
+    let mut steps = vec![stream_head(received, "s2")];
     steps.extend(events(from, to));
     steps.push(last_chunk());
     steps
 }
 
-// The events of an answer, in order.
-fn ids(answer: &str) -> Vec<u64> {
-    answer
+// Returns the event ids of a response, in order.
+fn event_ids(response: &str) -> Vec<u64> {
+    response
         .lines()
         .filter_map(|line| line.strip_prefix("id: "))
         .map(|id| id.parse().expect("a number"))
         .collect()
 }
 
-/// An engine crashes in the middle of an event of a chapter's draft. Another
-/// goes on after the last whole event; the caller sees one answer.
+/// An engine crashes in the middle of an event. Another one resumes after the last complete
+/// event, and the caller sees one response.
 #[tokio::test]
-async fn a_broken_stream_goes_on_elsewhere_without_a_seam() {
-    let script = |_, seen: &Seen| match seen.header("x-after") {
+async fn broken_stream_is_resumed_at_another_endpoint() {
+    let script = |_, received: &ReceivedRequest| match received.header("x-after") {
         None => {
-            let mut steps = vec![stream_head(seen, "s1")];
+            let mut steps = vec![stream_head(received, "s1")];
             steps.extend(events(1, 3));
             steps.push(chunk("id: 4\nda"));
             steps.push(Step::Close);
             steps
         }
-        Some(after) => whole(seen, after.parse::<u64>().expect("a number") + 1, 6),
+        Some(last_event_id) => complete_stream(
+            received,
+            last_event_id.parse::<u64>().expect("a number") + 1,
+            6,
+        ),
     };
     let first = Endpoint::start(script).await;
     let second = Endpoint::start(script).await;
-    let fleet = Fleet::start(&[first.address, second.address]).await;
-    let answer = fleet.call("POST", "/draft/1", "").await;
-    assert_eq!(ids(&answer), [1, 2, 3, 4, 5, 6], "{answer}");
-    assert!(answer.contains("x-signed: s1") && !answer.contains("x-signed: s2"));
-    assert!(answer.ends_with("0\r\n\r\n"), "{answer}");
-    let after: Vec<_> = [first, second]
+    let instance = TestInstance::start(&[first.address, second.address]).await;
+    let response = instance.call("POST", "/draft/1", "").await;
+    assert_eq!(event_ids(&response), [1, 2, 3, 4, 5, 6], "{response}");
+    assert!(response.contains("x-signed: s1") && !response.contains("x-signed: s2"));
+    assert!(response.ends_with("0\r\n\r\n"), "{response}");
+    let resumed_after: Vec<_> = [first, second]
         .iter()
-        .flat_map(Endpoint::seen)
-        .filter_map(|seen| seen.header("x-after").map(str::to_owned))
+        .flat_map(Endpoint::received)
+        .filter_map(|received| received.header("x-after").map(str::to_owned))
         .collect();
-    assert_eq!(after, ["3"]);
+    assert_eq!(resumed_after, ["3"]);
 }
 
-/// A caption's stream may not be resumed. Cut, it must not look whole.
+/// Guards against a truncated stream that looks complete. The stream of this route may not
+/// be resumed.
 #[tokio::test]
-async fn a_stream_that_may_not_be_resumed_ends_without_its_end() {
-    let script = |_, seen: &Seen| {
-        let mut steps = vec![stream_head(seen, "s1")];
+async fn broken_unresumable_stream_is_visibly_truncated() {
+    let script = |_, received: &ReceivedRequest| {
+        let mut steps = vec![stream_head(received, "s1")];
         steps.extend(events(1, 2));
         steps.push(Step::Wait(50));
         steps.push(Step::Close);
@@ -60,55 +65,56 @@
     };
     let first = Endpoint::start(script).await;
     let second = Endpoint::start(script).await;
-    let fleet = Fleet::start(&[first.address, second.address]).await;
-    let answer = fleet.call("POST", "/caption/1", "").await;
-    assert_eq!(ids(&answer), [1, 2], "{answer}");
-    assert!(!answer.ends_with("0\r\n\r\n"), "{answer}");
-    assert_eq!(first.seen().len() + second.seen().len(), 1);
+    let instance = TestInstance::start(&[first.address, second.address]).await;
+    let response = instance.call("POST", "/caption/1", "").await;
+    assert_eq!(event_ids(&response), [1, 2], "{response}");
+    assert!(!response.ends_with("0\r\n\r\n"), "{response}");
+    assert_eq!(first.received().len() + second.received().len(), 1);
 }
 
-/// A stream's endpoint goes on with another event than the next. Joined, a
-/// piece of the draft would be missing.
+/// Guards against joining a stream that resumes at the wrong event, which would lose a part
+/// of it.
 #[tokio::test]
-async fn a_stream_that_goes_on_at_the_wrong_event_is_cut() {
-    let script = |_, seen: &Seen| match seen.header("x-after") {
+async fn stream_resumed_at_the_wrong_event_is_truncated() {
+    let script = |_, received: &ReceivedRequest| match received.header("x-after") {
         None => {
-            let mut steps = vec![stream_head(seen, "s1")];
+            let mut steps = vec![stream_head(received, "s1")];
             steps.extend(events(1, 3));
             steps.push(Step::Close);
             steps
         }
-        Some(_) => whole(seen, 5, 8),
+        Some(_) => complete_stream(received, 5, 8),
     };
     let first = Endpoint::start(script).await;
     let second = Endpoint::start(script).await;
-    let fleet = Fleet::start(&[first.address, second.address]).await;
-    let answer = fleet.call("POST", "/draft/1", "").await;
-    assert_eq!(ids(&answer), [1, 2, 3], "{answer}");
-    assert!(!answer.ends_with("0\r\n\r\n"), "{answer}");
+    let instance = TestInstance::start(&[first.address, second.address]).await;
+    let response = instance.call("POST", "/draft/1", "").await;
+    assert_eq!(event_ids(&response), [1, 2, 3], "{response}");
+    assert!(!response.ends_with("0\r\n\r\n"), "{response}");
 }
 
 #[tokio::test]
-async fn a_stream_that_breaks_before_its_first_event_begins_anew() {
-    let script = |n, seen: &Seen| match n {
-        0 => vec![stream_head(seen, "s1"), Step::Close],
-        _ => whole(seen, 1, 2),
+async fn stream_that_breaks_before_its_first_event_restarts() {
+    let script = |n, received: &ReceivedRequest| match n {
+        0 => vec![stream_head(received, "s1"), Step::Close],
+        _ => complete_stream(received, 1, 2),
     };
     let first = Endpoint::start(script).await;
-    let second = Endpoint::start(|_, seen: &Seen| whole(seen, 1, 2)).await;
-    let fleet = Fleet::start(&[first.address, second.address]).await;
+    let second =
+        Endpoint::start(|_, received: &ReceivedRequest| complete_stream(received, 1, 2)).await;
+    let instance = TestInstance::start(&[first.address, second.address]).await;
     for _ in 0..4 {
-        let answer = fleet.call("POST", "/draft/1", "").await;
-        assert_eq!(ids(&answer), [1, 2], "{answer}");
-        assert!(answer.ends_with("0\r\n\r\n"), "{answer}");
+        let response = instance.call("POST", "/draft/1", "").await;
+        assert_eq!(event_ids(&response), [1, 2], "{response}");
+        assert!(response.ends_with("0\r\n\r\n"), "{response}");
     }
 }
 
 #[tokio::test]
-async fn events_are_passed_on_as_they_come() {
+async fn events_are_relayed_as_they_arrive() {
     use tokio::io::AsyncReadExt;
-    let script = |_, seen: &Seen| {
-        let mut steps = vec![stream_head(seen, "s1")];
+    let script = |_, received: &ReceivedRequest| {
+        let mut steps = vec![stream_head(received, "s1")];
         steps.extend(events(1, 1));
         steps.push(Step::Wait(900));
         steps.extend(events(2, 2));
@@ -116,9 +122,9 @@
         steps
     };
     let endpoint = Endpoint::start(script).await;
-    let fleet = Fleet::start(&[endpoint.address]).await;
+    let instance = TestInstance::start(&[endpoint.address]).await;
     let start = std::time::Instant::now();
-    let mut stream = fleet.open(&request("POST", "/draft/1", "", "")).await;
+    let mut stream = instance.open(&request("POST", "/draft/1", "", "")).await;
     let mut text = String::new();
     while !text.contains("t1") {
         let mut bytes = [0; 1024];
@@ -126,16 +132,16 @@
         text.push_str(str::from_utf8(&bytes[..count]).expect("text"));
     }
     assert!(start.elapsed().as_millis() < 500);
-    let answer = rest(&mut stream).await;
-    assert_eq!(ids(&answer), [2]);
+    let response = read_rest(&mut stream).await;
+    assert_eq!(event_ids(&response), [2]);
 }
 
-/// A route's time is over in the middle of a draft: the answer ends at once,
-/// and its engine stops.
+/// The timeout of the route passes in the middle of a stream: the response ends at once,
+/// and the engine stops.
 #[tokio::test]
-async fn the_routes_time_is_kept_in_the_middle_of_a_stream() {
-    let script = |_, seen: &Seen| {
-        let mut steps = vec![stream_head(seen, "s1")];
+async fn route_timeout_ends_a_stream() {
+    let script = |_, received: &ReceivedRequest| {
+        let mut steps = vec![stream_head(received, "s1")];
         for id in 1..100 {
             steps.extend(events(id, id));
             steps.push(Step::Wait(100));
@@ -143,29 +149,29 @@
         steps
     };
     let endpoint = Endpoint::start(script).await;
-    let fleet = Fleet::start(&[endpoint.address]).await;
+    let instance = TestInstance::start(&[endpoint.address]).await;
     let start = std::time::Instant::now();
-    let answer = fleet.call("POST", "/draft/1", "").await;
+    let response = instance.call("POST", "/draft/1", "").await;
     let took = start.elapsed().as_millis();
     assert!((1_100..1_600).contains(&took), "{took}");
-    assert!(!answer.ends_with("0\r\n\r\n"), "{answer}");
-    until(async || endpoint.gone() == 1).await;
+    assert!(!response.ends_with("0\r\n\r\n"), "{response}");
+    wait_until(async || endpoint.disconnects() == 1).await;
 }
 
 #[tokio::test]
-async fn a_caller_that_leaves_a_stream_stops_its_endpoint() {
-    let script = |_, seen: &Seen| {
-        let mut steps = vec![stream_head(seen, "s1")];
+async fn caller_disconnect_stops_the_stream() {
+    let script = |_, received: &ReceivedRequest| {
+        let mut steps = vec![stream_head(received, "s1")];
         steps.extend(events(1, 2));
         steps.push(Step::Wait(10_000));
         steps
     };
     let endpoint = Endpoint::start(script).await;
-    let fleet = Fleet::start(&[endpoint.address]).await;
-    let stream = fleet.open(&request("POST", "/caption/1", "", "")).await;
-    until(async || !endpoint.seen().is_empty()).await;
+    let instance = TestInstance::start(&[endpoint.address]).await;
+    let stream = instance.open(&request("POST", "/caption/1", "", "")).await;
+    wait_until(async || !endpoint.received().is_empty()).await;
     drop(stream);
     let start = std::time::Instant::now();
-    until(async || endpoint.gone() == 1).await;
+    wait_until(async || endpoint.disconnects() == 1).await;
     assert!(start.elapsed().as_millis() < 500);
 }
--- a/crates/direct/tests/notices/endpoint.rs
+++ b/crates/direct/tests/notices/endpoint.rs
@@ -1,23 +1,23 @@
-//! An endpoint: what it says, and what the log says of it.
+//! A simulated endpoint and its entry in the log.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use godwitpost_direct::roster::Registration;
 use godwitpost_types::clock::Moment;
-use godwitpost_types::endpoint::{Endpoint as Listed, Standing};
+use godwitpost_types::endpoint::{Endpoint as ListedEndpoint, Standing};
 use godwitpost_types::id::{self, EndpointId, Incarnation};
 
-/// Requests that it runs at once.
+/// Number of requests that it runs at once.
 const SLOTS: u32 = 64;
 
-/// What it does with a request.
+/// The endpoint's reply to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Reply {
     Served,
-    /// Turned away, with the time for which it wants no more if it names one.
+    /// Refused, with the pause that it asks for, if any.
     Refused(Option<Duration>),
-    /// Meant for another life of it.
+    /// Addressed to another incarnation of the endpoint.
     Misdirected,
 }
 
@@ -25,42 +25,46 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Endpoint {
     pub(crate) name: String,
-    pub(crate) life: Incarnation,
-    /// From when on it says that it leaves.
-    pub(crate) leaves: Option<Moment>,
-    /// When its next life begins.
-    pub(crate) ends: Option<Moment>,
-    /// Until when it turns all away, and for how long it wants none then.
-    pub(crate) refuses: Option<(Moment, Option<Duration>)>,
-    /// What the log holds of it, if anything.
+    pub(crate) incarnation: Incarnation,
+    /// When it begins to announce its leaving.
+    pub(crate) leaves_at: Option<Moment>,
+    /// When its next incarnation starts.
+    pub(crate) ends_at: Option<Moment>,
+    /// Until when it refuses all requests, and the pause that it asks for meanwhile.
+    pub(crate) refuses_until: Option<(Moment, Option<Duration>)>,
+    /// Its entry in the log, if any.
     pub(crate) entry: Option<(Incarnation, Standing)>,
-    /// Since when nothing keeps it from being used.
-    pub(crate) sound: Moment,
+    /// Since when nothing prevents its use.
+    pub(crate) usable_since: Moment,
 }
 
 impl Endpoint {
     pub(crate) fn new(number: u16) -> Self {
         Self {
             name: format!("e{number}"),
-            life: 1,
-            leaves: None,
-            ends: None,
-            refuses: None,
+            incarnation: 1,
+            leaves_at: None,
+            ends_at: None,
+            refuses_until: None,
             entry: Some((1, Standing::Live)),
-            sound: Duration::ZERO,
+            usable_since: Duration::ZERO,
         }
     }
 
-    pub(crate) fn id_of(&self, life: Incarnation) -> EndpointId {
-        id::life(life, &self.name)
+    pub(crate) fn id_of(&self, incarnation: Incarnation) -> EndpointId {
+        id::life(incarnation, &self.name)
     }
 
-    pub(crate) fn registration(&self, life: Incarnation, standing: Standing) -> Registration {
+    pub(crate) fn registration(
+        &self,
+        incarnation: Incarnation,
+        standing: Standing,
+    ) -> Registration {
         Registration {
-            endpoint: Listed {
-                id: self.id_of(life),
+            endpoint: ListedEndpoint {
+                id: self.id_of(incarnation),
                 name: self.name.clone(),
-                incarnation: life,
+                incarnation,
                 service: 1,
                 models: BTreeSet::new(),
                 zone: 1,
@@ -74,25 +78,25 @@
     }
 
     pub(crate) fn reply(&self, to: EndpointId, now: Moment) -> Reply {
-        if to != self.id_of(self.life) {
+        if to != self.id_of(self.incarnation) {
             return Reply::Misdirected;
         }
-        match self.refuses {
+        match self.refuses_until {
             Some((until, pause)) if now < until => Reply::Refused(pause),
             _ => Reply::Served,
         }
     }
 
     pub(crate) fn is_leaving(&self, now: Moment) -> bool {
-        self.leaves.is_some_and(|at| at <= now)
+        self.leaves_at.is_some_and(|at| at <= now)
     }
 
-    /// Ends this life, and begins the next.
-    pub(crate) fn next_life(&mut self, now: Moment) {
-        self.life += 1;
-        self.leaves = None;
-        self.ends = None;
-        self.refuses = None;
-        self.sound = now;
+    /// Ends this incarnation and starts the next.
+    pub(crate) fn restart(&mut self, now: Moment) {
+        self.incarnation += 1;
+        self.leaves_at = None;
+        self.ends_at = None;
+        self.refuses_until = None;
+        self.usable_since = now;
     }
 }
--- a/crates/direct/tests/notices/instance.rs
+++ b/crates/direct/tests/notices/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: what it believes of endpoints, and where it sends.
+//! A simulated instance: its view of the endpoints, and where it sends requests.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,42 +14,42 @@
 use crate::endpoint::{Endpoint, Reply};
 use crate::world::Guard;
 
-pub(crate) const HEARTBEAT: Duration = Duration::from_millis(1_200);
+pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_200);
 
-/// The load that no endpoint may pass, in means.
-const BOUND: f64 = 2.0;
+/// The load that no endpoint may exceed, as a multiple of the mean.
+const LOAD_BOUND: f64 = 2.0;
 
 #[derive(Debug)]
 pub(crate) struct Instance {
-    without: Option<Guard>,
+    disabled: Option<Guard>,
     notices: Notices,
     roster: Roster,
-    own: BTreeMap<EndpointId, u32>,
-    pub(crate) reads: Moment,
+    own_requests: BTreeMap<EndpointId, u32>,
+    pub(crate) next_read: Moment,
 }
 
 impl Instance {
-    pub(crate) fn new(without: Option<Guard>) -> Self {
+    pub(crate) fn new(disabled: Option<Guard>) -> Self {
         Self {
-            without,
+            disabled,
             notices: Notices::default(),
-            roster: Roster::new(HEARTBEAT),
-            own: BTreeMap::new(),
-            reads: Duration::ZERO,
+            roster: Roster::new(HEARTBEAT_INTERVAL),
+            own_requests: BTreeMap::new(),
+            next_read: Duration::ZERO,
         }
     }
 
-    fn lacks(&self, guard: Guard) -> bool {
-        self.without == Some(guard)
+    fn is_disabled(&self, guard: Guard) -> bool {
+        self.disabled == Some(guard)
     }
 
-    /// Reads what the log holds.
+    /// Reads the entries of the log.
     pub(crate) fn read(&mut self, endpoints: &[Endpoint], now: Moment) {
         self.roster.record_read(now);
         for endpoint in endpoints {
             match endpoint.entry {
-                Some((life, standing)) => {
-                    let registration = endpoint.registration(life, standing);
+                Some((incarnation, standing)) => {
+                    let registration = endpoint.registration(incarnation, standing);
                     self.roster.apply(registration, now);
                 }
                 None => {
@@ -61,75 +61,86 @@
     }
 
     pub(crate) fn tick(&mut self, now: Moment) {
-        for life in self.notices.take_leaving(now) {
-            self.roster.mark_leaving(&life, now);
+        for incarnation in self.notices.take_leaving(now) {
+            self.roster.mark_leaving(&incarnation, now);
         }
     }
 
-    // The id by which the endpoint's word is noted.
-    fn noted(&self, registration: &Registration) -> EndpointId {
-        if self.lacks(Guard::Lives) {
+    // The id under which notices of an endpoint are recorded.
+    fn notice_id(&self, registration: &Registration) -> EndpointId {
+        if self.is_disabled(Guard::Incarnations) {
             return id::of(&registration.endpoint.name);
         }
         registration.endpoint.id
     }
 
-    /// Picks the endpoint of a request and counts it there.
-    pub(crate) fn place(&mut self, draw: u64, now: Moment) -> Option<Registration> {
+    /// Picks the endpoint for a request and counts the request there.
+    pub(crate) fn place_request(&mut self, draw: u64, now: Moment) -> Option<Registration> {
         let live = self
             .roster
             .registrations()
             .filter(|one| one.endpoint.standing == Standing::Live);
         let mut candidates = Vec::new();
         for one in live {
-            let access = match self.notices.get(self.noted(one), now) {
+            let access = match self.notices.get(self.notice_id(one), now) {
                 Some(Notice::Leaving | Notice::Paused { .. }) => continue,
-                Some(Notice::Resuming) if !self.lacks(Guard::Trials) => Access::Trial,
+                Some(Notice::Resuming) if !self.is_disabled(Guard::Trials) => Access::Trial,
                 _ => Access::Full,
             };
-            let own = self.own.get(&one.endpoint.id).copied().unwrap_or(0);
+            let own = self
+                .own_requests
+                .get(&one.endpoint.id)
+                .copied()
+                .unwrap_or(0);
             candidates.push(candidate(one, own, access));
         }
         let Pick::Send { endpoint, .. } =
-            pick(&candidates, Unavailable::default(), None, BOUND, draw)
+            pick(&candidates, Unavailable::default(), None, LOAD_BOUND, draw)
         else {
             return None;
         };
-        *self.own.entry(endpoint).or_default() += 1;
-        let all = self.roster.registrations();
-        all.into_iter()
+        *self.own_requests.entry(endpoint).or_default() += 1;
+        let registrations = self.roster.registrations();
+        registrations
+            .into_iter()
             .find(|one| one.endpoint.id == endpoint)
             .cloned()
     }
 
-    /// Returns whether it tries the endpoint by one request at a time.
-    pub(crate) fn tries(&self, endpoint: EndpointId, now: Moment) -> bool {
+    /// Returns whether the endpoint is tried with one request at a time.
+    pub(crate) fn is_on_trial(&self, endpoint: EndpointId, now: Moment) -> bool {
         self.notices.get(endpoint, now) == Some(Notice::Resuming)
     }
 
-    pub(crate) fn under_way(&self, endpoint: EndpointId) -> u32 {
-        self.own.get(&endpoint).copied().unwrap_or(0)
+    pub(crate) fn own_requests(&self, endpoint: EndpointId) -> u32 {
+        self.own_requests.get(&endpoint).copied().unwrap_or(0)
     }
 
-    /// Takes in an endpoint's answer, and its word on its leaving.
-    pub(crate) fn answered(&mut self, to: &Registration, reply: Reply, leaving: bool, now: Moment) {
+    /// Records an endpoint's response and whether it announced a leaving.
+    pub(crate) fn record_reply(
+        &mut self,
+        to: &Registration,
+        reply: Reply,
+        leaving: bool,
+        now: Moment,
+    ) {
         let id = to.endpoint.id;
-        if let Some(own) = self.own.get_mut(&id) {
+        if let Some(own) = self.own_requests.get_mut(&id) {
             *own -= 1;
         }
         if reply == Reply::Misdirected {
             return;
         }
-        let noted = self.noted(to);
-        if leaving && !self.lacks(Guard::Leaving) {
-            let life = to.endpoint_incarnation();
-            self.notices.record_leaving(noted, &life, now);
+        let key = self.notice_id(to);
+        if leaving && !self.is_disabled(Guard::Leaving) {
+            let incarnation = to.endpoint_incarnation();
+            self.notices.record_leaving(key, &incarnation, now);
         }
         match reply {
-            Reply::Refused(_) if self.lacks(Guard::Pauses) => {}
-            Reply::Refused(Some(pause)) => self.notices.record_pause(noted, pause, now),
-            Reply::Refused(None) => drop(self.notices.record_refusal(noted, now)),
-            Reply::Served | Reply::Misdirected => drop(self.notices.record_response(noted, now)),
+            Reply::Refused(_) if self.is_disabled(Guard::Pauses) => {}
+            Reply::Refused(Some(pause)) => self.notices.record_pause(key, pause, now),
+            Reply::Refused(None) => drop(self.notices.record_refusal(key, now)),
+            Reply::Served | Reply::Misdirected => drop(self.notices.record_response(key, now)),
         }
     }
 }
--- a/crates/direct/tests/notices/main.rs
+++ b/crates/direct/tests/notices/main.rs
@@ -1,51 +1,52 @@
-//! Instances and endpoints that say of themselves that they leave or want no requests.
+//! Simulation of instances and of endpoints that announce a leaving or ask for pauses.
 //!
-//! Time is driven and seeded. The log is away now and then, and lists endpoints as they
-//! were; requests are under way for up to a quarter of a second. What notes and remembers
-//! the endpoints' words, and what picks, is what runs.
+//! Time is simulated and random numbers are seeded. The log is unavailable at times and
+//! lists outdated states of endpoints; requests are in flight for up to a quarter of a
+//! second. The notices, the roster and the choice of endpoints are those of the production
+//! code.
 
 mod endpoint;
 mod instance;
 mod world;
 
-use world::{Guard, Size, play};
+use world::{Guard, Size, run_schedule};
 
-/// Schedules that the promises are played over with few instances.
-const SEEDS: u64 = 10_000;
+/// Number of schedules that are checked with few instances.
+const SMALL_SCHEDULES: u64 = 10_000;
 
-/// The same with many.
-const OF_MANY: u64 = 20;
-const OF_HUNDREDS: u64 = 6;
+/// Number of schedules that are checked with many instances.
+const MEDIUM_SCHEDULES: u64 = 20;
+const LARGE_SCHEDULES: u64 = 6;
 
-/// Threads that play them.
-const PARTS: u64 = 4;
+/// Number of threads that run schedules.
+const THREADS: u64 = 4;
 
-/// Schedules in which a guard that is taken out has to be missed.
-const FEW: u64 = 100;
+/// Number of schedules of which at least one must fail when a guard is disabled.
+const GUARD_SCHEDULES: u64 = 100;
 
 const SMALL: Size = Size {
     instances: 6,
     endpoints: 5,
     per_second: 60,
 };
-const MANY: Size = Size {
+const MEDIUM: Size = Size {
     instances: 82,
     endpoints: 16,
     per_second: 400,
 };
-const HUNDREDS: Size = Size {
+const LARGE: Size = Size {
     instances: 300,
     endpoints: 40,
     per_second: 1_200,
 };
 
-fn play_all(size: Size, seeds: u64) {
+fn run_schedules(size: Size, schedules: u64) {
     std::thread::scope(|scope| {
-        for part in 0..PARTS {
+        for thread_number in 0..THREADS {
             scope.spawn(move || {
-                for seed in (0..seeds).filter(|seed| seed % PARTS == part) {
-                    if let Err(broken) = play(seed, size, None) {
-                        panic!("seed {seed}: {broken}");
+                for seed in (0..schedules).filter(|seed| seed % THREADS == thread_number) {
+                    if let Err(violation) = run_schedule(seed, size, None) {
+                        panic!("seed {seed}: {violation}");
                     }
                 }
             });
@@ -53,41 +54,41 @@
     });
 }
 
-fn missed(guard: Guard) -> usize {
-    (0..FEW)
-        .filter(|seed| play(*seed, SMALL, Some(guard)).is_err())
+fn count_failures(guard: Guard) -> usize {
+    (0..GUARD_SCHEDULES)
+        .filter(|seed| run_schedule(*seed, SMALL, Some(guard)).is_err())
         .count()
 }
 
-/// Guards against requests to endpoints that said that they leave or want none, and against
-/// endpoints that are left out for longer than that.
+/// Guards against requests to endpoints that are leaving or paused, and against endpoints
+/// that stay unused for longer than that.
 #[test]
-fn what_endpoints_say_of_themselves_is_kept_to() {
-    play_all(SMALL, SEEDS);
+fn endpoint_notices_are_respected() {
+    run_schedules(SMALL, SMALL_SCHEDULES);
 }
 
 #[test]
-fn what_endpoints_say_of_themselves_is_kept_to_by_many() {
-    play_all(MANY, OF_MANY);
-    play_all(HUNDREDS, OF_HUNDREDS);
+fn endpoint_notices_are_respected_by_many_instances() {
+    run_schedules(MEDIUM, MEDIUM_SCHEDULES);
+    run_schedules(LARGE, LARGE_SCHEDULES);
 }
 
 #[test]
-fn schedules_break_instances_that_hear_of_leaving_from_the_log_alone() {
-    assert!(missed(Guard::Leaving) > 0);
+fn schedules_fail_if_only_the_log_announces_leaving() {
+    assert!(count_failures(Guard::Leaving) > 0);
 }
 
 #[test]
-fn schedules_break_instances_that_send_to_whoever_wants_none() {
-    assert!(missed(Guard::Pauses) > 0);
+fn schedules_fail_without_pauses() {
+    assert!(count_failures(Guard::Pauses) > 0);
 }
 
 #[test]
-fn schedules_break_instances_that_come_back_all_at_once() {
-    assert!(missed(Guard::Trials) > 0);
+fn schedules_fail_without_trials_after_pauses() {
+    assert!(count_failures(Guard::Trials) > 0);
 }
 
 #[test]
-fn schedules_break_instances_that_hold_a_life_against_the_next() {
-    assert!(missed(Guard::Lives) > 0);
+fn schedules_fail_if_notices_ignore_incarnations() {
+    assert!(count_failures(Guard::Incarnations) > 0);
 }
--- a/crates/direct/tests/restores/instance.rs
+++ b/crates/direct/tests/restores/instance.rs
@@ -1,4 +1,5 @@
-//! One instance: what it asks, and how it takes in what it hears.
+//! A simulated instance: its requests to the log and to peers, and how it applies the
+//! responses.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,368 +16,403 @@
 use godwitpost_types::endpoint::Standing;
 use godwitpost_types::id::{self, Era, Version};
 
-use crate::platform::{HEARTBEAT, Platform, Topic, Word};
+use crate::platform::{HEARTBEAT_INTERVAL, OperatorValue, Platform, Topic};
 use crate::world::Guard;
 
-/// Within what time keys that were taken away stop working.
-pub(crate) const REVOCATION: Duration = Duration::from_secs(5);
+/// Time within which revoked keys stop working.
+pub(crate) const REVOCATION_BOUND: Duration = Duration::from_secs(5);
 
-/// The age of its news from which on a peer is left.
-const STALE: Duration = Duration::from_millis(1_200);
+/// Age of a peer's state from which on the peer is left.
+const MAX_PEER_STATE_AGE: Duration = Duration::from_millis(1_200);
 
-/// An answer of the log.
+/// A response of the log; for a page, with whether it is the first one.
 #[derive(Debug)]
-pub(crate) enum Answer<V> {
+pub(crate) enum LogResponse<V> {
     Page(Reply<Page<V>>, bool),
     Tail(Reply<Tail<V>>),
 }
 
-/// Asks what a feed wants to know.
-pub(crate) fn ask<V: Clone>(platform: &Platform, topic: &Topic<V>, feed: &Feed) -> Answer<V> {
+/// Sends the next query of a feed.
+pub(crate) fn query_log<V: Clone>(
+    platform: &Platform,
+    topic: &Topic<V>,
+    feed: &Feed,
+) -> LogResponse<V> {
     match feed.next_query() {
-        Query::List(after) => Answer::Page(platform.list(topic, after.as_deref()), after.is_none()),
-        Query::Read(from) => Answer::Tail(platform.read(topic, from)),
+        Query::List(after) => {
+            LogResponse::Page(platform.list(topic, after.as_deref()), after.is_none())
+        }
+        Query::Read(from) => LogResponse::Tail(platform.read(topic, from)),
     }
 }
 
 /// One instance.
 #[derive(Debug)]
 pub(crate) struct Instance {
-    life: u64,
-    without: Option<Guard>,
-    pub(crate) board: Replica,
+    incarnation: u64,
+    disabled: Option<Guard>,
+    pub(crate) replica: Replica,
     pub(crate) version: Version,
-    pub(crate) empty: EvacuatedZones,
+    pub(crate) evacuated_zones: EvacuatedZones,
     pub(crate) roster: Roster,
-    reading: TopicState,
-    start: StartupState,
-    confirmed: Moment,
+    topic_state: TopicState,
+    startup: StartupState,
+    confirmed_at: Moment,
     era: Option<Era>,
-    listed: bool,
-    /// Counts the changes between the log and peers.
+    endpoints_listed: bool,
+    /// Counts the changes between reading the log and polling peers.
     pub(crate) epoch: u64,
-    /// Whether the log is read.
-    pub(crate) direct: bool,
-    pub(crate) words: Feed,
-    pub(crate) entries: Feed,
-    /// What was last told by whom.
-    asked: Option<(u64, u64)>,
-    /// Names of servers that it knew to have left.
-    pub(crate) left: BTreeSet<String>,
+    /// Whether the instance reads the log itself.
+    pub(crate) reads_log: bool,
+    pub(crate) operator_feed: Feed,
+    pub(crate) endpoints_feed: Feed,
+    /// Incarnation of the peer that sent the last update, and the update's revision.
+    last_update: Option<(u64, u64)>,
+    /// Names of servers known to be leaving.
+    pub(crate) known_leaving: BTreeSet<String>,
 }
 
 impl Instance {
-    pub(crate) fn start(life: u64, without: Option<Guard>) -> Self {
+    pub(crate) fn start(incarnation: u64, disabled: Option<Guard>) -> Self {
         Self {
-            life,
-            without,
-            board: Replica::new(life),
+            incarnation,
+            disabled,
+            replica: Replica::new(incarnation),
             version: 0,
-            empty: EvacuatedZones::default(),
-            roster: Roster::new(HEARTBEAT),
-            reading: TopicState::default(),
-            start: StartupState::default(),
-            confirmed: Duration::ZERO,
+            evacuated_zones: EvacuatedZones::default(),
+            roster: Roster::new(HEARTBEAT_INTERVAL),
+            topic_state: TopicState::default(),
+            startup: StartupState::default(),
+            confirmed_at: Duration::ZERO,
             era: None,
-            listed: false,
+            endpoints_listed: false,
             epoch: 0,
-            direct: true,
-            words: Feed::default(),
-            entries: Feed::default(),
-            asked: None,
-            left: BTreeSet::new(),
+            reads_log: true,
+            operator_feed: Feed::default(),
+            endpoints_feed: Feed::default(),
+            last_update: None,
+            known_leaving: BTreeSet::new(),
         }
     }
 
-    fn lacks(&self, guard: Guard) -> bool {
-        self.without == Some(guard)
+    fn is_disabled(&self, guard: Guard) -> bool {
+        self.disabled == Some(guard)
     }
 
-    /// Returns whether it has heard of both topics.
-    pub(crate) const fn informed(&self) -> bool {
-        self.listed && self.version > 0
+    /// Returns whether both topics are known.
+    pub(crate) const fn can_route(&self) -> bool {
+        self.endpoints_listed && self.version > 0
     }
 
-    /// Reads the log from now on.
-    pub(crate) fn goes_to_log(&mut self) {
-        self.direct = true;
+    /// Starts to read the log.
+    pub(crate) fn switch_to_log(&mut self) {
+        self.reads_log = true;
         self.epoch += 1;
-        self.words = Feed::with_known_keys(self.board.endpoint_names());
-        self.entries = Feed::with_known_keys(self.board.endpoint_names());
+        self.operator_feed = Feed::with_known_keys(self.replica.endpoint_names());
+        self.endpoints_feed = Feed::with_known_keys(self.replica.endpoint_names());
     }
 
-    /// Asks peers from now on.
-    pub(crate) const fn goes_to_peers(&mut self) {
-        self.direct = false;
+    /// Starts to poll peers.
+    pub(crate) const fn switch_to_peers(&mut self) {
+        self.reads_log = false;
         self.epoch += 1;
-        self.asked = None;
+        self.last_update = None;
     }
 
-    fn era(&mut self, era: Era, heard: Option<Moment>, now: Moment) {
+    fn update_era(&mut self, era: Era, restored_at: Option<Moment>, now: Moment) {
         let before = self.era;
         if before < Some(era) {
             self.era = Some(era);
-            self.board.set_era(era);
+            self.replica.set_era(era);
         }
-        let rose = before.is_some_and(|before| before < era);
-        if let Some(at) = heard.or(rose.then_some(now))
-            && !self.lacks(Guard::Lapses)
+        let has_increased = before.is_some_and(|before| before < era);
+        if let Some(at) = restored_at.or(has_increased.then_some(now))
+            && !self.is_disabled(Guard::MissingEntries)
         {
             self.roster.record_restore(at);
-            self.board.record_restore(at);
+            self.replica.record_restore(at);
         }
     }
 
-    /// Takes in what the operator's topic told.
-    pub(crate) fn words(&mut self, answer: Answer<Word>, asked: Moment, now: Moment) {
-        let Some((changes, _, whole)) = take(&mut self.words, answer, self.without) else {
+    /// Applies a response of the operator's topic.
+    pub(crate) fn apply_operator(
+        &mut self,
+        response: LogResponse<OperatorValue>,
+        sent_at: Moment,
+        now: Moment,
+    ) {
+        let Some((changes, _, complete)) =
+            apply_response(&mut self.operator_feed, response, self.disabled)
+        else {
             return;
         };
-        let era = self.words.era();
-        self.era(era, None, now);
-        self.reading.reset_if_new(self.epoch, era);
+        let era = self.operator_feed.era();
+        self.update_era(era, None, now);
+        self.topic_state.reset_if_new(self.epoch, era);
         for change in changes {
-            self.word(change);
+            self.apply_operator_change(change);
         }
-        if let Some(offset) = self.words.position() {
-            let era = if self.lacks(Guard::Positions) { 0 } else { era };
-            self.evacuate(self.reading.evacuation_at(Position { era, offset }), now);
+        if let Some(offset) = self.operator_feed.position() {
+            let era = if self.is_disabled(Guard::Positions) {
+                0
+            } else {
+                era
+            };
+            self.apply_evacuation(
+                self.topic_state.evacuation_at(Position { era, offset }),
+                now,
+            );
         }
-        let starts = self.start.record_read(era, asked) || self.lacks(Guard::Starts);
-        if whole && starts && self.reading.version >= self.version {
-            self.confirm(asked);
+        let may_confirm =
+            self.startup.record_read(era, sent_at) || self.is_disabled(Guard::StartupWait);
+        if complete && may_confirm && self.topic_state.version >= self.version {
+            self.confirm(sent_at);
         }
     }
 
     fn confirm(&mut self, at: Moment) {
-        self.confirmed = self.confirmed.max(at);
-        self.board.confirm_policy(at);
+        self.confirmed_at = self.confirmed_at.max(at);
+        self.replica.confirm_policy(at);
     }
 
-    fn word(&mut self, change: Change<Word>) {
+    fn apply_operator_change(&mut self, change: Change<OperatorValue>) {
         match change {
-            Change::Set(_, Word::Version(version)) => {
-                self.reading.version = version;
-                self.policy(version);
+            Change::Set(_, OperatorValue::Version(version)) => {
+                self.topic_state.version = version;
+                self.apply_version(version);
             }
-            Change::Set(zone, Word::Evacuate) => self.reading.set(zone.clone(), zone),
-            Change::Removed(key) => self.reading.remove(&key),
+            Change::Set(zone, OperatorValue::Evacuate) => self.topic_state.set(zone.clone(), zone),
+            Change::Removed(key) => self.topic_state.remove(&key),
             Change::Unreadable(..) => {}
         }
     }
 
-    fn policy(&mut self, version: Version) {
-        if version > self.version || self.lacks(Guard::Versions) {
+    fn apply_version(&mut self, version: Version) {
+        if version > self.version || self.is_disabled(Guard::Versions) {
             self.version = version;
-            self.board.set_policy(Content {
+            self.replica.set_policy(Content {
                 version,
                 ..Content::default()
             });
         }
     }
 
-    fn evacuate(&mut self, evacuation: Evacuation, now: Moment) {
-        self.empty.apply(evacuation, now);
-        if self.lacks(Guard::Zones) {
-            self.empty.release_expired(Duration::MAX);
+    fn apply_evacuation(&mut self, evacuation: Evacuation, now: Moment) {
+        self.evacuated_zones.apply(evacuation, now);
+        if self.is_disabled(Guard::RetainedZones) {
+            self.evacuated_zones.release_expired(Duration::MAX);
         }
-        self.board.set_evacuation(self.empty.state().clone());
+        self.replica
+            .set_evacuation(self.evacuated_zones.state().clone());
     }
 
-    /// Takes in what the endpoints' topic told.
-    pub(crate) fn entries(&mut self, answer: Answer<Registration>, asked: Moment, now: Moment) {
-        let Some((changes, listed, whole)) = take(&mut self.entries, answer, self.without) else {
+    /// Applies a response of the endpoints' topic.
+    pub(crate) fn apply_endpoints(
+        &mut self,
+        response: LogResponse<Registration>,
+        sent_at: Moment,
+        now: Moment,
+    ) {
+        let Some((changes, listed, complete)) =
+            apply_response(&mut self.endpoints_feed, response, self.disabled)
+        else {
             return;
         };
-        self.era(self.entries.era(), None, now);
+        self.update_era(self.endpoints_feed.era(), None, now);
         self.roster.set_origin(Origin::Log(self.epoch));
         self.roster.record_read(now);
-        let set = if listed && !self.lacks(Guard::Lists) {
+        let set = if listed && !self.is_disabled(Guard::UnconfirmedEntries) {
             Roster::apply_listed
         } else {
             Roster::apply
         };
         for change in changes {
             match change {
-                Change::Set(_, registration) => self.entry(registration, now, set),
+                Change::Set(_, registration) => self.apply_registration(registration, now, set),
                 Change::Removed(name) => match self.roster.remove(&name, now) {
-                    RemoveResult::Removed => self.gone(&name),
-                    RemoveResult::Retained => self.board.mark_expired(&name),
+                    RemoveResult::Removed => self.remove_from_replica(&name),
+                    RemoveResult::Retained => self.replica.mark_expired(&name),
                     RemoveResult::Unknown => {}
                 },
                 Change::Unreadable(..) => {}
             }
         }
-        self.listed |= whole;
-        if whole {
-            self.board.confirm_endpoints(asked);
+        self.endpoints_listed |= complete;
+        if complete {
+            self.replica.confirm_endpoints(sent_at);
         }
     }
 
-    fn entry(
+    fn apply_registration(
         &mut self,
         registration: Registration,
         now: Moment,
         set: fn(&mut Roster, Registration, Moment) -> SetResult,
     ) {
-        let told = registration.clone();
-        let setting = set(&mut self.roster, registration, now);
+        let entry = registration.clone();
+        let set_result = set(&mut self.roster, registration, now);
         if matches!(
-            setting,
+            set_result,
             SetResult::Unchanged | SetResult::Older | SetResult::Doubted
         ) {
             return;
         }
-        if told.endpoint.standing == Standing::Leaving {
-            self.left.insert(told.endpoint.name.clone());
+        if entry.endpoint.standing == Standing::Leaving {
+            self.known_leaving.insert(entry.endpoint.name.clone());
         }
-        self.board.set_endpoint(told, now);
+        self.replica.set_endpoint(entry, now);
     }
 
-    fn gone(&mut self, name: &str) {
-        self.board.remove_endpoint(name);
+    fn remove_from_replica(&mut self, name: &str) {
+        self.replica.remove_endpoint(name);
     }
 
-    /// Drops what has lapsed or was kept for long enough.
+    /// Removes expired and no longer retained state.
     pub(crate) fn tick(&mut self, now: Moment) {
         for name in self.roster.remove_expired(now) {
-            self.gone(&name);
+            self.remove_from_replica(&name);
         }
         for registration in self.roster.take_unconfirmed() {
-            self.entry(registration, now, Roster::apply);
+            self.apply_registration(registration, now, Roster::apply);
         }
-        self.empty.release_expired(self.confirmed);
+        self.evacuated_zones.release_expired(self.confirmed_at);
     }
 
-    /// Returns what it asks a peer.
-    pub(crate) fn question(&self, peer: &Self) -> UpdateRequest {
-        let (life, stamp) = self
-            .asked
-            .filter(|(life, _)| *life == peer.life)
+    /// Returns the update request for a peer.
+    pub(crate) fn update_request(&self, peer: &Self) -> UpdateRequest {
+        let (incarnation, revision) = self
+            .last_update
+            .filter(|(incarnation, _)| *incarnation == peer.incarnation)
             .unwrap_or_default();
         UpdateRequest {
-            incarnation: life,
-            revision: stamp,
-            digest: if life == 0 {
-                self.board.endpoint_digest()
+            incarnation,
+            revision,
+            digest: if incarnation == 0 {
+                self.replica.endpoint_digest()
             } else {
                 0
             },
             peer_address: None,
             version: self.version,
-            evacuation: self.board.evacuation_position(),
+            evacuation: self.replica.evacuation_position(),
             wait: Duration::ZERO,
             loads: Vec::new(),
             holders: Vec::new(),
         }
     }
 
-    /// Takes in what a peer told at `made`; returns whether it is of use.
-    pub(crate) fn told(&mut self, told: Update, made: Moment, now: Moment) -> bool {
-        let (Some(policy_age), Some(endpoints_age)) = (told.policy_age, told.endpoints_age) else {
+    /// Applies an update that a peer created at `created_at`; returns whether it is usable.
+    pub(crate) fn apply_update(&mut self, update: Update, created_at: Moment, now: Moment) -> bool {
+        let (Some(policy_age), Some(endpoints_age)) = (update.policy_age, update.endpoints_age)
+        else {
             return false;
         };
-        let read = since(made, endpoints_age);
-        let begins = self.asked.is_none_or(|(life, _)| life != told.incarnation);
-        let older = begins && Some(read) < self.board.endpoints_confirmed_at();
-        if policy_age.max(endpoints_age) > STALE || older {
+        let read = since(created_at, endpoints_age);
+        let is_new_peer = self
+            .last_update
+            .is_none_or(|(incarnation, _)| incarnation != update.incarnation);
+        let is_older = is_new_peer && Some(read) < self.replica.endpoints_confirmed_at();
+        if policy_age.max(endpoints_age) > MAX_PEER_STATE_AGE || is_older {
             return false;
         }
-        self.asked = Some((told.incarnation, told.revision));
-        let heard = told.restored.map(|age| since(made, age));
-        self.era(told.era, heard, now);
-        self.roster.set_origin(Origin::Peer(told.incarnation));
-        let gone = self.gone_by(&told);
-        let told_by_peer = if self.lacks(Guard::Lists) {
+        self.last_update = Some((update.incarnation, update.revision));
+        let restored_at = update.restored.map(|age| since(created_at, age));
+        self.update_era(update.era, restored_at, now);
+        self.roster.set_origin(Origin::Peer(update.incarnation));
+        let removed = self.removed_by(&update);
+        let apply_entry = if self.is_disabled(Guard::UnconfirmedEntries) {
             Roster::apply
         } else {
             Roster::apply_from_peer
         };
-        if let Some(content) = told.policy {
-            self.policy(content.version);
+        if let Some(content) = update.policy {
+            self.apply_version(content.version);
         }
-        if let Some(evacuation) = told.evacuation {
-            self.evacuate(evacuation, now);
+        if let Some(evacuation) = update.evacuation {
+            self.apply_evacuation(evacuation, now);
         }
         self.roster.record_read(read);
-        for registration in told.set {
-            self.entry(registration, made, told_by_peer);
+        for registration in update.set {
+            self.apply_registration(registration, created_at, apply_entry);
         }
-        for name in gone {
+        for name in removed {
             if self.roster.remove_confirmed(&name, now) {
-                self.gone(&name);
+                self.remove_from_replica(&name);
             }
         }
-        self.listed |= told.full;
-        self.board.confirm_endpoints(read);
-        self.start.record_peer_answer();
-        if told.version >= self.version {
-            self.confirm(since(made, policy_age));
+        self.endpoints_listed |= update.full;
+        self.replica.confirm_endpoints(read);
+        self.startup.record_peer_answer();
+        if update.version >= self.version {
+            self.confirm(since(created_at, policy_age));
         }
         true
     }
 
-    fn gone_by(&self, told: &Update) -> Vec<String> {
-        if !told.full {
-            return told.removed.clone();
+    fn removed_by(&self, update: &Update) -> Vec<String> {
+        if !update.full {
+            return update.removed.clone();
         }
-        let set = told.set.iter().map(|one| one.endpoint.name.as_str());
-        let there: BTreeSet<&str> = set.chain(told.expired.iter().map(String::as_str)).collect();
+        let set = update.set.iter().map(|one| one.endpoint.name.as_str());
+        let present: BTreeSet<&str> = set
+            .chain(update.expired.iter().map(String::as_str))
+            .collect();
         self.roster
             .registrations()
             .map(|one| one.endpoint.name.clone())
-            .filter(|name| !there.contains(name.as_str()))
+            .filter(|name| !present.contains(name.as_str()))
             .collect()
     }
 
-    /// Returns whether it acts on keys.
-    pub(crate) fn acts(&self, now: Moment) -> bool {
-        let confirmed = Some(self.confirmed).filter(|at| !at.is_zero());
-        Lease::new(Some(REVOCATION)).is_valid(confirmed, now)
+    /// Returns whether it accepts keys.
+    pub(crate) fn accepts_keys(&self, now: Moment) -> bool {
+        let confirmed_at = Some(self.confirmed_at).filter(|at| !at.is_zero());
+        Lease::new(Some(REVOCATION_BOUND)).is_valid(confirmed_at, now)
     }
 
-    /// Returns whether it sends to a server.
+    /// Returns whether it sends requests to a server.
     pub(crate) fn uses(&self, name: &str) -> bool {
         let mut all = self.roster.registrations();
         all.any(|one| one.endpoint.name == name && one.endpoint.standing == Standing::Live)
     }
 
-    /// Returns whether it keeps a zone empty.
-    pub(crate) fn keeps_empty(&self, zone: &str) -> bool {
-        self.empty.contains(id::of(zone))
+    /// Returns whether it treats a zone as evacuated.
+    pub(crate) fn is_evacuated(&self, zone: &str) -> bool {
+        self.evacuated_zones.contains(id::of(zone))
     }
 }
 
-// The changes, whether they come from a list, and whether all there was is known.
-fn take<V>(
+// Returns the changes, whether they come from a list, and whether they complete the known
+// state.
+fn apply_response<V>(
     feed: &mut Feed,
-    answer: Answer<V>,
-    without: Option<Guard>,
+    response: LogResponse<V>,
+    disabled: Option<Guard>,
 ) -> Option<(Vec<Change<V>>, bool, bool)> {
-    let eras = without != Some(Guard::Eras);
-    match answer {
-        Answer::Page(mut reply, first) => {
-            if !eras {
+    let compares_eras = disabled != Some(Guard::Eras);
+    match response {
+        LogResponse::Page(mut reply, first) => {
+            if !compares_eras {
                 reply.era = None;
                 reply.body.end = reply.body.end.max(feed.read_offset());
             }
             if feed.is_outdated(reply.era) {
                 return None;
             }
-            let whole = first && reply.body.next.is_none();
+            let complete = first && reply.body.next.is_none();
             let changes = feed.apply_page(reply);
-            Some((changes, true, whole && feed.is_listed()))
+            Some((changes, true, complete && feed.is_listed()))
         }
-        Answer::Tail(mut reply) => {
-            if !eras {
+        LogResponse::Tail(mut reply) => {
+            if !compares_eras {
                 reply.era = None;
             }
             if feed.is_outdated(reply.era) {
                 return None;
             }
-            let whole = matches!(&reply.body, Tail::Records { next, end, .. } if next >= end);
+            let complete = matches!(&reply.body, Tail::Records { next, end, .. } if next >= end);
             let changes = feed.apply_tail(reply);
-            Some((changes, false, whole && feed.is_listed()))
+            Some((changes, false, complete && feed.is_listed()))
         }
     }
 }
--- a/crates/direct/tests/restores/main.rs
+++ b/crates/direct/tests/restores/main.rs
@@ -1,33 +1,34 @@
-//! Instances before a log that is away now and then and comes back from a copy.
+//! Simulation of instances whose log is unavailable at times and is restored from backups.
 //!
-//! Time is driven and seeded; what follows the log, orders what it says and tells it to
-//! peers is what runs. Instances read the log or ask those that do, answers are late,
-//! the operator and the endpoints write again what was lost.
+//! Time is simulated and random numbers are seeded. Following the log, applying its records
+//! and sending updates to peers are the production code. Instances read the log or poll
+//! those that do, responses are late, and the operator and the endpoints write lost records
+//! again.
 
 mod instance;
 mod platform;
 mod world;
 
-use world::{Guard, play};
+use world::{Guard, run_schedule};
 
-/// Schedules that the promises are played over.
-const SEEDS: usize = 10_000;
+/// Number of schedules that are checked.
+const SCHEDULES: usize = 10_000;
 
-/// Threads that play them.
-const PARTS: usize = 4;
+/// Number of threads that run schedules.
+const THREADS: usize = 4;
 
-/// Schedules in which a guard that is taken out has to be missed.
-const FEW: u64 = 300;
+/// Number of schedules of which at least one must fail when a guard is disabled.
+const GUARD_SCHEDULES: u64 = 300;
 
-/// Guards against versions, endpoints and zones that are wrong after a log came back.
+/// Guards against wrong versions, endpoints and zones after the log was restored.
 #[test]
-fn what_was_acknowledged_is_known_and_stays_known() {
+fn acknowledged_records_are_learned_and_retained() {
     std::thread::scope(|scope| {
-        for part in 0..PARTS {
+        for thread_number in 0..THREADS {
             scope.spawn(move || {
-                for seed in (part..SEEDS).step_by(PARTS) {
-                    if let Err(broken) = play(seed as u64, None) {
-                        panic!("seed {seed}: {broken}");
+                for seed in (thread_number..SCHEDULES).step_by(THREADS) {
+                    if let Err(violation) = run_schedule(seed as u64, None) {
+                        panic!("seed {seed}: {violation}");
                     }
                 }
             });
@@ -35,43 +36,43 @@
     });
 }
 
-fn missed(guard: Guard) -> usize {
-    (0..FEW)
-        .filter(|seed| play(*seed, Some(guard)).is_err())
+fn count_failures(guard: Guard) -> usize {
+    (0..GUARD_SCHEDULES)
+        .filter(|seed| run_schedule(*seed, Some(guard)).is_err())
         .count()
 }
 
 #[test]
-fn schedules_break_instances_that_compare_offsets_of_two_eras() {
-    assert!(missed(Guard::Eras) > 0);
+fn schedules_fail_if_offsets_of_two_eras_are_compared() {
+    assert!(count_failures(Guard::Eras) > 0);
 }
 
 #[test]
-fn schedules_break_instances_that_take_older_versions() {
-    assert!(missed(Guard::Versions) > 0);
+fn schedules_fail_if_older_versions_are_applied() {
+    assert!(count_failures(Guard::Versions) > 0);
 }
 
 #[test]
-fn schedules_break_instances_that_believe_every_list() {
-    assert!(missed(Guard::Lists) > 0);
+fn schedules_fail_if_restored_lists_are_trusted() {
+    assert!(count_failures(Guard::UnconfirmedEntries) > 0);
 }
 
 #[test]
-fn schedules_break_instances_that_drop_what_a_copy_lacks() {
-    assert!(missed(Guard::Lapses) > 0);
+fn schedules_fail_if_missing_entries_are_dropped() {
+    assert!(count_failures(Guard::MissingEntries) > 0);
 }
 
 #[test]
-fn schedules_break_instances_that_give_lost_zones_back() {
-    assert!(missed(Guard::Zones) > 0);
+fn schedules_fail_if_missing_zones_are_released() {
+    assert!(count_failures(Guard::RetainedZones) > 0);
 }
 
 #[test]
-fn schedules_break_instances_that_order_zones_by_offset() {
-    assert!(missed(Guard::Positions) > 0);
+fn schedules_fail_if_zones_are_ordered_by_offset() {
+    assert!(count_failures(Guard::Positions) > 0);
 }
 
 #[test]
-fn schedules_break_instances_that_start_by_what_a_copy_says() {
-    assert!(missed(Guard::Starts) > 0);
+fn schedules_fail_if_instances_start_from_a_restored_log() {
+    assert!(count_failures(Guard::StartupWait) > 0);
 }
