--- a/crates/direct/tests/restores/platform.rs
+++ b/crates/direct/tests/restores/platform.rs
@@ -1,4 +1,4 @@
-//! The log, who writes to it, and what they wrote.
+//! The simulated log, its writers and their records.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,30 +11,30 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// How often endpoints say that they live.
-pub(crate) const HEARTBEAT: Duration = Duration::from_millis(1_200);
+/// Interval at which endpoints write heartbeats.
+pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_200);
 
-/// How long the log keeps the entry of a silent endpoint.
-pub(crate) const LAPSE: Duration = Duration::from_millis(3_600);
+/// Time after which the log removes the entry of a silent endpoint.
+pub(crate) const ENTRY_LIFETIME: Duration = Duration::from_millis(3_600);
 
-/// How long an endpoint that is leaving goes on.
-const LEAVES: Duration = Duration::from_millis(2_500);
+/// Time for which a leaving endpoint continues to run.
+const LEAVING_TIME: Duration = Duration::from_millis(2_500);
 
-/// How long it may take until all know what has lapsed.
-const SPARE: Duration = Duration::from_secs(2);
+/// Time within which all instances learn of expired entries.
+const EXPIRY_PROPAGATION_TIME: Duration = Duration::from_secs(2);
 
-/// Within what time instances in touch know what the log has acknowledged.
-const KNOWN: Duration = Duration::from_secs(2);
+/// Time within which instances in contact learn of acknowledged records.
+const PROPAGATION_TIME: Duration = Duration::from_secs(2);
 
-/// How long the log has to be well for a bound to hold.
-pub(crate) const CONTACT: Duration = Duration::from_secs(3);
+/// Time for which the log must be available before bounds apply.
+pub(crate) const MIN_LOG_AVAILABILITY: Duration = Duration::from_secs(3);
 
-const PAGE: usize = 3;
-const TAIL: usize = 8;
+const MAX_PAGE_RECORDS: usize = 3;
+const MAX_TAIL_RECORDS: usize = 8;
 
-/// What the operator writes under one key.
+/// A value that the operator writes under one key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Word {
+pub(crate) enum OperatorValue {
     Version(Version),
     Evacuate,
 }
@@ -62,8 +62,8 @@
         self.records.push((now, key.to_owned(), value));
     }
 
-    fn restore(&mut self, copy: Moment) {
-        self.records.retain(|(at, _, _)| *at < copy);
+    fn restore(&mut self, backup_time: Moment) {
+        self.records.retain(|(at, _, _)| *at < backup_time);
         self.first = self.first.min(self.records.len());
     }
 
@@ -86,7 +86,7 @@
             .filter(|(key, _)| after.is_none_or(|after| **key > after));
         let records: Vec<_> = rest
             .by_ref()
-            .take(PAGE)
+            .take(MAX_PAGE_RECORDS)
             .map(|(key, (offset, value))| Record {
                 key: (*key).to_owned(),
                 offset: *offset,
@@ -107,7 +107,7 @@
         }
         let skipped = usize::try_from(from).expect("a short topic");
         let records: Vec<_> = (from..)
-            .zip(self.records.iter().skip(skipped).take(TAIL))
+            .zip(self.records.iter().skip(skipped).take(MAX_TAIL_RECORDS))
             .map(|(offset, (_, key, value))| Record {
                 key: key.clone(),
                 offset,
@@ -122,48 +122,49 @@
     }
 }
 
-/// A server, and what it has said or wants to say.
+/// A server, with the state of its entry.
 #[derive(Debug)]
 pub(crate) struct Server {
     pub(crate) standing: Standing,
-    /// Since when it counts that the log has acknowledged its leaving, as leaving or gone.
+    /// From when on its leaving or removal counts as acknowledged by the log.
     pub(crate) left: Option<Moment>,
-    born: Moment,
-    written: Option<Moment>,
-    gone: Option<Moment>,
-    removed: bool,
-    // Whether a copy may hold its entry.
-    copied: bool,
+    started_at: Moment,
+    last_written: Option<Moment>,
+    gone_at: Option<Moment>,
+    is_removed: bool,
+    // Whether a backup may hold its entry.
+    in_backup: bool,
 }
 
 /// The log with the operator and the servers.
 #[derive(Debug)]
 pub(crate) struct Platform {
-    pub(crate) operator: Topic<Word>,
-    pub(crate) servers: Topic<Registration>,
+    pub(crate) operator: Topic<OperatorValue>,
+    pub(crate) endpoints: Topic<Registration>,
     pub(crate) era: Era,
-    /// Since when it answers; `None` while it is away.
-    pub(crate) back: Option<Moment>,
-    /// When it went away, the first time of those between which nothing lapsed.
-    pub(crate) went: Moment,
-    /// What the operator wants to be in force, and since when it is acknowledged.
+    /// Since when the log is available; `None` during an outage.
+    pub(crate) available_since: Option<Moment>,
+    /// When the outage began, or the first of several outages between which no entries
+    /// could expire.
+    pub(crate) outage_began: Moment,
+    /// The version that the operator wants in force, and when versions were acknowledged.
     pub(crate) version: Version,
-    pub(crate) acked: Vec<(Moment, Version)>,
+    pub(crate) acknowledged: Vec<(Moment, Version)>,
     pub(crate) evacuated: BTreeMap<String, Option<Moment>>,
-    pub(crate) fleet: BTreeMap<String, Server>,
-    // When it last went away.
-    lost: Moment,
-    // When the operator writes again.
-    rewrites: Option<Moment>,
-    copy: Moment,
+    pub(crate) servers: BTreeMap<String, Server>,
+    // When the last outage began.
+    last_outage: Moment,
+    // When the operator writes lost records again.
+    rewrite_at: Option<Moment>,
+    backup_time: Moment,
 }
 
-fn entry(name: &str, born: Moment, standing: Standing) -> Registration {
+fn entry(name: &str, started_at: Moment, standing: Standing) -> Registration {
     Registration {
         endpoint: Endpoint {
             id: id::of(name),
             name: name.to_owned(),
-            incarnation: u64::try_from(born.as_millis()).expect("a short day"),
+            incarnation: u64::try_from(started_at.as_millis()).expect("a short day"),
             service: 1,
             models: BTreeSet::new(),
             zone: 1,
@@ -180,46 +181,50 @@
     pub(crate) fn new() -> Self {
         let mut platform = Self {
             operator: Topic::new(),
-            servers: Topic::new(),
+            endpoints: Topic::new(),
             era: 0,
-            back: Some(Duration::ZERO),
-            went: Duration::ZERO,
+            available_since: Some(Duration::ZERO),
+            outage_began: Duration::ZERO,
             version: 0,
-            acked: Vec::new(),
+            acknowledged: Vec::new(),
             evacuated: BTreeMap::new(),
-            fleet: BTreeMap::new(),
-            lost: Duration::ZERO,
-            rewrites: None,
-            copy: Duration::ZERO,
+            servers: BTreeMap::new(),
+            last_outage: Duration::ZERO,
+            rewrite_at: None,
+            backup_time: Duration::ZERO,
         };
         for _ in 0..4 {
             platform.join(Duration::ZERO);
         }
-        platform.roll(Duration::ZERO);
+        platform.publish(Duration::ZERO);
         platform
     }
 
-    /// Returns whether it has answered for this long.
-    pub(crate) fn calm(&self, now: Moment, time: Duration) -> bool {
-        self.back.is_some_and(|back| now >= back + time)
+    /// Returns whether the log has been available for this time.
+    pub(crate) fn is_available_for(&self, now: Moment, time: Duration) -> bool {
+        self.available_since
+            .is_some_and(|available_since| now >= available_since + time)
     }
 
-    // When what is acknowledged now counts: once the log has been well for long enough.
-    fn stable(&self, now: Moment) -> Moment {
-        self.back.map_or(now, |back| now.max(back + CONTACT))
+    // Returns from when on a record that is acknowledged now counts, which takes a log that
+    // is available for long enough.
+    fn counts_from(&self, now: Moment) -> Moment {
+        self.available_since.map_or(now, |available_since| {
+            now.max(available_since + MIN_LOG_AVAILABILITY)
+        })
     }
 
-    /// Answers a list, as the era of now.
+    /// Answers a list request in the current era.
     pub(crate) fn list<V: Clone>(&self, topic: &Topic<V>, after: Option<&str>) -> Reply<Page<V>> {
         self.reply(topic.list(after))
     }
 
-    /// Answers a read, likewise.
+    /// Answers a read request in the current era.
     pub(crate) fn read<V: Clone>(&self, topic: &Topic<V>, from: Offset) -> Reply<Tail<V>> {
         self.reply(topic.read(from))
     }
 
-    // No era is named before the first.
+    // The era is not named before the first restore.
     fn reply<A>(&self, body: A) -> Reply<A> {
         Reply {
             era: Some(self.era).filter(|era| *era > 0),
@@ -227,84 +232,86 @@
         }
     }
 
-    /// Goes away; what was written after `copy` will be lost.
-    pub(crate) fn goes(&mut self, now: Moment, copy: Moment) {
-        if self.calm(now, LAPSE + SPARE) {
-            self.went = now;
+    /// Begins an outage. Records written after `backup_time` will be lost.
+    pub(crate) fn begin_outage(&mut self, now: Moment, backup_time: Moment) {
+        if self.is_available_for(now, ENTRY_LIFETIME + EXPIRY_PROPAGATION_TIME) {
+            self.outage_began = now;
         }
-        self.back = None;
-        self.lost = now;
-        self.copy = copy;
+        self.available_since = None;
+        self.last_outage = now;
+        self.backup_time = backup_time;
     }
 
-    /// Comes back from the copy; the operator writes again at `rewrites`.
-    pub(crate) fn returns(&mut self, now: Moment, rewrites: Moment, rng: &mut ChaCha8Rng) {
-        self.operator.restore(self.copy);
-        self.servers.restore(self.copy);
+    /// Restores the log from the backup. The operator writes lost records again at
+    /// `rewrite_at`.
+    pub(crate) fn restore(&mut self, now: Moment, rewrite_at: Moment, rng: &mut ChaCha8Rng) {
+        self.operator.restore(self.backup_time);
+        self.endpoints.restore(self.backup_time);
         self.era += 1;
-        self.back = Some(now);
-        self.rewrites = Some(rewrites);
-        let known = self.lost.saturating_sub(KNOWN);
-        for server in self.fleet.values_mut() {
-            // What was lost before anybody had to know it is to be said again.
+        self.available_since = Some(now);
+        self.rewrite_at = Some(rewrite_at);
+        let known = self.last_outage.saturating_sub(PROPAGATION_TIME);
+        for server in self.servers.values_mut() {
+            // A leaving that was lost before all had to know it must be written again.
             server.left = server.left.filter(|left| *left < known);
-            let since = if server.gone.is_some_and(|gone| gone <= now) {
+            let since = if server.gone_at.is_some_and(|gone_at| gone_at <= now) {
                 Duration::ZERO
             } else {
-                HEARTBEAT.mul_f64(rng.random())
+                HEARTBEAT_INTERVAL.mul_f64(rng.random())
             };
-            server.written = Some(now.saturating_sub(since));
-            server.copied = true;
+            server.last_written = Some(now.saturating_sub(since));
+            server.in_backup = true;
         }
     }
 
-    /// Forgets the history of both topics.
-    pub(crate) const fn forgets(&mut self) {
+    /// Drops the history of both topics, so that older offsets can no longer be read.
+    pub(crate) const fn drop_history(&mut self) {
         self.operator.first = self.operator.records.len();
-        self.servers.first = self.servers.records.len();
+        self.endpoints.first = self.endpoints.records.len();
     }
 
-    /// The operator rolls a version.
-    pub(crate) fn roll(&mut self, now: Moment) {
+    /// Publishes a new version.
+    pub(crate) fn publish(&mut self, now: Moment) {
         self.version += 2;
-        let word = Some(Word::Version(self.version));
-        self.operator.append(now, "config", word);
-        self.acked.push((now, self.version));
+        let value = Some(OperatorValue::Version(self.version));
+        self.operator.append(now, "config", value);
+        self.acknowledged.push((now, self.version));
     }
 
-    /// The operator gives back the zone that is evacuated, or evacuates another one.
-    pub(crate) fn turn_zone(&mut self, now: Moment) {
-        let empty = self.evacuated.iter_mut().find(|(_, at)| at.is_some());
-        if let Some((zone, at)) = empty {
+    /// Ends the evacuation in force, or evacuates another zone.
+    pub(crate) fn toggle_evacuation(&mut self, now: Moment) {
+        let evacuated_zone = self.evacuated.iter_mut().find(|(_, at)| at.is_some());
+        if let Some((zone, at)) = evacuated_zone {
             *at = None;
             self.operator.append(now, zone, None);
             return;
         }
         let zone = format!("z{}", self.evacuated.len());
-        self.operator.append(now, &zone, Some(Word::Evacuate));
+        self.operator
+            .append(now, &zone, Some(OperatorValue::Evacuate));
         self.evacuated.insert(zone, Some(now));
     }
 
-    /// A server joins under a new name.
+    /// Adds a server under a new name.
     pub(crate) fn join(&mut self, now: Moment) {
-        let name = format!("e{:02}", self.fleet.len());
+        let name = format!("e{:02}", self.servers.len());
         let server = Server {
             standing: Standing::Live,
             left: None,
-            born: now,
-            written: None,
-            gone: None,
-            removed: false,
-            copied: false,
+            started_at: now,
+            last_written: None,
+            gone_at: None,
+            is_removed: false,
+            in_backup: false,
         };
-        self.fleet.insert(name, server);
+        self.servers.insert(name, server);
     }
 
-    /// A server says that it leaves, or its entry is just removed.
+    /// Makes a server leave, by announcing it or by removing its entry.
     pub(crate) fn leave(&mut self, now: Moment, rng: &mut ChaCha8Rng) {
-        let stable = self.stable(now);
+        let counts_from = self.counts_from(now);
         let live: Vec<_> = self
-            .fleet
+            .servers
             .iter_mut()
             .filter(|(_, server)| server.standing == Standing::Live)
             .collect();
@@ -314,69 +321,79 @@
         let at = rng.random_range(0..live.len());
         let (name, server) = live.into_iter().nth(at).expect("a server");
         server.standing = Standing::Leaving;
-        server.left = Some(stable);
+        server.left = Some(counts_from);
         let silently = rng.random_bool(0.4);
-        server.gone = Some(if silently { now } else { now + LEAVES });
-        let said = (!silently).then(|| entry(name, server.born, Standing::Leaving));
-        self.servers.append(now, name, said);
-        server.written = Some(now);
-        server.removed = silently;
+        server.gone_at = Some(if silently { now } else { now + LEAVING_TIME });
+        let entry_value = (!silently).then(|| entry(name, server.started_at, Standing::Leaving));
+        self.endpoints.append(now, name, entry_value);
+        server.last_written = Some(now);
+        server.is_removed = silently;
     }
 
-    /// Everybody who has something to write does.
-    pub(crate) fn write(&mut self, now: Moment) {
-        if self.back.is_none() {
+    /// Writes the pending records of the operator and the servers.
+    pub(crate) fn write_pending(&mut self, now: Moment) {
+        if self.available_since.is_none() {
             return;
         }
-        if self.rewrites.is_some_and(|at| now >= at) {
-            self.rewrites = None;
-            self.rewrite(now);
+        if self.rewrite_at.is_some_and(|at| now >= at) {
+            self.rewrite_at = None;
+            self.rewrite_lost(now);
         }
-        let stable = self.stable(now);
-        for (name, server) in &mut self.fleet {
-            if beat(&mut self.servers, now, name, server) {
-                server.left.get_or_insert(stable);
+        let counts_from = self.counts_from(now);
+        for (name, server) in &mut self.servers {
+            if write_server(&mut self.endpoints, now, name, server) {
+                server.left.get_or_insert(counts_from);
             }
         }
     }
 
-    fn rewrite(&mut self, now: Moment) {
+    fn rewrite_lost(&mut self, now: Moment) {
         let newest = self.operator.newest();
         let mut lost = Vec::new();
-        let version = Word::Version(self.version);
+        let version = OperatorValue::Version(self.version);
         if newest
             .get("config")
-            .is_none_or(|(_, word)| **word != version)
+            .is_none_or(|(_, value)| **value != version)
         {
             lost.push(("config".to_owned(), Some(version)));
         }
         for (zone, evacuated) in &self.evacuated {
             if newest.contains_key(zone.as_str()) != evacuated.is_some() {
-                lost.push((zone.clone(), evacuated.map(|_| Word::Evacuate)));
+                lost.push((zone.clone(), evacuated.map(|_| OperatorValue::Evacuate)));
             }
         }
-        for (key, word) in lost {
-            self.operator.append(now, &key, word);
+        for (key, value) in lost {
+            self.operator.append(now, &key, value);
         }
     }
 }
 
-// Writes what a server has to say; returns whether that is that it leaves or is gone.
-fn beat(topic: &mut Topic<Registration>, now: Moment, name: &str, server: &mut Server) -> bool {
-    let silent = |time| server.written.is_none_or(|written| now >= written + time);
-    if server.gone.is_none_or(|gone| now < gone) {
-        if silent(HEARTBEAT) {
-            let entry = entry(name, server.born, server.standing);
+// Writes a server's pending record. Returns whether it announces a leaving or removes the
+// entry.
+fn write_server(
+    topic: &mut Topic<Registration>,
+    now: Moment,
+    name: &str,
+    server: &mut Server,
+) -> bool {
+    let silent = |time| {
+        server
+            .last_written
+            .is_none_or(|last_written| now >= last_written + time)
+    };
+    if server.gone_at.is_none_or(|gone_at| now < gone_at) {
+        if silent(HEARTBEAT_INTERVAL) {
+            let entry = entry(name, server.started_at, server.standing);
             topic.append(now, name, Some(entry));
-            server.written = Some(now);
+            server.last_written = Some(now);
             return server.standing == Standing::Leaving;
         }
-    } else if !server.removed {
+    } else if !server.is_removed {
         topic.append(now, name, None);
-        server.removed = true;
+        server.is_removed = true;
         return true;
-    } else if server.copied && silent(LAPSE) {
-        server.copied = false;
+    } else if server.in_backup && silent(ENTRY_LIFETIME) {
+        server.in_backup = false;
         if topic.newest().contains_key(name) {
             topic.append(now, name, None);
             return true;
--- a/crates/direct/tests/restores/world.rs
+++ b/crates/direct/tests/restores/world.rs
@@ -1,4 +1,4 @@
-//! A schedule: what happens when, and what has to hold all the while.
+//! Runs a schedule of events and checks the guarantees that must hold meanwhile.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,133 +12,137 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::instance::{Answer, Instance, REVOCATION, ask};
-use crate::platform::{CONTACT, LAPSE, Platform, Word};
+use crate::instance::{Instance, LogResponse, REVOCATION_BOUND, query_log};
+use crate::platform::{ENTRY_LIFETIME, MIN_LOG_AVAILABILITY, OperatorValue, Platform};
 
-const STEP: Duration = Duration::from_millis(20);
-/// How often the promises are looked at.
-const LOOKS: Duration = Duration::from_millis(100);
+const TIME_STEP: Duration = Duration::from_millis(20);
+/// Interval at which the guarantees are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-const DAY: Duration = Duration::from_secs(24);
-/// From when on no drill begins.
-const LAST_DRILL: Duration = Duration::from_secs(18);
+const SIMULATED_TIME: Duration = Duration::from_secs(24);
+/// Time after which no outage begins.
+const LAST_OUTAGE_START: Duration = Duration::from_secs(18);
 
-const CALM: Duration = Duration::from_secs(7);
+const SETTLING_TIME: Duration = Duration::from_secs(7);
 
-/// Within what time what the log has acknowledged has to be known.
-const BOUND: Duration = Duration::from_secs(2);
+/// Time within which acknowledged records must be known.
+const PROPAGATION_TIME: Duration = Duration::from_secs(2);
 
-/// How long an instance that starts asks others that know nothing yet, and how long one
-/// that is to read the log asks others at all.
-const ASKS_FIRST: Duration = Duration::from_millis(600);
-const VISIT: Duration = Duration::from_secs(1);
+/// Time for which a starting instance polls peers that know nothing yet, and time for which
+/// a starting seed polls peers at all.
+const STARTUP_POLLING_TIME: Duration = Duration::from_millis(600);
+const SEED_POLLING_TIME: Duration = Duration::from_secs(1);
 
-const READERS: usize = 2;
+const SEEDS: usize = 2;
 const INSTANCES: usize = 4;
 
-/// What may be taken out.
+/// A part of the production behaviour that a test can disable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Guard {
-    /// Offsets count within one era.
+    /// Offsets are compared within one era only.
     Eras,
     /// A version is never replaced by an older one.
     Versions,
-    /// Unknown entries of a restored log's list have to be written again.
-    Lists,
-    /// What a restored log lacks counts as lapsed.
-    Lapses,
-    /// Zones that a later era lacks are kept for a while.
-    Zones,
+    /// Unknown entries in the list of a restored log must be written again.
+    UnconfirmedEntries,
+    /// Entries that a restored log lacks count as expired.
+    MissingEntries,
+    /// Zones that a later era lacks stay evacuated for a grace period.
+    RetainedZones,
     /// States of zones are ordered by era first.
     Positions,
-    /// Who starts beside a restored log waits for the operator.
-    Starts,
+    /// An instance that starts with a restored log waits for the operator.
+    StartupWait,
 }
 
-/// Something that arrives later.
+/// The content of a response that arrives later.
 #[derive(Debug)]
-enum Arrival {
-    Words(Answer<Word>),
-    Entries(Answer<Registration>),
+enum Content {
+    Operator(LogResponse<OperatorValue>),
+    Endpoints(LogResponse<Registration>),
     Update(Box<Update>),
 }
 
-/// A call under way.
+/// A call in flight.
 #[derive(Debug)]
 struct Call {
     instance: usize,
-    life: u64,
+    incarnation: u64,
     epoch: u64,
-    asked: Moment,
-    made: Moment,
-    arrives: Moment,
-    arrival: Arrival,
+    sent_at: Moment,
+    created_at: Moment,
+    arrives_at: Moment,
+    content: Content,
 }
 
 struct World {
     rng: ChaCha8Rng,
-    without: Option<Guard>,
+    disabled: Option<Guard>,
     now: Moment,
     platform: Platform,
     instances: Vec<Instance>,
-    lives: Vec<u64>,
+    incarnations: Vec<u64>,
     started: Vec<Moment>,
     // What each instance has known: its newest version, and evacuations by their start.
-    versions: Vec<Version>,
-    evacuated: Vec<BTreeMap<String, Moment>>,
-    // Whom each has sent to.
-    used: Vec<BTreeSet<String>>,
-    // When each instance asks next: the operator's topic, the endpoints', a peer.
-    due: Vec<[Moment; 3]>,
+    newest_versions: Vec<Version>,
+    known_evacuations: Vec<BTreeMap<String, Moment>>,
+    // The servers that each instance has used.
+    used_servers: Vec<BTreeSet<String>>,
+    // When each instance makes its next call: to the operator's topic, the endpoints'
+    // topic, a peer.
+    next_calls: Vec<[Moment; 3]>,
     calls: Vec<Call>,
-    // When the log goes away, and comes back.
-    drills: Vec<(Moment, Moment)>,
+    // Start and end of the log outages.
+    outages: Vec<(Moment, Moment)>,
 }
 
-/// Plays a schedule.
+/// Runs a schedule.
 ///
 /// # Errors
 ///
-/// Returns the first promise that is broken.
-pub(crate) fn play(seed: u64, without: Option<Guard>) -> Result<(), String> {
-    let mut world = World::new(seed, without);
-    let last = world.drills.last().map_or(DAY, |(_, back)| DAY.max(*back));
-    while world.now < last + CALM {
-        world.now += STEP;
-        world.turn();
+/// Returns the first violation.
+pub(crate) fn run_schedule(seed: u64, disabled: Option<Guard>) -> Result<(), String> {
+    let mut world = World::new(seed, disabled);
+    let last = world
+        .outages
+        .last()
+        .map_or(SIMULATED_TIME, |(_, end)| SIMULATED_TIME.max(*end));
+    while world.now < last + SETTLING_TIME {
+        world.now += TIME_STEP;
+        world.step();
         world.check()?;
-        world.remember();
+        world.record_knowledge();
     }
     world.check_end()
 }
 
 impl World {
-    fn new(seed: u64, without: Option<Guard>) -> Self {
+    fn new(seed: u64, disabled: Option<Guard>) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut drills = Vec::new();
+        let mut outages = Vec::new();
         let mut from = Duration::from_secs(4);
-        while from < LAST_DRILL && drills.len() < 3 {
-            let goes = from + Duration::from_millis(rng.random_range(0..7_000));
-            let back = goes + Duration::from_millis(rng.random_range(100..3_000));
-            drills.push((goes, back));
-            from = back + Duration::from_millis(rng.random_range(200..4_000));
+        while from < LAST_OUTAGE_START && outages.len() < 3 {
+            let start = from + Duration::from_millis(rng.random_range(0..7_000));
+            let end = start + Duration::from_millis(rng.random_range(100..3_000));
+            outages.push((start, end));
+            from = end + Duration::from_millis(rng.random_range(200..4_000));
         }
         Self {
             rng,
-            without,
+            disabled,
             now: Duration::ZERO,
             platform: Platform::new(),
             instances: (0..INSTANCES)
-                .map(|n| Instance::start(n as u64 + 1, without))
+                .map(|n| Instance::start(n as u64 + 1, disabled))
                 .collect(),
-            lives: (1..=INSTANCES as u64).collect(),
+            incarnations: (1..=INSTANCES as u64).collect(),
             started: vec![Duration::ZERO; INSTANCES],
-            versions: vec![0; INSTANCES],
-            evacuated: vec![BTreeMap::new(); INSTANCES],
-            used: vec![BTreeSet::new(); INSTANCES],
-            due: vec![[Duration::ZERO; 3]; INSTANCES],
+            newest_versions: vec![0; INSTANCES],
+            known_evacuations: vec![BTreeMap::new(); INSTANCES],
+            used_servers: vec![BTreeSet::new(); INSTANCES],
+            next_calls: vec![[Duration::ZERO; 3]; INSTANCES],
             calls: Vec::new(),
-            drills,
+            outages,
         }
     }
 
@@ -146,194 +150,218 @@
         Duration::from_millis(self.rng.random_range(range))
     }
 
-    fn turn(&mut self) {
-        self.drill();
-        if self.now < DAY {
-            self.change();
+    fn step(&mut self) {
+        self.update_outage();
+        if self.now < SIMULATED_TIME {
+            self.make_change();
         }
-        self.platform.write(self.now);
+        self.platform.write_pending(self.now);
         for at in 0..INSTANCES {
-            self.asks(at);
+            self.make_due_calls(at);
         }
-        self.arrivals();
+        self.deliver_due();
         for instance in &mut self.instances {
             instance.tick(self.now);
         }
     }
 
-    fn drill(&mut self) {
+    fn update_outage(&mut self) {
         let now = self.now;
-        let Some((goes, back)) = self.drills.first().copied() else {
+        let Some((start, end)) = self.outages.first().copied() else {
             return;
         };
-        if now >= back {
-            self.drills.remove(0);
-            let rewrites = now + self.millis(0..400);
-            self.platform.returns(now, rewrites, &mut self.rng);
-        } else if now >= goes && self.platform.back.is_some() {
+        if now >= end {
+            self.outages.remove(0);
+            let rewrite_at = now + self.millis(0..400);
+            self.platform.restore(now, rewrite_at, &mut self.rng);
+        } else if now >= start && self.platform.available_since.is_some() {
             let age = self.millis(200..9_000);
-            self.platform.goes(now, now.saturating_sub(age));
+            self.platform.begin_outage(now, now.saturating_sub(age));
         }
     }
 
-    // Somebody does something, if the log takes it.
-    fn change(&mut self) {
+    // Makes a random change, if the log is available for it.
+    fn make_change(&mut self) {
         let now = self.now;
         if self.rng.random_bool(0.004) {
             let at = self.rng.random_range(0..INSTANCES);
             self.restart(at);
         }
         if self.rng.random_bool(0.01) {
-            let at = self.rng.random_range(READERS..INSTANCES);
-            if self.instances[at].direct {
-                self.instances[at].goes_to_peers();
+            let at = self.rng.random_range(SEEDS..INSTANCES);
+            if self.instances[at].reads_log {
+                self.instances[at].switch_to_peers();
             } else {
-                self.instances[at].goes_to_log();
+                self.instances[at].switch_to_log();
             }
         }
-        if self.platform.back.is_none() || !self.rng.random_bool(0.05) {
+        if self.platform.available_since.is_none() || !self.rng.random_bool(0.05) {
             return;
         }
         match self.rng.random_range(0..12) {
-            0..=5 => self.platform.roll(now),
-            6 | 7 => self.platform.turn_zone(now),
+            0..=5 => self.platform.publish(now),
+            6 | 7 => self.platform.toggle_evacuation(now),
             8 => self.platform.join(now),
             9 | 10 => self.platform.leave(now, &mut self.rng),
-            _ => self.platform.forgets(),
+            _ => self.platform.drop_history(),
         }
     }
 
     fn restart(&mut self, at: usize) {
-        self.lives[at] += 100;
+        self.incarnations[at] += 100;
         self.started[at] = self.now;
-        self.versions[at] = 0;
-        self.evacuated[at].clear();
-        self.used[at].clear();
-        self.instances[at] = Instance::start(self.lives[at], self.without);
-        // It asks others first.
-        self.instances[at].goes_to_peers();
-        self.due[at] = [self.now; 3];
+        self.newest_versions[at] = 0;
+        self.known_evacuations[at].clear();
+        self.used_servers[at].clear();
+        self.instances[at] = Instance::start(self.incarnations[at], self.disabled);
+        // It polls peers first.
+        self.instances[at].switch_to_peers();
+        self.next_calls[at] = [self.now; 3];
     }
 
-    // An instance has one call of each kind under way.
-    fn asks(&mut self, at: usize) {
-        let reader = at < READERS;
-        if reader && !self.instances[at].direct && self.now >= self.started[at] + VISIT {
-            self.instances[at].goes_to_log();
+    // An instance has one call of each kind in flight.
+    fn make_due_calls(&mut self, at: usize) {
+        let is_seed = at < SEEDS;
+        if is_seed
+            && !self.instances[at].reads_log
+            && self.now >= self.started[at] + SEED_POLLING_TIME
+        {
+            self.instances[at].switch_to_log();
         }
-        if self.instances[at].direct {
-            self.reads(at, 0);
-            self.reads(at, 1);
+        if self.instances[at].reads_log {
+            self.read_topic(at, 0);
+            self.read_topic(at, 1);
         } else {
-            self.asks_peer(at);
+            self.poll_peer(at);
         }
     }
 
-    fn reads(&mut self, at: usize, topic: usize) {
-        if self.now < self.due[at][topic] {
+    fn read_topic(&mut self, at: usize, topic: usize) {
+        if self.now < self.next_calls[at][topic] {
             return;
         }
-        // Pages of a list are asked for one after the other.
+        // Pages of a list are requested one after the other.
         let instance = &self.instances[at];
-        let listed = [instance.words.is_listed(), instance.entries.is_listed()][topic];
+        let listed = [
+            instance.operator_feed.is_listed(),
+            instance.endpoints_feed.is_listed(),
+        ][topic];
         let pause = self.millis(if listed { 60..400 } else { 20..80 });
-        self.due[at][topic] = self.now + pause;
-        if self.platform.back.is_none() {
+        self.next_calls[at][topic] = self.now + pause;
+        if self.platform.available_since.is_none() {
             return;
         }
         let instance = &self.instances[at];
         let platform = &self.platform;
-        let arrival = if topic == 0 {
-            Arrival::Words(ask(platform, &platform.operator, &instance.words))
+        let content = if topic == 0 {
+            Content::Operator(query_log(
+                platform,
+                &platform.operator,
+                &instance.operator_feed,
+            ))
         } else {
-            Arrival::Entries(ask(platform, &platform.servers, &instance.entries))
+            Content::Endpoints(query_log(
+                platform,
+                &platform.endpoints,
+                &instance.endpoints_feed,
+            ))
         };
-        self.call(at, pause, arrival);
+        self.call(at, pause, content);
     }
 
-    fn asks_peer(&mut self, at: usize) {
-        if self.now < self.due[at][2] {
+    fn poll_peer(&mut self, at: usize) {
+        if self.now < self.next_calls[at][2] {
             return;
         }
         let pause = self.millis(100..400);
-        self.due[at][2] = self.now + pause;
-        let peers = (0..READERS).filter(|peer| *peer != at);
+        self.next_calls[at][2] = self.now + pause;
+        let peers = (0..SEEDS).filter(|peer| *peer != at);
         let peer = peers.choose(&mut self.rng).expect("another one");
         let peer = &self.instances[peer];
-        let question = self.instances[at].question(peer);
-        let told = peer.board.build_update(&question, Duration::ZERO, self.now);
-        self.call(at, pause, Arrival::Update(Box::new(told)));
+        let update_request = self.instances[at].update_request(peer);
+        let update = peer
+            .replica
+            .build_update(&update_request, Duration::ZERO, self.now);
+        self.call(at, pause, Content::Update(Box::new(update)));
     }
 
-    // It arrives before the next one is sent.
-    fn call(&mut self, at: usize, within: Duration, arrival: Arrival) {
-        let late = within.mul_f64(self.rng.random());
+    // The response arrives before the next call is made.
+    fn call(&mut self, at: usize, within: Duration, content: Content) {
+        let latency = within.mul_f64(self.rng.random());
         self.calls.push(Call {
             instance: at,
-            life: self.lives[at],
+            incarnation: self.incarnations[at],
             epoch: self.instances[at].epoch,
-            asked: self.now,
-            made: self.now,
-            arrives: self.now + late,
-            arrival,
+            sent_at: self.now,
+            created_at: self.now,
+            arrives_at: self.now + latency,
+            content,
         });
     }
 
-    fn arrivals(&mut self) {
+    fn deliver_due(&mut self) {
         let now = self.now;
-        let (arrived, under_way) = std::mem::take(&mut self.calls)
+        let (arrived, in_flight) = std::mem::take(&mut self.calls)
             .into_iter()
-            .partition(|call| call.arrives <= now);
-        self.calls = under_way;
+            .partition(|call| call.arrives_at <= now);
+        self.calls = in_flight;
         for call in arrived {
-            self.arrive(call);
+            self.deliver(call);
         }
     }
 
-    fn arrive(&mut self, call: Call) {
+    fn deliver(&mut self, call: Call) {
         let instance = &mut self.instances[call.instance];
-        if call.life != self.lives[call.instance] || call.epoch != instance.epoch {
+        if call.incarnation != self.incarnations[call.instance] || call.epoch != instance.epoch {
             return;
         }
-        match call.arrival {
-            Arrival::Words(answer) => instance.words(answer, call.asked, self.now),
-            Arrival::Entries(answer) => instance.entries(answer, call.asked, self.now),
-            Arrival::Update(told) => {
-                let first = self.now < self.started[call.instance] + ASKS_FIRST;
-                if !instance.told(*told, call.made, self.now) && !first {
-                    instance.goes_to_log();
+        match call.content {
+            Content::Operator(reply) => instance.apply_operator(reply, call.sent_at, self.now),
+            Content::Endpoints(reply) => instance.apply_endpoints(reply, call.sent_at, self.now),
+            Content::Update(update) => {
+                let is_starting = self.now < self.started[call.instance] + STARTUP_POLLING_TIME;
+                if !instance.apply_update(*update, call.created_at, self.now) && !is_starting {
+                    instance.switch_to_log();
                 }
             }
         }
     }
 
-    // Since when an instance counts as in touch.
-    fn in_touch(&self, at: usize) -> bool {
-        let started = self.now >= self.started[at] + CONTACT;
-        started && self.instances[at].informed() && self.platform.calm(self.now, CONTACT)
+    // Returns whether bounds apply to an instance: it and the log have run for long enough.
+    fn is_in_contact(&self, at: usize) -> bool {
+        let started = self.now >= self.started[at] + MIN_LOG_AVAILABILITY;
+        started
+            && self.instances[at].can_route()
+            && self
+                .platform
+                .is_available_for(self.now, MIN_LOG_AVAILABILITY)
     }
 
-    // Notes what each instance knows now.
-    fn remember(&mut self) {
+    // Records what each instance knows now.
+    fn record_knowledge(&mut self) {
         for (at, instance) in self.instances.iter().enumerate() {
-            self.versions[at] = self.versions[at].max(instance.version);
+            self.newest_versions[at] = self.newest_versions[at].max(instance.version);
             let used = self
                 .platform
-                .fleet
+                .servers
                 .keys()
                 .filter(|name| instance.uses(name));
-            self.used[at].extend(used.cloned());
+            self.used_servers[at].extend(used.cloned());
             for (zone, evacuated) in &self.platform.evacuated {
-                if let Some(since) = evacuated.filter(|_| instance.keeps_empty(zone)) {
-                    self.evacuated[at].insert(zone.clone(), since);
+                if let Some(since) = evacuated.filter(|_| instance.is_evacuated(zone)) {
+                    self.known_evacuations[at].insert(zone.clone(), since);
                 }
             }
         }
     }
 
-    // Whatever is wrong stays so for longer than it takes to look again.
+    // A violation lasts for longer than the interval between checks.
     fn check(&self) -> Result<(), String> {
-        if !self.now.as_millis().is_multiple_of(LOOKS.as_millis()) {
+        if !self
+            .now
+            .as_millis()
+            .is_multiple_of(CHECK_INTERVAL.as_millis())
+        {
             return Ok(());
         }
         (0..INSTANCES).try_for_each(|at| self.check_one(at))
@@ -341,92 +369,99 @@
 
     fn check_one(&self, at: usize) -> Result<(), String> {
         let (now, instance) = (self.now, &self.instances[at]);
-        let bound = now.saturating_sub(BOUND);
-        let broken = |what: String| Err(format!("at {now:?} instance {at}: {what}"));
-        for name in &instance.left {
+        let bound = now.saturating_sub(PROPAGATION_TIME);
+        let violation = |what: String| Err(format!("at {now:?} instance {at}: {what}"));
+        for name in &instance.known_leaving {
             if instance.uses(name) {
-                return broken(format!("uses {name}, which it knew to leave"));
+                return violation(format!("uses {name}, although it knew that it leaves"));
             }
         }
-        if instance.version < self.versions[at] {
-            return broken(format!("went back to {}", instance.version));
+        if instance.version < self.newest_versions[at] {
+            return violation(format!("returned to version {}", instance.version));
         }
-        if at < READERS && !self.copy_is_believed() {
-            let used = self.used[at].iter();
+        if at < SEEDS && !self.backup_may_be_trusted() {
+            let used = self.used_servers[at].iter();
             let mut live =
-                used.filter(|name| self.platform.fleet[*name].standing == Standing::Live);
+                used.filter(|name| self.platform.servers[*name].standing == Standing::Live);
             let any = live.clone().next().is_some();
             if any && !live.any(|name| instance.uses(name)) {
-                return broken("sends to nobody of those that it knew any more".to_owned());
+                return violation("no longer uses any live server that it knew".to_owned());
             }
         }
-        let revoked = self.acked_by(now.saturating_sub(REVOCATION));
-        if instance.acts(now) && instance.version < revoked {
-            return broken(format!(
-                "acts by {}, and not by {revoked}",
+        let required = self.version_acknowledged_by(now.saturating_sub(REVOCATION_BOUND));
+        if instance.accepts_keys(now) && instance.version < required {
+            return violation(format!(
+                "accepts keys by version {}, although version {required} is required",
                 instance.version
             ));
         }
         for (zone, evacuated) in &self.platform.evacuated {
-            let known = self.evacuated[at].get(zone).copied();
-            if known.is_some() && known == *evacuated && !instance.keeps_empty(zone) {
-                return broken(format!("uses {zone}, which it knew to be evacuated"));
+            let known = self.known_evacuations[at].get(zone).copied();
+            if known.is_some() && known == *evacuated && !instance.is_evacuated(zone) {
+                return violation(format!(
+                    "uses {zone}, although it knew that it is evacuated"
+                ));
             }
         }
-        if !self.in_touch(at) {
+        if !self.is_in_contact(at) {
             return Ok(());
         }
-        let due = self.acked_by(bound);
+        let due = self.version_acknowledged_by(bound);
         if instance.version < due {
-            return broken(format!("has {} where {due} is due", instance.version));
+            return violation(format!(
+                "has version {}, although version {due} is due",
+                instance.version
+            ));
         }
         for (zone, evacuated) in &self.platform.evacuated {
-            if evacuated.is_some_and(|at| at <= bound) && !instance.keeps_empty(zone) {
-                return broken(format!("uses {zone}, which is evacuated"));
+            if evacuated.is_some_and(|at| at <= bound) && !instance.is_evacuated(zone) {
+                return violation(format!("uses {zone}, which is evacuated"));
             }
         }
-        if self.copy_is_believed() {
+        if self.backup_may_be_trusted() {
             return Ok(());
         }
-        for (name, server) in &self.platform.fleet {
+        for (name, server) in &self.platform.servers {
             if server.left.is_some_and(|at| at <= bound) && instance.uses(name) {
-                return broken(format!("uses {name}, which has left"));
+                return violation(format!("uses {name}, although it has left"));
             }
         }
         Ok(())
     }
 
-    // The newest version that was acknowledged by then.
-    fn acked_by(&self, by: Moment) -> Version {
-        let acked = self.platform.acked.iter();
-        let acked = acked.filter(|(at, _)| *at <= by);
-        acked.map(|(_, version)| *version).max().unwrap_or(0)
+    // Returns the newest version acknowledged by this time.
+    fn version_acknowledged_by(&self, by: Moment) -> Version {
+        let acknowledged = self.platform.acknowledged.iter();
+        let acknowledged = acknowledged.filter(|(at, _)| *at <= by);
+        acknowledged.map(|(_, version)| *version).max().unwrap_or(0)
     }
 
-    // Whether an instance has started that may know of endpoints by a copy alone, in
-    // which some still stand that have left. It goes by that until their entries lapse,
-    // and so does who asks it.
-    fn copy_is_believed(&self) -> bool {
-        let lapsed = self.platform.calm(self.now, LAPSE + BOUND);
+    // Returns whether an instance may know endpoints only from a backup, which may list
+    // endpoints that have left. It uses the entries until they expire, and so do the
+    // instances that poll it.
+    fn backup_may_be_trusted(&self) -> bool {
+        let has_expired = self
+            .platform
+            .is_available_for(self.now, ENTRY_LIFETIME + PROPAGATION_TIME);
         let mut started = self.started.iter();
-        started.any(|at| *at + VISIT > self.platform.went) && !lapsed
+        started.any(|at| *at + SEED_POLLING_TIME > self.platform.outage_began) && !has_expired
     }
 
-    // After a calm everybody knows all, and nothing else.
+    // After a time without changes each instance knows the exact state.
     fn check_end(&self) -> Result<(), String> {
         for (at, instance) in self.instances.iter().enumerate() {
-            let broken = |what: String| Err(format!("in the end instance {at}: {what}"));
+            let violation = |what: String| Err(format!("at the end instance {at}: {what}"));
             if instance.version != self.platform.version {
-                return broken(format!("has {}", instance.version));
+                return violation(format!("has version {}", instance.version));
             }
-            for (name, server) in &self.platform.fleet {
+            for (name, server) in &self.platform.servers {
                 if instance.uses(name) != (server.standing == Standing::Live) {
-                    return broken(format!("{name} is {server:?}"));
+                    return violation(format!("{name} is {server:?}"));
                 }
             }
             for (zone, evacuated) in &self.platform.evacuated {
-                if instance.keeps_empty(zone) != evacuated.is_some() {
-                    return broken(format!("{zone} is {evacuated:?}"));
+                if instance.is_evacuated(zone) != evacuated.is_some() {
+                    return violation(format!("{zone} is {evacuated:?}"));
                 }
             }
         }
