--- a/crates/router/src/body.rs
+++ b/crates/router/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies: whole ones, bounded reads, and the guard of a relayed stream.
+//! HTTP bodies: complete bodies, bounded reads, and relayed streams.
 
 pub mod peeked;
 pub mod relay;
@@ -10,7 +10,7 @@
 use godwitpost_client::connect::{Body, BoxError};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 
-/// Why a body was not read.
+/// The reason why a body was not read.
 #[derive(Debug, displaydoc::Display)]
 pub enum Error {
     /// the body is above the limit of {0} bytes; send less, or have the limit raised
@@ -21,7 +21,7 @@
 
 impl std::error::Error for Error {}
 
-/// Returns a body of these bytes.
+/// Returns a body with these bytes.
 #[must_use]
 pub fn full(bytes: Bytes) -> Body {
     Full::new(bytes)
@@ -29,18 +29,18 @@
         .boxed_unsync()
 }
 
-/// Bytes of an unwanted body that are read and dropped.
-const DISCARDED: usize = 16 << 20;
+/// Maximum number of bytes read when discarding a body.
+const MAX_DISCARDED_BYTES: usize = 16 << 20;
 
-/// How long an unwanted body may take.
-const DISCARD_TIME: Duration = Duration::from_secs(2);
+/// How long discarding a body may take.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Reads the rest of an unwanted body and drops it.
+/// Reads and discards the rest of an unwanted body.
 ///
-/// The failure: an answer is sent before the body was read, the connection is
-/// closed with bytes still unread, and the kernel sends a reset that makes the
-/// caller's side throw the answer away. The caller sees a broken connection in
-/// place of the reason. Both bounds keep an endless body from being read on.
+/// If a connection is closed after the response while bytes of the request are
+/// still unread, the kernel sends a reset that makes the caller's side discard
+/// the response. The caller then sees a broken connection instead of the
+/// reason. Limits on size and time prevent reading an endless body forever.
 pub async fn discard<B>(mut body: B)
 where
     B: http_body::Body<Data = Bytes> + Unpin,
@@ -49,16 +49,16 @@
         let mut bytes = 0;
         while let Some(Ok(frame)) = body.frame().await {
             bytes += frame.data_ref().map_or(0, Bytes::len);
-            if bytes > DISCARDED {
+            if bytes > MAX_DISCARDED_BYTES {
                 return;
             }
         }
     };
-    // Whether it was read in time makes no difference to the answer.
-    drop(tokio::time::timeout(DISCARD_TIME, read).await);
+    // The response is the same whether or not the body was read in time.
+    drop(tokio::time::timeout(DISCARD_TIMEOUT, read).await);
 }
 
-/// Reads a body that may have `limit` bytes at most.
+/// Reads a body of at most `limit` bytes.
 ///
 /// # Errors
 ///
--- a/crates/router/src/body/peeked.rs
+++ b/crates/router/src/body/peeked.rs
@@ -1,4 +1,4 @@
-//! A body of which the first frame was read already.
+//! A body whose first frame has already been read.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -7,7 +7,7 @@
 use godwitpost_client::connect::BoxError;
 use http_body::Frame;
 
-/// A frame and the body that follows it.
+/// A frame and the rest of its body.
 #[derive(Debug)]
 pub struct Peeked<B> {
     first: Option<Frame<Bytes>>,
@@ -15,7 +15,7 @@
 }
 
 impl<B> Peeked<B> {
-    /// Puts a frame back before the rest of its body.
+    /// Returns a body that yields `first` before `rest`.
     pub const fn new(first: Frame<Bytes>, rest: B) -> Self {
         Self {
             first: Some(first),
--- a/crates/router/src/body/relay.rs
+++ b/crates/router/src/body/relay.rs
@@ -1,15 +1,15 @@
-//! The guard of a relayed stream: it never looks whole when it isn't.
+//! A relayed body that makes truncation visible to the caller.
 //!
-//! The failure: an engine crashes in the middle of an answer. If the router
-//! ended its own answer properly, the caller would take half a text for the
-//! whole. So an error of the endpoint's body is passed on as an error, upon
-//! which hyper aborts the caller's connection without the last chunk (or
-//! resets the HTTP/2 stream). hyper itself notices a body shorter than its
-//! `Content-Length` or without its last chunk; an event stream that ends
-//! properly but without `data: [DONE]` is noticed here.
+//! An engine may crash in the middle of a response. If the router ended its own
+//! response properly, the caller would take a partial text for the complete
+//! one. So an error of the endpoint's body is forwarded as an error, and hyper
+//! aborts the caller's connection without the last chunk (or resets the HTTP/2
+//! stream). hyper itself detects a body that is shorter than its
+//! `Content-Length` or lacks its last chunk; an event stream that ends properly
+//! but without `data: [DONE]` is detected here.
 //!
-//! How the stream ended is told exactly once, also when the body is dropped
-//! half-way because the caller went away.
+//! The end of the stream is reported exactly once, also if the body is dropped
+//! early because the caller disconnected.
 
 use std::fmt;
 use std::pin::Pin;
@@ -19,37 +19,37 @@
 use godwitpost_client::connect::BoxError;
 use http_body::{Frame, SizeHint};
 
-/// How a relayed stream ended.
+/// How a relayed body ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyEnd {
-    /// Whole.
+    /// The body was relayed completely.
     Complete,
-    /// The endpoint broke off.
+    /// The endpoint's response broke off.
     Broken,
-    /// The caller went away.
+    /// The caller disconnected.
     Dropped,
 }
 
-/// What shows that a body is whole.
+/// How the completeness of a body is detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndDetection {
-    /// Its length or last chunk.
+    /// By its length or last chunk.
     Framed,
-    /// The end mark of an event stream.
+    /// By the end marker of an event stream.
     Marked,
-    /// Nothing: it ends with its connection, whole or not.
+    /// Not at all: the body ends when the connection closes, complete or not.
     Unknown,
 }
 
-/// A relayed body that tells how it ended.
+/// A relayed body that reports how it ended.
 pub struct Relay<B, F: FnOnce(BodyEnd)> {
     body: B,
-    events: Option<Tail>,
-    ends: EndDetection,
-    told: Option<F>,
+    tail: Option<StreamTail>,
+    end_detection: EndDetection,
+    on_end: Option<F>,
 }
 
-/// A body that ended without a sign that it is whole.
+/// The error of a body that ended before it was known to be complete.
 #[derive(Debug, displaydoc::Display)]
 #[displaydoc("the endpoint's answer ended without its end mark, length or last chunk")]
 pub struct Truncated;
@@ -57,32 +57,32 @@
 impl std::error::Error for Truncated {}
 
 impl<B, F: FnOnce(BodyEnd)> Relay<B, F> {
-    /// Guards a body.
-    pub fn new(body: B, ends: EndDetection, told: F) -> Self {
+    /// Relays a body and calls `on_end` once when it ends or is dropped.
+    pub fn new(body: B, end_detection: EndDetection, on_end: F) -> Self {
         Self {
             body,
-            events: (ends == EndDetection::Marked).then(Tail::default),
-            ends,
-            told: Some(told),
+            tail: (end_detection == EndDetection::Marked).then(StreamTail::default),
+            end_detection,
+            on_end: Some(on_end),
         }
     }
 
-    fn tell(&mut self, end: BodyEnd) {
-        if let Some(told) = self.told.take() {
-            told(end);
+    fn report_end(&mut self, end: BodyEnd) {
+        if let Some(on_end) = self.on_end.take() {
+            on_end(end);
         }
     }
 
-    fn end(&mut self) -> Option<Result<Frame<Bytes>, BoxError>> {
-        let whole = match &self.events {
-            Some(tail) => tail.done(),
-            None => self.ends == EndDetection::Framed,
+    fn finish(&mut self) -> Option<Result<Frame<Bytes>, BoxError>> {
+        let is_complete = match &self.tail {
+            Some(tail) => tail.ends_with_marker(),
+            None => self.end_detection == EndDetection::Framed,
         };
-        if !whole {
-            self.tell(BodyEnd::Broken);
+        if !is_complete {
+            self.report_end(BodyEnd::Broken);
             return Some(Err(Box::new(Truncated)));
         }
-        self.tell(BodyEnd::Complete);
+        self.report_end(BodyEnd::Complete);
         None
     }
 }
@@ -103,19 +103,19 @@
         let this = &mut *self;
         match Pin::new(&mut this.body).poll_frame(cx) {
             Poll::Pending => Poll::Pending,
-            Poll::Ready(None) => Poll::Ready(this.end()),
+            Poll::Ready(None) => Poll::Ready(this.finish()),
             Poll::Ready(Some(Err(error))) => {
-                this.tell(BodyEnd::Broken);
+                this.report_end(BodyEnd::Broken);
                 Poll::Ready(Some(Err(error.into())))
             }
             Poll::Ready(Some(Ok(frame))) => {
-                if let (Some(tail), Some(bytes)) = (&mut this.events, frame.data_ref()) {
+                if let (Some(tail), Some(bytes)) = (&mut this.tail, frame.data_ref()) {
                     tail.push(bytes);
                 }
                 // A body with a length is never polled past its last byte, so
-                // its end has to be told here.
-                if this.ends == EndDetection::Framed && this.body.is_end_stream() {
-                    this.tell(BodyEnd::Complete);
+                // its end has to be reported here.
+                if this.end_detection == EndDetection::Framed && this.body.is_end_stream() {
+                    this.report_end(BodyEnd::Complete);
                 }
                 Poll::Ready(Some(Ok(frame)))
             }
@@ -123,7 +123,7 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.ends == EndDetection::Framed && self.body.is_end_stream()
+        self.end_detection == EndDetection::Framed && self.body.is_end_stream()
     }
 
     fn size_hint(&self) -> SizeHint {
@@ -134,42 +134,42 @@
 impl<B, F: FnOnce(BodyEnd)> fmt::Debug for Relay<B, F> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Relay")
-            .field("ends", &self.ends)
+            .field("ends", &self.end_detection)
             .finish_non_exhaustive()
     }
 }
 
 impl<B, F: FnOnce(BodyEnd)> Drop for Relay<B, F> {
     fn drop(&mut self) {
-        self.tell(BodyEnd::Dropped);
+        self.report_end(BodyEnd::Dropped);
     }
 }
 
-/// The end mark of an event stream, without white space.
-const DONE: &[u8] = b"data:[DONE]";
+/// The end marker of an event stream, without white space.
+const END_MARKER: &[u8] = b"data:[DONE]";
 
 /// The last bytes of an event stream, without white space.
 ///
 /// White space differs between engines (`data: [DONE]\n\n`, `\r\n`), and the
-/// mark may be split over frames.
+/// marker may be split across frames.
 #[derive(Debug, Default)]
-struct Tail {
+struct StreamTail {
     last: Vec<u8>,
 }
 
-impl Tail {
+impl StreamTail {
     fn push(&mut self, bytes: &[u8]) {
-        // Twice the mark leaves room for white space in between.
-        const ENOUGH: usize = 4 * DONE.len();
-        let start = bytes.len().saturating_sub(ENOUGH);
-        let solid = bytes[start..].iter().filter(|b| !b.is_ascii_whitespace());
-        self.last.extend(solid);
-        let excess = self.last.len().saturating_sub(DONE.len());
+        // Four times the marker's length leaves room for white space in between.
+        const MAX_SUFFIX_BYTES: usize = 4 * END_MARKER.len();
+        let start = bytes.len().saturating_sub(MAX_SUFFIX_BYTES);
+        let non_whitespace = bytes[start..].iter().filter(|b| !b.is_ascii_whitespace());
+        self.last.extend(non_whitespace);
+        let excess = self.last.len().saturating_sub(END_MARKER.len());
         self.last.drain(..excess);
     }
 
-    fn done(&self) -> bool {
-        self.last == DONE
+    fn ends_with_marker(&self) -> bool {
+        self.last == END_MARKER
     }
 }
 
--- a/crates/router/src/body/splice.rs
+++ b/crates/router/src/body/splice.rs
@@ -1,11 +1,11 @@
-//! An event stream that goes on after its connection broke.
+//! An event stream that is resumed after its connection broke.
 //!
-//! The failure: a connection to an engine breaks in the middle of a draft,
-//! while the engine is well and still holds the stream. Without this the
-//! caller's connection breaks too, and a minute's work is lost. Here the
-//! engine is asked for the rest, which is joined on at the end of the last
-//! whole event; [`Progress`] says whether, and checks the joint. If there is no
-//! rest, the break is passed on as it came.
+//! A connection to an engine may break in the middle of a response while the
+//! engine is healthy and still holds the stream. Without resuming, the caller's
+//! connection would break too and a minute's work would be lost. Instead, the
+//! rest is requested from the engine and appended after the last complete
+//! event. [`Progress`] decides whether to reconnect and checks that the rest
+//! continues the stream. If there is no rest, the caller gets the error.
 
 use std::fmt;
 use std::pin::Pin;
@@ -18,30 +18,30 @@
 
 use godwitpost_decide::resume::events::{EventSplitter, ends_with_end_marker};
 
-/// An event stream that may be joined from several answers.
+/// An event stream that may be joined from several responses.
 pub struct Splice<A, F> {
     state: State<F>,
-    again: A,
+    reconnect: A,
     events: EventSplitter,
-    resume: Progress,
+    progress: Progress,
 }
 
 enum State<F> {
     Reading(Body),
-    /// Waits for the rest; holds what to tell the caller if there is none.
-    Asking(Pin<Box<F>>, Option<BoxError>),
+    /// Waits for the rest, with the error for the caller if there is none.
+    Reconnecting(Pin<Box<F>>, Option<BoxError>),
     Ended,
 }
 
 impl<A, F> Splice<A, F> {
-    /// Starts with an answer; `again` asks for the rest after a break, or
-    /// says that nothing is to be asked.
-    pub fn new(body: Body, again: A) -> Self {
+    /// Starts with the body of a response. After a break, `reconnect` requests
+    /// the rest, or returns `None` if the stream must not be resumed.
+    pub fn new(body: Body, reconnect: A) -> Self {
         Self {
             state: State::Reading(body),
-            again,
+            reconnect,
             events: EventSplitter::default(),
-            resume: Progress::default(),
+            progress: Progress::default(),
         }
     }
 }
@@ -52,51 +52,51 @@
 where
     A: FnMut(&mut Progress) -> Option<F>,
 {
-    // Returns what is passed on of a frame; `None` if nothing is yet.
-    fn take(&mut self, frame: Frame<Bytes>) -> Step {
+    // Returns the part of a frame to forward now; `None` if there is none yet.
+    fn process_frame(&mut self, frame: Frame<Bytes>) -> Step {
         let bytes = match frame.into_data() {
             Ok(bytes) => bytes,
             Err(trailers) => return Some(Ok(trailers)),
         };
-        match self.events.push(bytes, &mut self.resume) {
+        match self.events.push(bytes, &mut self.progress) {
             Ok(bytes) if bytes.is_empty() => None,
             Ok(bytes) => Some(Ok(Frame::data(bytes))),
-            Err(astray) => {
+            Err(error) => {
                 self.state = State::Ended;
-                Some(Err(Box::new(astray)))
+                Some(Err(Box::new(error)))
             }
         }
     }
 
-    fn answered(&mut self, rest: Option<Body>, error: Option<BoxError>) -> Next {
+    fn finish_reconnect(&mut self, rest: Option<Body>, error: Option<BoxError>) -> Next {
         if let Some(body) = rest {
             self.state = State::Reading(body);
             return Next::Poll;
         }
         self.state = State::Ended;
-        Next::Give(error.map(Err))
+        Next::Yield(error.map(Err))
     }
 
-    // The end or the break of one answer.
-    fn over(&mut self, error: Option<BoxError>) -> Next {
-        // The end mark may come without the empty line that ends an event.
+    // Handles the end of one response, with the error if it broke off.
+    fn handle_end(&mut self, error: Option<BoxError>) -> Next {
+        // The end marker may lack the empty line that ends an event.
         let rest = self.events.take_partial();
         if error.is_none() && ends_with_end_marker(&rest) {
             self.state = State::Ended;
-            return Next::Give(Some(Ok(Frame::data(rest))));
+            return Next::Yield(Some(Ok(Frame::data(rest))));
         }
-        if let Some(asking) = (self.again)(&mut self.resume) {
-            self.state = State::Asking(Box::pin(asking), error);
+        if let Some(pending) = (self.reconnect)(&mut self.progress) {
+            self.state = State::Reconnecting(Box::pin(pending), error);
             return Next::Poll;
         }
         self.state = State::Ended;
-        Next::Give(error.map(Err))
+        Next::Yield(error.map(Err))
     }
 }
 
 enum Next {
     Poll,
-    Give(Step),
+    Yield(Step),
 }
 
 impl<A, F> http_body::Body for Splice<A, F>
@@ -112,22 +112,22 @@
         loop {
             let next = match &mut this.state {
                 State::Ended => return Poll::Ready(None),
-                State::Asking(asking, error) => {
-                    let rest = ready!(asking.as_mut().poll(cx));
+                State::Reconnecting(pending, error) => {
+                    let rest = ready!(pending.as_mut().poll(cx));
                     let error = error.take();
-                    this.answered(rest, error)
+                    this.finish_reconnect(rest, error)
                 }
                 State::Reading(body) => match ready!(Pin::new(body).poll_frame(cx)) {
-                    Some(Ok(frame)) => match this.take(frame) {
+                    Some(Ok(frame)) => match this.process_frame(frame) {
                         None => Next::Poll,
-                        step => Next::Give(step),
+                        step => Next::Yield(step),
                     },
-                    Some(Err(error)) => this.over(Some(error)),
-                    None if this.resume.is_done() => Next::Give(None),
-                    None => this.over(None),
+                    Some(Err(error)) => this.handle_end(Some(error)),
+                    None if this.progress.is_done() => Next::Yield(None),
+                    None => this.handle_end(None),
                 },
             };
-            if let Next::Give(step) = next {
+            if let Next::Yield(step) = next {
                 return Poll::Ready(step);
             }
         }
@@ -138,7 +138,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Splice")
             .field("events", &self.events)
-            .field("resume", &self.resume)
+            .field("resume", &self.progress)
             .finish_non_exhaustive()
     }
 }
--- a/crates/router/src/body/splice/tests.rs
+++ b/crates/router/src/body/splice/tests.rs
@@ -13,7 +13,7 @@
 
 type Rest = Option<Body>;
 
-/// A body of these frames; `None` breaks it off.
+/// Returns a body of these frames; `None` is a broken connection.
 fn body(frames: &[Option<&'static str>]) -> Body {
     let frames: Vec<Result<Frame<Bytes>, BoxError>> = frames
         .iter()
@@ -42,18 +42,18 @@
     }
 }
 
-/// Joins answers; returns what the caller gets, whether it is broken off, and
-/// the events that were named.
+/// Joins responses. Returns the text that the caller gets, whether it breaks
+/// off, and the ids of the events after which the rest was requested.
 async fn join(mut answers: VecDeque<Rest>) -> (String, bool, Vec<u64>) {
     let first = answers.pop_front().flatten().unwrap();
-    let mut asked = Vec::new();
+    let mut resumed_after = Vec::new();
     let mut budgets = Budgets::default();
-    let mut splice = Splice::new(first, |resume: &mut Progress| {
+    let mut splice = Splice::new(first, |progress: &mut Progress| {
         let now = Duration::from_secs(1);
-        let Next::Reconnect { after } = resume.record_break(now, &request(), &mut budgets) else {
+        let Next::Reconnect { after } = progress.record_break(now, &request(), &mut budgets) else {
             return None;
         };
-        asked.push(after);
+        resumed_after.push(after);
         Some(std::future::ready(answers.pop_front().flatten()))
     });
     let mut text = String::new();
@@ -65,51 +65,51 @@
         }
     }
     drop(splice);
-    (text, broken, asked)
+    (text, broken, resumed_after)
 }
 
-const WHOLE: &str = "id: 1\ndata: a\n\nid: 2\ndata: b\n\ndata: [DONE]\n\n";
+const COMPLETE: &str = "id: 1\ndata: a\n\nid: 2\ndata: b\n\ndata: [DONE]\n\n";
 
 // A connection breaks in the middle of the second event, or is closed there
-// as if the stream were complete. The editor must get each event once.
+// as if the stream were complete. The caller must get each event once.
 #[tokio::test]
-async fn a_half_event_is_replaced_by_the_whole_one() {
+async fn partial_event_is_replaced_by_the_complete_one() {
     for end in [
         &[Some("id: 1\ndata: a\n\nid: 2\nda"), None][..],
         &[Some("id: 1\ndata: a\n\nid: 2\nda")],
     ] {
         let rest = body(&[Some("id: 2\ndata: b\n\nda"), Some("ta: [DONE]\n\n")]);
         let joined = join([Some(body(end)), Some(rest)].into()).await;
-        assert_eq!(joined, (WHOLE.to_owned(), false, vec![1]));
+        assert_eq!(joined, (COMPLETE.to_owned(), false, vec![1]));
     }
 }
 
-// The last bytes that break off are those of the end mark; there is no event
-// left, and the editor still has to see that the draft is whole.
+// The connection breaks within the end marker. No event is missing, but the
+// caller still needs the marker to see that the stream is complete.
 #[tokio::test]
-async fn a_lost_end_mark_is_asked_for() {
+async fn lost_end_marker_is_requested() {
     let cut = body(&[Some("id: 1\ndata: a\n\nid: 2\ndata: b\n\ndata: [DO"), None]);
     let rest = body(&[Some("data: [DONE]\n\n")]);
     let joined = join([Some(cut), Some(rest)].into()).await;
-    assert_eq!(joined, (WHOLE.to_owned(), false, vec![2]));
+    assert_eq!(joined, (COMPLETE.to_owned(), false, vec![2]));
 }
 
-// An engine has forgotten the stream, or starts it anew. Half a draft must
-// not look whole, nor begin twice.
+// The engine no longer holds the stream, or starts it again from the beginning.
+// A partial stream must not look complete, nor begin twice.
 #[tokio::test]
-async fn a_stream_without_its_rest_breaks_off() {
-    let anew = body(&[Some(WHOLE)]);
-    for rest in [None, Some(anew)] {
+async fn stream_breaks_off_if_it_cannot_be_resumed() {
+    let restarted = body(&[Some(COMPLETE)]);
+    for rest in [None, Some(restarted)] {
         let cut = body(&[Some("id: 1\ndata: a\n\nid"), None]);
         let joined = join([Some(cut), rest].into()).await;
         assert_eq!(joined, ("id: 1\ndata: a\n\n".to_owned(), true, vec![1]));
     }
 }
 
-// Engines end the mark with or without empty lines; a stream that came whole
-// is never asked for again.
+// Engines send the end marker with or without empty lines after it; the rest of
+// a complete stream is never requested.
 #[tokio::test]
-async fn a_whole_stream_passes_as_it_is() {
+async fn complete_stream_is_relayed_unchanged() {
     for end in ["data: [DONE]\n\n", "data:[DONE]", "id: 2\ndata: [DONE]\r\n"] {
         let text: &'static str = format!("id: 1\ndata: a\n\n{end}").leak();
         let joined = join([Some(body(&[Some(text)]))].into()).await;
--- a/crates/router/src/problem.rs
+++ b/crates/router/src/problem.rs
@@ -1,7 +1,8 @@
-//! Answers that say why a request has no answer: RFC 9457 problem details.
+//! Error responses to callers: RFC 9457 problem details.
 //!
-//! Each names its remedy and carries the outcome header, so a program can
-//! tell "not run, send it again" from "it may have run" without reading prose.
+//! Each names a remedy and has the outcome header, so that a program can
+//! distinguish "not run, send it again" from "it may have run" without parsing
+//! the text.
 
 use std::borrow::Cow;
 use std::time::Duration;
@@ -18,7 +19,7 @@
 
 use crate::body;
 
-/// Why a request has no answer of an endpoint.
+/// The reason why a request has no response from an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
     /// The HTTP status.
@@ -27,11 +28,11 @@
     pub reason: Cow<'static, str>,
     /// What happened and the remedy.
     pub detail: String,
-    /// The fate of the request.
+    /// Whether the request was run.
     pub outcome: Outcome,
-    /// Which attempts a *not run* speaks for.
+    /// The attempts that a *not run* outcome covers.
     pub scope: Scope,
-    /// When sending it again may help.
+    /// How long to wait before sending the request again.
     pub retry_after: Option<Duration>,
 }
 
@@ -45,7 +46,7 @@
 }
 
 impl Problem {
-    /// Returns a problem of a request that was not run.
+    /// Returns a problem for a request that was not run.
     #[must_use]
     pub fn not_run(status: StatusCode, reason: &'static str, detail: impl Into<String>) -> Self {
         Self {
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Returns a problem of a request that may have run.
+    /// Returns a problem for a request that may have run.
     #[must_use]
     pub fn unknown(status: StatusCode, reason: &'static str, detail: impl Into<String>) -> Self {
         Self {
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Returns it with the time after which sending again may help.
+    /// Returns the problem with the time to wait before sending again.
     #[must_use]
     pub fn with_retry_after(self, wait: Duration) -> Self {
         Self {
@@ -76,23 +77,23 @@
         }
     }
 
-    /// Returns it with another outcome.
+    /// Returns the problem with another outcome.
     #[must_use]
     pub fn with_outcome(self, outcome: Outcome) -> Self {
         Self { outcome, ..self }
     }
 
-    /// Returns it speaking for other attempts.
+    /// Returns the problem with another scope.
     #[must_use]
     pub fn with_scope(self, scope: Scope) -> Self {
         Self { scope, ..self }
     }
 
-    /// Returns the answer that tells a caller.
+    /// Returns the HTTP response for a caller.
     ///
     /// # Panics
     ///
-    /// Never: its parts are plain text and numbers.
+    /// Never panics: plain text and numbers always serialize to JSON.
     #[must_use]
     pub fn response(&self) -> Response<Body> {
         let details = Details {
@@ -118,7 +119,7 @@
             headers.insert(name::SCOPE, HeaderValue::from_static(self.scope.as_str()));
         }
         if let Some(wait) = self.retry_after {
-            headers.insert(RETRY_AFTER, HeaderValue::from(seconds(wait)));
+            headers.insert(RETRY_AFTER, HeaderValue::from(retry_after_seconds(wait)));
         }
         response
     }
@@ -170,7 +171,7 @@
     }
 }
 
-// Whole seconds, rounded up: earlier would meet the same refusal.
-fn seconds(wait: Duration) -> u64 {
+// Rounds up to whole seconds: an earlier retry would be refused again.
+fn retry_after_seconds(wait: Duration) -> u64 {
     wait.as_secs() + u64::from(wait.subsec_nanos() > 0)
 }
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -1,12 +1,13 @@
-//! A request's way from its entry instance over an owner to an endpoint.
+//! Relays a request from its entry instance through an owner to an endpoint.
 //!
-//! [`entry`] runs a caller's request: it asks placement for an owner, sends
-//! the request there (over [`peer`], or to [`owner`] if that is this
-//! instance), and decides on another attempt if one failed. [`owner`] offers
-//! the request to the [`local_owner`] and, with its leave, sends it on by
-//! [`endpoint`], whose [`answer`] it relays; unrepeatable requests pass
-//! [`once`] between the two. [`resume`] asks for the rest of a broken stream,
-//! and [`cancel`] ends what nobody waits for.
+//! [`entry`] runs a caller's request: placement selects an owner, the request
+//! is sent there (through [`peer`], or [`owner`] if this instance is the
+//! owner), and a failed attempt may be retried. [`owner`] offers the request
+//! to the [`local_owner`], which grants a permit to dispatch it. [`endpoint`]
+//! then sends it, and [`answer`] relays the response. Unrepeatable requests
+//! are dispatched by [`once`], which claims their key first. [`resume`]
+//! fetches the rest of a broken stream, and [`cancel`] cancels requests whose
+//! caller has disconnected.
 
 pub(crate) mod answer;
 pub(crate) mod cancel;
@@ -23,23 +24,23 @@
 use godwitpost_wire::dispatch::{Head, Reply, pack, unpack};
 use http::{HeaderMap, Response};
 
-/// A request on its way, with its whole body.
+/// A request that is being relayed, with its complete body.
 ///
-/// Its headers are packed into the head only where it leaves for another
+/// The headers are packed into the head only if the request is sent to another
 /// instance: packing copies each name and value, and unpacking parses them
-/// again, which a request that stays here would pay for nothing.
+/// again, which a request served locally doesn't need.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
-    /// What travels between instances, but for the headers.
+    /// The part that is sent between instances; its headers are empty.
     pub(crate) head: Head,
-    /// The caller's headers that endpoints may see.
+    /// The caller's headers that are forwarded to endpoints.
     pub(crate) headers: HeaderMap,
     /// The body; clones share it.
     pub(crate) body: Bytes,
 }
 
 impl Job {
-    /// Returns a request as another instance sent it.
+    /// Returns the request that another instance sent.
     pub(crate) fn received(mut head: Head, body: Bytes) -> Self {
         let packed = std::mem::take(&mut head.headers);
         Self {
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Returns the head as it goes to another instance.
+    /// Returns the head with the packed headers, to be sent to another instance.
     pub(crate) fn packed(&self) -> Head {
         let mut head = self.head.clone();
         head.headers = pack(&self.headers);
@@ -57,11 +58,11 @@
     }
 }
 
-/// What came of one attempt.
+/// The result of one attempt.
 #[derive(Debug)]
 pub(crate) enum AttemptResult {
-    /// The endpoint's answer.
+    /// The endpoint's response.
     Response(Response<Body>),
-    /// Why there is none.
+    /// The reason why there is no response.
     Reply(Reply),
 }
--- a/crates/router/src/relay/answer.rs
+++ b/crates/router/src/relay/answer.rs
@@ -1,11 +1,12 @@
-//! The beginning of an endpoint's answer, before the caller sees any of it.
+//! Reads the beginning of an endpoint's response before the caller gets any of
+//! it.
 //!
-//! An engine sends its head at once and its first token when the prompt is
-//! computed. The head is held back until then, for two reasons: the caller's
-//! deadline is about the first token, and an engine that crashes in between
-//! can still be replaced by another without the caller noticing. An answer in
-//! one piece of JSON is read whole, since nothing but its syntax shows that it
-//! was cut off; it is as short as the tokens it has.
+//! An engine sends its head at once and its first token when the prompt has
+//! been computed. The head is held back until then for two reasons: the
+//! caller's deadline applies to the first token, and if the engine crashes in
+//! between, another one can take over without the caller noticing. A JSON
+//! response is read completely, since only its syntax shows whether it was
+//! truncated; its size is bounded by its number of tokens.
 
 use std::time::Duration;
 
@@ -28,57 +29,64 @@
 use crate::body::relay::{BodyEnd, EndDetection, Relay};
 use crate::body::splice::Splice;
 
-/// Bytes of an answer in one piece; 100,000 tokens are about half of it.
-const JSON_BYTES: usize = 1 << 20;
+/// Maximum size of a JSON response; 100,000 tokens take about half of it.
+const MAX_JSON_BYTES: usize = 1 << 20;
 
-/// An answer of which the first part is there.
+/// A response whose first part has been read.
 #[derive(Debug)]
 pub(crate) struct StartedResponse {
     parts: Parts,
     body: Body,
-    ends: EndDetection,
+    end_detection: EndDetection,
 }
 
-enum Shape {
+enum Format {
     Events,
     Json,
     Other,
 }
 
 impl StartedResponse {
-    /// Reads the beginning of an answer within `wait`.
+    /// Reads the beginning of a response within `wait`.
     ///
     /// # Errors
     ///
-    /// Returns how the attempt ended if there is no beginning.
+    /// Returns how the attempt ended if the beginning does not arrive.
     pub(crate) async fn read(
         kind: Kind,
         response: Response<Received>,
         wait: Duration,
     ) -> Result<Self, Ending> {
         let (mut parts, received) = response.into_parts();
-        endpoint::clean(&mut parts.headers);
-        let (body, ends) = match shape(kind, &parts.headers) {
-            Shape::Events => (first(received, wait).await?, EndDetection::Marked),
-            Shape::Json => (json(received, wait).await?, EndDetection::Framed),
-            Shape::Other if received.is_framed() => (received.boxed(), EndDetection::Framed),
-            Shape::Other => (received.boxed(), EndDetection::Unknown),
+        endpoint::strip_headers(&mut parts.headers);
+        let (body, end_detection) = match response_format(kind, &parts.headers) {
+            Format::Events => (
+                read_first_frame(received, wait).await?,
+                EndDetection::Marked,
+            ),
+            Format::Json => (read_json(received, wait).await?, EndDetection::Framed),
+            Format::Other if received.is_framed() => (received.boxed(), EndDetection::Framed),
+            Format::Other => (received.boxed(), EndDetection::Unknown),
         };
-        Ok(Self { parts, body, ends })
+        Ok(Self {
+            parts,
+            body,
+            end_detection,
+        })
     }
 
-    /// Lets a broken event stream go on with what its engine still holds.
-    pub(crate) fn resumed_from(mut self, source: Source) -> Self {
-        if self.ends == EndDetection::Marked && self.parts.status == StatusCode::OK {
-            let again = move |resume: &mut _| source.again(resume);
-            self.body = Splice::new(self.body, again).boxed_unsync();
+    /// Resumes the event stream from its engine if the connection breaks.
+    pub(crate) fn with_resume(mut self, source: Source) -> Self {
+        if self.end_detection == EndDetection::Marked && self.parts.status == StatusCode::OK {
+            let reconnect = move |progress: &mut _| source.reconnect(progress);
+            self.body = Splice::new(self.body, reconnect).boxed_unsync();
         }
         self
     }
 
-    /// Returns the answer, which tells the owner how it ends.
+    /// Returns the response; the end of its body is reported to the owner.
     pub(crate) fn relay(self, permit: Permit, mut cancel: Cancel) -> Response<Body> {
-        let told = move |end| {
+        let on_end = move |end| {
             if end != BodyEnd::Dropped {
                 cancel.disarm();
             }
@@ -88,25 +96,25 @@
                 BodyEnd::Dropped => Ending::Abandoned,
             });
         };
-        let body = Relay::new(self.body, self.ends, told).boxed_unsync();
+        let body = Relay::new(self.body, self.end_detection, on_end).boxed_unsync();
         Response::from_parts(self.parts, body)
     }
 }
 
-fn shape(kind: Kind, headers: &HeaderMap) -> Shape {
-    let named = headers.get(CONTENT_TYPE).map_or(&b""[..], |v| v.as_bytes());
+fn response_format(kind: Kind, headers: &HeaderMap) -> Format {
+    let content_type = headers.get(CONTENT_TYPE).map_or(&b""[..], |v| v.as_bytes());
     if kind != Kind::Engine || headers.contains_key(CONTENT_ENCODING) {
-        Shape::Other
-    } else if named.starts_with(b"text/event-stream") {
-        Shape::Events
-    } else if named.starts_with(b"application/json") {
-        Shape::Json
+        Format::Other
+    } else if content_type.starts_with(b"text/event-stream") {
+        Format::Events
+    } else if content_type.starts_with(b"application/json") {
+        Format::Json
     } else {
-        Shape::Other
+        Format::Other
     }
 }
 
-async fn first(mut received: Received, wait: Duration) -> Result<Body, Ending> {
+async fn read_first_frame(mut received: Received, wait: Duration) -> Result<Body, Ending> {
     match tokio::time::timeout(wait, received.frame()).await {
         Err(_elapsed) => Err(Ending::Timeout),
         Ok(Some(Ok(frame))) => Ok(Peeked::new(frame, received).boxed_unsync()),
@@ -114,8 +122,8 @@
     }
 }
 
-async fn json(received: Received, wait: Duration) -> Result<Body, Ending> {
-    let read = body::collect(received, JSON_BYTES);
+async fn read_json(received: Received, wait: Duration) -> Result<Body, Ending> {
+    let read = body::collect(received, MAX_JSON_BYTES);
     let bytes: Bytes = match tokio::time::timeout(wait, read).await {
         Err(_elapsed) => return Err(Ending::Timeout),
         Ok(Err(_)) => return Err(Ending::Broken),
--- a/crates/router/src/relay/cancel.rs
+++ b/crates/router/src/relay/cancel.rs
@@ -1,4 +1,4 @@
-//! Cancels what nobody waits for any more.
+//! Cancels requests at engines once their caller no longer waits.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,19 +16,20 @@
 use crate::shared::Shared;
 
 /// How long an engine may take to confirm that it cancelled a request.
-const WAIT: Duration = Duration::from_secs(1);
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Cancels a request at its engine when dropped while armed.
 ///
-/// Closing the connection tells an engine too, but only when it next writes;
-/// a long prefill would go on for a caller that has gone.
+/// An engine also notices a closed connection, but only at its next write; a
+/// long prefill would continue for a caller that has disconnected.
 #[derive(Debug)]
 pub(crate) struct Cancel {
     armed: Option<(Arc<Shared>, Endpoint, RequestId)>,
 }
 
 impl Cancel {
-    /// Returns one that cancels when dropped; plain services can't cancel.
+    /// Returns a guard that cancels the request when dropped. It does nothing
+    /// for plain services, which can't cancel.
     pub(crate) fn armed(shared: &Arc<Shared>, target: &Target, job: &Job) -> Self {
         let engine = target.kind == Kind::Engine;
         let id = job.head.request.id;
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Lets the request go on, or have its end.
+    /// Disarms the guard: the request continues or has already ended.
     pub(crate) fn disarm(&mut self) {
         self.armed = None;
     }
@@ -48,7 +49,8 @@
         let Some((shared, endpoint, id)) = self.armed.take() else {
             return;
         };
-        // Without a runtime the router itself ends, and its connections with it.
+        // Without a runtime the router itself is stopping, which closes its
+        // connections.
         if let Ok(runtime) = Handle::try_current() {
             runtime.spawn(async move { cancel(&shared, &endpoint, id).await });
         }
@@ -59,8 +61,10 @@
     let request = Request::delete(format!("/v1/requests/{}", request_text(id)))
         .body(body::full(Bytes::new()))
         .expect("hexadecimal digits are part of a path");
-    let sent = shared.connector.send(endpoint.address, request, WAIT);
+    let sent = shared
+        .connector
+        .send(endpoint.address, request, CANCEL_TIMEOUT);
     if let Err(error) = sent.await {
-        log::debug!(endpoint:% = endpoint.name, error:% = error; "cancel failed");
+        log::debug!(endpoint:% = endpoint.name, error:% = error; "can't cancel request");
     }
 }
--- a/crates/router/src/relay/endpoint.rs
+++ b/crates/router/src/relay/endpoint.rs
@@ -1,4 +1,4 @@
-//! The last leg: one request to one endpoint, and its answer back.
+//! Sends one request to one endpoint and relays the response.
 
 use std::sync::Arc;
 
@@ -23,51 +23,51 @@
 use crate::handover;
 use crate::shared::Shared;
 
-/// Sends a repeatable request and relays the answer as it comes.
+/// Sends a repeatable request and relays the response as it arrives.
 pub(crate) async fn relay(shared: &Arc<Shared>, permit: Permit, job: &Job) -> AttemptResult {
     let Some(target) = Target::find(shared, &permit, job) else {
-        return gone(permit);
+        return endpoint_removed(permit);
     };
     if let Some((home, location)) = permit.grant().notify_home {
         let shared = Arc::clone(shared);
         tokio::spawn(async move { handover::send_locations(&shared, home, &[location]).await });
     }
-    // Dropped while the engine works, this cancels there.
+    // Cancels the request at the engine if dropped before the response ends.
     let mut cancel = Cancel::armed(shared, &target, job);
-    match begin(shared, &target, permit.grant(), job).await {
-        Ok(begun) => {
+    match start_response(shared, &target, permit.grant(), job).await {
+        Ok(started) => {
             let source = Source {
                 shared: Arc::clone(shared),
                 target,
                 grant: *permit.grant(),
                 job: job.clone(),
             };
-            AttemptResult::Response(begun.resumed_from(source).relay(permit, cancel))
+            AttemptResult::Response(started.with_resume(source).relay(permit, cancel))
         }
         Err(ending) => {
             if ending != Ending::Timeout {
                 cancel.disarm();
             }
-            failed(shared, permit, job, ending)
+            attempt_failed(shared, permit, job, ending)
         }
     }
 }
 
-async fn begin(
+async fn start_response(
     shared: &Shared,
     target: &Target,
     grant: &Grant,
     job: &Job,
 ) -> Result<StartedResponse, Ending> {
     let response = send(shared, target, grant, job).await?;
-    if let Some(ending) = refused(shared, target, &response) {
+    if let Some(ending) = refusal_ending(shared, target, &response) {
         return Err(ending);
     }
     let wait = since(job.head.request.deadline, shared.now());
     StartedResponse::read(target.kind, response, wait).await
 }
 
-/// Where a request is sent.
+/// The endpoint that a request is sent to.
 #[derive(Clone, Debug)]
 pub(crate) struct Target {
     pub(crate) endpoint: Endpoint,
@@ -75,7 +75,7 @@
 }
 
 impl Target {
-    /// Returns the endpoint that leave was given for, unless it has gone.
+    /// Returns the permit's endpoint, unless it has been removed.
     pub(crate) fn find(shared: &Shared, permit: &Permit, job: &Job) -> Option<Self> {
         let snapshot = shared.snapshot();
         let endpoint = snapshot.view.endpoint(permit.grant().endpoint)?.clone();
@@ -88,8 +88,8 @@
     }
 }
 
-/// Gives leave back for an endpoint that has gone meanwhile.
-pub(crate) fn gone(permit: Permit) -> AttemptResult {
+/// Releases the permit for an endpoint that has been removed.
+pub(crate) fn endpoint_removed(permit: Permit) -> AttemptResult {
     let endpoint = permit.grant().endpoint;
     permit.finish(Ending::Refused);
     AttemptResult::Reply(Reply::Failed {
@@ -99,11 +99,11 @@
     })
 }
 
-/// Tells the owner and the entry that an attempt failed.
+/// Reports a failed attempt to the owner and the entry.
 ///
-/// The entry gets along what is known against the request now: its next owner
-/// may be one that gossip has not reached yet.
-fn failed(shared: &Shared, permit: Permit, job: &Job, ending: Ending) -> AttemptResult {
+/// The entry also gets the current evidence against the request, as gossip may
+/// not have reached the next owner yet.
+fn attempt_failed(shared: &Shared, permit: Permit, job: &Job, ending: Ending) -> AttemptResult {
     let endpoint = permit.grant().endpoint;
     permit.finish(ending);
     let digest = job.head.request.digest;
@@ -114,40 +114,41 @@
     })
 }
 
-/// Sends a request; returns the head of the answer.
+/// Sends a request and returns the response once its head has arrived.
 ///
 /// # Errors
 ///
-/// Returns how the attempt ended if there is no answer.
+/// Returns how the attempt ended if there is no response.
 pub(crate) async fn send(
     shared: &Shared,
     target: &Target,
     grant: &Grant,
     job: &Job,
 ) -> Result<Response<Received>, Ending> {
-    let request = request(grant, job).ok_or(Ending::NotSent)?;
+    let request = build_request(grant, job).ok_or(Ending::NotSent)?;
     let wait = since(job.head.request.deadline, shared.now());
     let response = shared
         .connector
         .send(target.endpoint.address, request, wait)
         .await
-        .map_err(|error| ending(&error))?;
-    if crossed(target, job, &response) {
-        log::error!(endpoint:% = target.endpoint.name; "an engine answered another request");
+        .map_err(|error| failure_ending(&error))?;
+    if has_other_request_id(target, job, &response) {
+        log::error!(endpoint:% = target.endpoint.name; "engine response has the id of another request; discarding it");
         return Err(Ending::Broken);
     }
     Ok(response)
 }
 
-// An engine's head repeats the request's id. One with another id is the answer
-// to somebody else's request and must not reach this caller.
-fn crossed<B>(target: &Target, job: &Job, response: &Response<B>) -> bool {
-    let named = response.headers().get(header::REQUEST);
-    let own = request_text(job.head.request.id);
-    target.kind == Kind::Engine && named.is_some_and(|named| named != own.as_str())
+// An engine repeats the request's id in the response head. A response with
+// another id belongs to another request and must not reach this caller.
+fn has_other_request_id<B>(target: &Target, job: &Job, response: &Response<B>) -> bool {
+    let response_id = response.headers().get(header::REQUEST);
+    let request_id = request_text(job.head.request.id);
+    target.kind == Kind::Engine
+        && response_id.is_some_and(|response_id| response_id != request_id.as_str())
 }
 
-fn ending(error: &connect::Error) -> Ending {
+fn failure_ending(error: &connect::Error) -> Ending {
     match error {
         connect::Error::NotSent { .. } => Ending::NotSent,
         connect::Error::Unknown(Cause::ResponseTimeout) => Ending::Timeout,
@@ -155,70 +156,74 @@
     }
 }
 
-/// Returns how the attempt ended if the answer says that nothing was run.
-pub(crate) fn refused<B>(
+/// Returns how the attempt ended if the response says that nothing was run.
+pub(crate) fn refusal_ending<B>(
     shared: &Shared,
     target: &Target,
     response: &Response<B>,
 ) -> Option<Ending> {
-    let leaving = response.headers().get(header::ENDPOINT);
-    // The list and the reports may name a model that the engine was freed of
-    // a moment ago. Passed on, the caller would take the 404 for its own fault.
+    let endpoint_state = response.headers().get(header::ENDPOINT);
+    // The list and the reports may still name a model that the engine has just
+    // unloaded. If the 404 were forwarded, the caller would take it for its own
+    // mistake.
     if response.status() == StatusCode::NOT_FOUND
         && target.kind == Kind::Engine
-        && leaving.is_some_and(|value| value == "unloaded")
+        && endpoint_state.is_some_and(|value| value == "unloaded")
     {
         return Some(Ending::Refused);
     }
     if response.status() == StatusCode::SERVICE_UNAVAILABLE
-        && leaving.is_some_and(|value| value == "leaving")
+        && endpoint_state.is_some_and(|value| value == "leaving")
     {
         control::report_leaving(shared, &target.endpoint);
         return Some(Ending::Leaving);
     }
-    // An engine answers these before it starts; a plain service may mean
-    // anything by them, so there they are its answer.
-    let full = [
+    // An engine sends these before it runs anything. A plain service may send
+    // them for any reason, so its response is forwarded.
+    let overload_statuses = [
         StatusCode::TOO_MANY_REQUESTS,
         StatusCode::SERVICE_UNAVAILABLE,
     ];
-    let overloaded = target.kind == Kind::Engine && full.contains(&response.status());
+    let overloaded = target.kind == Kind::Engine && overload_statuses.contains(&response.status());
     overloaded.then_some(Ending::Overloaded)
 }
 
-/// Returns the answer's head without what belongs to one connection.
-pub(crate) fn clean(headers: &mut HeaderMap) {
+/// Removes the headers that concern only the connection to the endpoint.
+pub(crate) fn strip_headers(headers: &mut HeaderMap) {
     header::strip(headers);
     header::strip_connection(headers);
     headers.remove(header::OUTCOME);
 }
 
-fn request(grant: &Grant, job: &Job) -> Option<Request<Body>> {
+fn build_request(grant: &Grant, job: &Job) -> Option<Request<Body>> {
     let head = &job.head;
     let mut request = Request::new(body::full(job.body.clone()));
     *request.method_mut() = Method::from_bytes(head.method.as_bytes()).ok()?;
     *request.uri_mut() = Uri::try_from(head.path.as_str()).ok()?;
     *request.headers_mut() = job.headers.clone();
     let headers = request.headers_mut();
-    headers.insert(header::REQUEST, value(&request_text(head.request.id)));
+    headers.insert(
+        header::REQUEST,
+        header_value(&request_text(head.request.id)),
+    );
     headers.insert(
         header::PRIORITY,
         HeaderValue::from(u16::from(grant.priority)),
     );
-    headers.insert(header::PREFIX, value(&chat_text(head.request.chat)));
+    headers.insert(header::PREFIX, header_value(&chat_text(head.request.chat)));
     Some(request)
 }
 
-fn value(text: &str) -> HeaderValue {
+fn header_value(text: &str) -> HeaderValue {
     HeaderValue::from_str(text).expect("hexadecimal digits are a header value")
 }
 
-/// Returns a request's id as callers and endpoints see it.
+/// Formats a request's id for callers and endpoints.
 pub(crate) fn request_text(id: RequestId) -> String {
     format!("{id:032x}")
 }
 
-/// Returns a chat's name in cache events.
+/// Formats a chat's id as used in cache events.
 pub(crate) fn chat_text(chat: ChatId) -> String {
     format!("{chat:016x}")
 }
--- a/crates/router/src/relay/entry.rs
+++ b/crates/router/src/relay/entry.rs
@@ -1,4 +1,4 @@
-//! The entry's part: one caller's request until it has its answer.
+//! Runs a caller's request at its entry instance until it has a response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,15 +23,15 @@
 use crate::resolve::Resolved;
 use crate::shared::{Bundle, Shared, Snapshot};
 
-/// Forwards that an entry follows for one attempt, by far more than the
-/// owners' own bound; it only guards against a loop by a bug.
-const FORWARDS: u32 = 16;
+/// Maximum number of forwards that an entry follows for one attempt. It is far
+/// above the owners' own limit and only guards against a loop caused by a bug.
+const MAX_FORWARDS_FOLLOWED: u32 = 16;
 
-/// Runs a request to its answer.
+/// Runs a request and returns its response.
 ///
 /// # Errors
 ///
-/// Returns the problem to tell the caller, with the request's true outcome.
+/// Returns the problem for the caller, with the outcome over all attempts.
 pub(crate) async fn run(
     shared: &Arc<Shared>,
     snapshot: &Arc<Snapshot>,
@@ -44,64 +44,64 @@
         .entry_state()
         .budgets
         .deposit(resolved.request.workspace, resolved.request.service);
-    let run = Run {
+    let in_flight = InFlightRequest {
         shared,
         snapshot,
         attempts: Attempts::default(),
-        unknown: false,
-        job: job(zone, resolved),
+        may_have_run: false,
+        job: build_job(zone, resolved),
     };
-    run.finish(next).await
+    in_flight.finish(next).await
 }
 
-struct Run<'a> {
+struct InFlightRequest<'a> {
     shared: &'a Arc<Shared>,
     snapshot: &'a Arc<Snapshot>,
     attempts: Attempts,
-    /// Whether an attempt so far may have run.
-    unknown: bool,
+    /// Whether a previous attempt may have run.
+    may_have_run: bool,
     job: Job,
 }
 
 enum Step {
-    Answered(Response<Body>),
-    Told(Problem),
+    Respond(Response<Body>),
+    Reject(Problem),
     Failed(Option<EndpointId>, Ending),
 }
 
-impl Run<'_> {
+impl InFlightRequest<'_> {
     async fn finish(mut self, next: Next) -> Result<Response<Body>, Problem> {
-        let result = self.attempts(next).await;
-        if result.is_err() && self.unknown {
-            self.tell_home().await;
+        let result = self.run_attempts(next).await;
+        if result.is_err() && self.may_have_run {
+            self.send_evidence_to_home().await;
         }
-        result.map_err(|problem| self.truthful(problem))
+        result.map_err(|problem| self.with_overall_outcome(problem))
     }
 
-    async fn attempts(&mut self, mut next: Next) -> Result<Response<Body>, Problem> {
+    async fn run_attempts(&mut self, mut next: Next) -> Result<Response<Body>, Problem> {
         loop {
             let (instance, endpoint) = match next {
                 Next::Refuse(refusal) => return Err(refusal.into()),
                 Next::Local { endpoint } => (self.shared.local(), endpoint),
                 Next::Forward { instance, endpoint } => (instance, endpoint),
             };
-            let (at, ending) = match self.attempt(instance, endpoint).await {
-                Step::Answered(response) => return Ok(response),
-                Step::Told(problem) => return Err(problem),
-                Step::Failed(at, ending) => (at, ending),
+            let (failed_endpoint, ending) = match self.attempt(instance, endpoint).await {
+                Step::Respond(response) => return Ok(response),
+                Step::Reject(problem) => return Err(problem),
+                Step::Failed(failed_endpoint, ending) => (failed_endpoint, ending),
             };
-            self.unknown |= !ending.proves_not_run();
-            next = self.again(at, ending).await?;
+            self.may_have_run |= !ending.proves_not_run();
+            next = self.next_attempt(failed_endpoint, ending).await?;
         }
     }
 
-    /// Tells the owner of the chat's home what is known against the request.
+    /// Sends the evidence against the request to the owner of the chat's home.
     ///
-    /// The failure: a prompt crashed two engines, and its caller sends it again
-    /// at once through another router, which gossip has not reached. All
-    /// routers ask the home's owner first, so it has to know before the caller
-    /// hears that the request failed.
-    async fn tell_home(&self) {
+    /// A caller whose prompt crashed two engines may send it again at once
+    /// through a router that gossip has not reached yet. All routers ask the
+    /// owner of the home first, so it needs the evidence before the caller gets
+    /// the error.
+    async fn send_evidence_to_home(&self) {
         let request = &self.job.head.request;
         let evidence = self
             .shared
@@ -116,44 +116,44 @@
         if evidence.is_empty() {
             return;
         }
-        if let Some(owner) = owner.and_then(|owner| self.remote(owner)) {
+        if let Some(owner) = owner.and_then(|owner| self.reachable_instance(owner)) {
             peer::send_evidence(self.shared, owner, &evidence).await;
         }
     }
 
-    /// Returns the problem with the outcome of the request as a whole.
+    /// Returns the problem with the outcome over all attempts.
     ///
-    /// A refusal speaks for the attempt that was refused. If an earlier one
-    /// broke off, as when a request crashed two engines and is quarantined,
-    /// *not run* would be a lie about the whole.
-    fn truthful(&self, problem: Problem) -> Problem {
-        if self.unknown && problem.outcome == Outcome::NotRun {
+    /// A refusal covers only the refused attempt. If an earlier attempt broke
+    /// off, for example because the request crashed two engines and is
+    /// quarantined, *not run* would be false for the request as a whole.
+    fn with_overall_outcome(&self, problem: Problem) -> Problem {
+        if self.may_have_run && problem.outcome == Outcome::NotRun {
             problem.with_outcome(Outcome::Unknown)
         } else {
             problem
         }
     }
 
-    /// Makes one attempt, following owners' forwards.
+    /// Makes one attempt and follows the forwards of owners.
     async fn attempt(&mut self, instance: InstanceId, endpoint: EndpointId) -> Step {
         let digest = self.job.head.request.digest;
         let evidence = self.shared.owner.with(|owner| owner.evidence_for(&digest));
         let zone = self.shared.settings.zone_id();
         self.job.head.hop = self.attempts.hop(zone, endpoint, evidence);
         let mut instance = instance;
-        for _ in 0..FORWARDS {
+        for _ in 0..MAX_FORWARDS_FOLLOWED {
             self.job.head.attempt = self.shared.entry_state().rng.random();
             let attempt = match self.send(instance).await {
                 Ok(attempt) => attempt,
                 Err(ending) => return Step::Failed(None, ending),
             };
             match attempt {
-                AttemptResult::Response(response) => return Step::Answered(response),
+                AttemptResult::Response(response) => return Step::Respond(response),
                 AttemptResult::Reply(Reply::Forward { instance: to, hop }) => {
                     instance = to;
                     self.job.head.hop = hop;
                 }
-                AttemptResult::Reply(Reply::Refused(refusal)) => return step(refusal),
+                AttemptResult::Reply(Reply::Refused(refusal)) => return refusal_step(refusal),
                 AttemptResult::Reply(Reply::Failed {
                     endpoint,
                     ending,
@@ -164,32 +164,32 @@
                         .with(|owner| owner.record_evidence(&evidence));
                     return Step::Failed(Some(endpoint), ending);
                 }
-                AttemptResult::Reply(Reply::Told(told)) => return Step::Told(told.into()),
+                AttemptResult::Reply(Reply::Told(problem)) => return Step::Reject(problem.into()),
             }
         }
         Step::Failed(None, Ending::Refused)
     }
 
-    /// Sends the request to its owner, or serves it here if that is this
+    /// Sends the request to its owner, or serves it here if the owner is this
     /// instance or can't be reached.
     ///
-    /// The failure: an owner crashes, and the platform's list names it for
-    /// seconds more. As no byte has reached it, the local desk may serve the
-    /// request; it counts the endpoint's work by its own share and reports.
+    /// The platform's list still names a crashed owner for some seconds. As no
+    /// byte has reached it, the local owner may serve the request; it estimates
+    /// the endpoint's load from its own requests and from reports.
     async fn send(&self, instance: InstanceId) -> Result<AttemptResult, Ending> {
-        let Some(remote) = self.remote(instance) else {
+        let Some(owner) = self.reachable_instance(instance) else {
             return Ok(owner::serve(self.shared, &self.job).await);
         };
-        match peer::dispatch(self.shared, remote, &self.job).await {
+        match peer::dispatch(self.shared, owner, &self.job).await {
             Ok(attempt) => Ok(attempt),
             Err(Failure::NotSent) => {
-                log::debug!(instance:% = remote.name; "owner unreachable, served here");
+                log::debug!(instance:% = owner.name; "owner unreachable; serving the request locally");
                 self.avoid(instance);
                 Ok(owner::serve(self.shared, &self.job).await)
             }
             Err(Failure::Unknown(ending)) => {
-                // A late answer says that the endpoint is slow; only a broken
-                // connection says something of the instance.
+                // A timeout means that the endpoint is slow; only a broken
+                // connection is a sign that the instance has failed.
                 if ending == Ending::Broken {
                     self.avoid(instance);
                 }
@@ -204,15 +204,15 @@
         control::report_unreachable(self.shared, instance);
     }
 
-    fn remote(&self, instance: InstanceId) -> Option<&Instance> {
+    fn reachable_instance(&self, instance: InstanceId) -> Option<&Instance> {
         let now = self.shared.now();
-        if instance == self.shared.local() || self.shared.entry_state().avoids(now, instance) {
+        if instance == self.shared.local() || self.shared.entry_state().is_avoided(now, instance) {
             return None;
         }
         self.snapshot.view.instance(instance)
     }
 
-    fn failed(&mut self, at: Option<EndpointId>, ending: Ending) -> Retry {
+    fn record_failure(&mut self, failed_endpoint: Option<EndpointId>, ending: Ending) -> Retry {
         let view = Arc::clone(&self.shared.snapshot().view);
         let gate = &mut *self.shared.entry_state();
         self.attempts.record_failure(
@@ -220,16 +220,20 @@
             &view,
             self.shared.settings.zone_id(),
             &self.job.head.request,
-            at,
+            failed_endpoint,
             ending,
             &mut gate.budgets,
             &mut gate.rng,
         )
     }
 
-    /// Returns where the request goes after a failed attempt.
-    async fn again(&mut self, at: Option<EndpointId>, ending: Ending) -> Result<Next, Problem> {
-        let retry = self.failed(at, ending);
+    /// Returns where the request is sent after a failed attempt.
+    async fn next_attempt(
+        &mut self,
+        failed_endpoint: Option<EndpointId>,
+        ending: Ending,
+    ) -> Result<Next, Problem> {
+        let retry = self.record_failure(failed_endpoint, ending);
         match retry {
             Retry::Again { after, to } => {
                 tokio::time::sleep(after).await;
@@ -238,20 +242,20 @@
             Retry::GiveUp {
                 outcome,
                 retry_after,
-            } => Err(given_up(ending, outcome, retry_after)),
+            } => Err(give_up_problem(ending, outcome, retry_after)),
         }
     }
 }
 
-// Another instance serves what this owner refuses because it leaves.
-fn step(refusal: Refusal) -> Step {
+// A request refused by an owner that is leaving is tried at another instance.
+fn refusal_step(refusal: Refusal) -> Step {
     match refusal.reason {
         Reason::Leaving => Step::Failed(None, Ending::Refused),
-        _ => Step::Told(refusal.into()),
+        _ => Step::Reject(refusal.into()),
     }
 }
 
-fn given_up(ending: Ending, outcome: Outcome, retry_after: Duration) -> Problem {
+fn give_up_problem(ending: Ending, outcome: Outcome, retry_after: Duration) -> Problem {
     let (status, reason, detail) = match (ending, outcome) {
         (Ending::Timeout, _) => (
             StatusCode::GATEWAY_TIMEOUT,
@@ -274,7 +278,7 @@
         .with_retry_after(retry_after)
 }
 
-fn job(zone: u64, resolved: Resolved) -> Job {
+fn build_job(zone: u64, resolved: Resolved) -> Job {
     Job {
         head: Head {
             request: resolved.request,
--- a/crates/router/src/relay/local_owner.rs
+++ b/crates/router/src/relay/local_owner.rs
@@ -1,10 +1,10 @@
-//! The local owner under its lock, and the requests that wait for it.
+//! The local owner behind its lock, and the requests waiting in its queue.
 //!
-//! Each call holds the lock for microseconds and never over an await. A
-//! request that waits gets its decision through a channel. Two races need
-//! care, both when a caller goes away: a request that still waits is taken
-//! out of the queue, and one that was granted at that very moment gives its
-//! grant back, or the endpoint's slot would be lost for ever.
+//! Each call holds the lock for microseconds and never across an await. A
+//! waiting request gets its decision through a channel. A caller that
+//! disconnects can race with that: a request that still waits is removed from
+//! the queue, and one that has just been granted returns its grant, since
+//! otherwise the endpoint's slot would be lost permanently.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -22,7 +22,7 @@
 
 use crate::shared::Shared;
 
-/// The local owner and who waits for it.
+/// The local owner and the requests that wait for its decision.
 #[derive(Debug)]
 pub(crate) struct LocalOwner {
     inner: Mutex<Inner>,
@@ -34,7 +34,7 @@
     waiting: BTreeMap<Ticket, oneshot::Sender<Next>>,
 }
 
-/// What to do with a request; waiting is over.
+/// The final decision on a request.
 #[derive(Debug)]
 pub(crate) enum Decision {
     /// Send it to the endpoint now.
@@ -55,12 +55,12 @@
         }
     }
 
-    /// Goes over to a new view and policy.
-    pub(crate) fn adopt(&self, now: Moment, view: Arc<View>, policy: Arc<Policy>) {
+    /// Applies a new view and policy.
+    pub(crate) fn apply_view(&self, now: Moment, view: Arc<View>, policy: Arc<Policy>) {
         self.wake(now, |owner| owner.apply_view(now, view, policy));
     }
 
-    /// Lets time pass; called about every 100 ms.
+    /// Advances the time; called about every 100 ms.
     pub(crate) fn tick(&self, now: Moment) {
         self.wake(now, |owner| owner.tick(now));
     }
@@ -70,7 +70,7 @@
         call(&mut self.lock().owner)
     }
 
-    /// Runs `call` on the owner and hands out the decisions it returns.
+    /// Runs `call` on the owner and delivers the decisions it returns.
     fn wake(&self, now: Moment, call: impl FnOnce(&mut Owner) -> Vec<Wake>) {
         let mut inner = self.lock();
         let wakes = call(&mut inner.owner);
@@ -78,8 +78,8 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
-        // A panic under the lock is a bug in the owner; its tables are still
-        // sound enough to serve the requests that run.
+        // A panic under the lock is a bug in the owner. Its tables are still
+        // consistent enough to serve the requests in flight.
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -87,11 +87,11 @@
 impl Inner {
     fn deliver(&mut self, now: Moment, mut wakes: Vec<Wake>) {
         while let Some(wake) = wakes.pop() {
-            let unheard = match self.waiting.remove(&wake.ticket) {
+            let undelivered = match self.waiting.remove(&wake.ticket) {
                 Some(sender) => sender.send(wake.next).err(),
                 None => Some(wake.next),
             };
-            if let Some(Next::Dispatch(grant)) = unheard {
+            if let Some(Next::Dispatch(grant)) = undelivered {
                 wakes.extend(self.owner.finish(now, grant.attempt, Ending::Abandoned));
             }
         }
@@ -113,13 +113,13 @@
                     receiver,
                 }
             }
-            next => return decision(shared, next),
+            next => return to_decision(shared, next),
         }
     };
-    waiting.decided().await
+    waiting.wait().await
 }
 
-fn decision(shared: &Arc<Shared>, next: Next) -> Decision {
+fn to_decision(shared: &Arc<Shared>, next: Next) -> Decision {
     match next {
         Next::Dispatch(grant) => Decision::Dispatch(Permit {
             shared: Arc::clone(shared),
@@ -128,12 +128,12 @@
         }),
         Next::Forward { instance, hop } => Decision::Forward(instance, hop),
         Next::Refuse(refusal) => Decision::Refuse(refusal),
-        // A wake never says wait; should it, refusing is the safe reading.
+        // Not expected from a wake; refusing the request is safe.
         Next::Wait { .. } => Decision::Refuse(Refusal::new(Reason::Busy)),
     }
 }
 
-/// A request in the local owner's queue; dropping it takes it out.
+/// A request in the local owner's queue; dropping it removes the request.
 #[derive(Debug)]
 struct Waiting {
     shared: Arc<Shared>,
@@ -142,11 +142,11 @@
 }
 
 impl Waiting {
-    async fn decided(mut self) -> Decision {
+    async fn wait(mut self) -> Decision {
         match (&mut self.receiver).await {
-            Ok(next) => decision(&self.shared, next),
-            // The sender is only dropped with the router.
-            Err(_gone) => Decision::Refuse(Refusal::new(Reason::Leaving)),
+            Ok(next) => to_decision(&self.shared, next),
+            // The sender is dropped only when the router stops.
+            Err(_closed) => Decision::Refuse(Refusal::new(Reason::Leaving)),
         }
     }
 }
@@ -159,7 +159,7 @@
         if inner.owner.cancel(self.ticket) {
             return;
         }
-        // Granted, but the caller went away before it read that.
+        // Granted, but the caller disconnected before reading the decision.
         if let Ok(Next::Dispatch(grant)) = self.receiver.try_recv() {
             let wakes = inner.owner.finish(now, grant.attempt, Ending::Abandoned);
             inner.deliver(now, wakes);
@@ -167,7 +167,7 @@
     }
 }
 
-/// Permit to dispatch one request; tells the owner exactly once how it ended.
+/// A permit to dispatch one request; reports its end to the owner exactly once.
 #[derive(Debug)]
 pub(crate) struct Permit {
     shared: Arc<Shared>,
@@ -180,12 +180,12 @@
         &self.grant
     }
 
-    /// Tells how the attempt ended.
+    /// Reports how the attempt ended.
     pub(crate) fn finish(mut self, ending: Ending) {
-        self.end(ending);
+        self.report_end(ending);
     }
 
-    fn end(&mut self, ending: Ending) {
+    fn report_end(&mut self, ending: Ending) {
         if self.finished {
             return;
         }
@@ -200,6 +200,6 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.end(Ending::Abandoned);
+        self.report_end(Ending::Abandoned);
     }
 }
--- a/crates/router/src/relay/once.rs
+++ b/crates/router/src/relay/once.rs
@@ -1,10 +1,10 @@
-//! Unrepeatable requests: nothing leaves for an endpoint without a claim.
+//! Unrepeatable requests: nothing is sent to an endpoint without a claim.
 //!
-//! The claim is held from before the first byte leaves, and never given to
-//! another instance. An endpoint that provably ran nothing (it could not be
-//! reached, or said that it is leaving) may be replaced by another under the
-//! same claim, by this instance alone. After a byte has left, whatever goes
-//! wrong leaves the fate unknown, and the caller is told just that.
+//! The claim is acquired before the first byte is sent and is never passed to
+//! another instance. If an endpoint provably ran nothing (it was unreachable or
+//! replied that it is leaving), this instance alone may try another endpoint
+//! under the same claim. Any other failure after a byte has been sent makes the
+//! outcome unknown, and the caller gets that outcome.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,30 +26,30 @@
 use crate::problem::Problem;
 use crate::shared::Shared;
 
-/// Bytes of an unrepeatable request's answer. Answers are read whole, so that
-/// they can be kept; confirmations have about a kilobyte.
-const ANSWER_BYTES: usize = 4 << 20;
+/// Maximum size of the response to an unrepeatable request. Responses are read
+/// completely so that they can be cached; confirmations take about a kilobyte.
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// How long an answer's body may take after its head.
-const ANSWER_WAIT: Duration = Duration::from_secs(30);
+/// How long the body of a response may take after its head.
+const RESPONSE_BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Endpoints that are tried under one claim.
-const TRIES: usize = 3;
+/// Maximum number of endpoints that are tried under one claim.
+const MAX_ENDPOINTS_TRIED: usize = 3;
 
-/// Runs an unrepeatable request that has leave to be dispatched.
+/// Runs an unrepeatable request that has a permit.
 pub(crate) async fn run(shared: &Arc<Shared>, permit: Permit, job: &Job) -> AttemptResult {
-    match claimed(shared, job).await {
-        Claimed::Here(id) => started(shared, permit, job, id).await,
-        Claimed::Kept(kept) => answered(kept, true),
-        Claimed::Not(problem) => told(problem),
+    match request_claim(shared, job).await {
+        ClaimResult::Acquired(id) => run_claimed(shared, permit, job, id).await,
+        ClaimResult::Cached(cached) => build_response(cached, true),
+        ClaimResult::Refused(problem) => problem_reply(problem),
     }
 }
 
-/// Returns the kept answer of a key that was sent again.
+/// Returns the cached response if the key was sent before.
 ///
 /// # Errors
 ///
-/// Returns the problem if the key came with another body.
+/// Returns the problem if the key was sent with another body.
 pub(crate) fn replay(shared: &Shared, job: &Job) -> Result<Option<AttemptResult>, Problem> {
     let request = &job.head.request;
     let Some(key) = &request.key else {
@@ -57,14 +57,14 @@
     };
     let mut claims = shared.claims.lock();
     match claims.responses.get(shared.now(), key, &request.digest) {
-        Lookup::Hit(kept) => Ok(Some(answered(kept.clone(), true))),
-        Lookup::OtherBody => Err(problem(Refusal::OtherBody)),
+        Lookup::Hit(cached) => Ok(Some(build_response(cached.clone(), true))),
+        Lookup::OtherBody => Err(refusal_problem(Refusal::OtherBody)),
         Lookup::Miss => Ok(None),
     }
 }
 
-/// Returns the problem of a request whose fate isn't known.
-pub(crate) fn unknown() -> Problem {
+/// Returns the problem of a request whose outcome is unknown.
+pub(crate) fn unknown_outcome() -> Problem {
     Problem::unknown(
         StatusCode::BAD_GATEWAY,
         "broken",
@@ -72,20 +72,20 @@
     )
 }
 
-/// What came of asking for a claim.
-enum Claimed {
-    /// This instance holds it.
-    Here(Id),
-    /// Another one holds it, and has this answer.
-    Kept(CachedResponse),
+/// The result of requesting a claim.
+enum ClaimResult {
+    /// This instance holds the claim.
+    Acquired(Id),
+    /// Another instance holds the claim and has this response.
+    Cached(CachedResponse),
     /// The request is refused.
-    Not(Problem),
+    Refused(Problem),
 }
 
-async fn claimed(shared: &Arc<Shared>, job: &Job) -> Claimed {
+async fn request_claim(shared: &Arc<Shared>, job: &Job) -> ClaimResult {
     let request = &job.head.request;
     let (Some(digest), Some(issued)) = (request.key, job.head.issued) else {
-        return Claimed::Not(problem(Refusal::Unavailable));
+        return ClaimResult::Refused(refusal_problem(Refusal::Unavailable));
     };
     let key = Key { digest, issued };
     let record = shared
@@ -96,7 +96,7 @@
     let verdict = claims::request_verdict(shared, record).await;
     if let Verdict::Taken { by, .. } = verdict
         && by.holder != shared.local()
-        && let Some(kept) =
+        && let Some(cached) =
             claims::fetch_response(shared, by.holder, &digest, &request.digest).await
     {
         shared
@@ -104,7 +104,7 @@
             .lock()
             .holder
             .apply_verdict(shared.now(), record.id, verdict);
-        return Claimed::Kept(kept);
+        return ClaimResult::Cached(cached);
     }
     let now = shared.now();
     let step = shared
@@ -113,43 +113,43 @@
         .holder
         .apply_verdict(now, record.id, verdict);
     match step {
-        Step::Claimed => Claimed::Here(record.id),
+        Step::Claimed => ClaimResult::Acquired(record.id),
         Step::Refuse { refusal, report } => {
             if let Some(report) = report {
-                tell(shared, report);
+                spawn_report(shared, report);
             }
-            Claimed::Not(problem(refusal))
+            ClaimResult::Refused(refusal_problem(refusal))
         }
-        Step::Report(fate) => {
-            tell(shared, fate);
-            Claimed::Not(problem(Refusal::Unavailable))
+        Step::Report(report) => {
+            spawn_report(shared, report);
+            ClaimResult::Refused(refusal_problem(Refusal::Unavailable))
         }
-        Step::Ignore => Claimed::Not(problem(Refusal::Unavailable)),
+        Step::Ignore => ClaimResult::Refused(refusal_problem(Refusal::Unavailable)),
     }
 }
 
-async fn started(shared: &Arc<Shared>, permit: Permit, job: &Job, id: Id) -> AttemptResult {
-    // A pause of this process between the verdict and here may have lasted
-    // past the deadline, when the caller was told *not run*.
+async fn run_claimed(shared: &Arc<Shared>, permit: Permit, job: &Job, id: Id) -> AttemptResult {
+    // If this process paused after the verdict until past the deadline, the
+    // caller has already got the outcome *not run*.
     if !shared.claims.lock().holder.try_start(shared.now(), id) {
-        return given_up(shared, id);
+        return abandon(shared, id);
     }
     let mut job = job.clone();
     let mut permit = permit;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ENDPOINTS_TRIED {
         let Some(target) = Target::find(shared, &permit, &job) else {
-            return not_run(shared, id, permit, Ending::Leaving);
+            return finish_not_run(shared, id, permit, Ending::Leaving);
         };
         let ending = match exchange(shared, &target, &permit, &job).await {
-            Ok(kept) => {
+            Ok(response) => {
                 permit.finish(Ending::Done);
-                return ran(shared, id, &job, kept);
+                return record_response(shared, id, &job, response);
             }
             Err(ending) if ending.proves_not_run() => ending,
             Err(ending) => {
                 permit.finish(ending);
-                finish(shared, id, Outcome::Unknown);
-                return told(unknown());
+                finish_claim(shared, id, Outcome::Unknown);
+                return problem_reply(unknown_outcome());
             }
         };
         permit.finish(ending);
@@ -157,12 +157,12 @@
         permit = match local_owner::offer(shared, &job.head.request, &job.head.hop).await {
             Decision::Dispatch(permit) => permit,
             Decision::Forward(..) | Decision::Refuse(_) => {
-                finish(shared, id, Outcome::NotRun);
-                return told(spent());
+                finish_claim(shared, id, Outcome::NotRun);
+                return problem_reply(key_used_up());
             }
         };
     }
-    not_run(shared, id, permit, Ending::Abandoned)
+    finish_not_run(shared, id, permit, Ending::Abandoned)
 }
 
 async fn exchange(
@@ -172,21 +172,24 @@
     job: &Job,
 ) -> Result<CachedResponse, Ending> {
     let response = endpoint::send(shared, target, permit.grant(), job).await?;
-    if let Some(ending) = endpoint::refused(shared, target, &response) {
+    if let Some(ending) = endpoint::refusal_ending(shared, target, &response) {
         return Err(ending);
     }
-    whole(response).await.ok_or(Ending::Broken)
+    read_response(response).await.ok_or(Ending::Broken)
 }
 
-async fn whole(response: Response<Received>) -> Option<CachedResponse> {
+async fn read_response(response: Response<Received>) -> Option<CachedResponse> {
     let (mut parts, received) = response.into_parts();
-    endpoint::clean(&mut parts.headers);
-    // An answer that ends with its connection may be half of one.
+    endpoint::strip_headers(&mut parts.headers);
+    // A response that ends when its connection closes may be truncated.
     if !received.is_framed() {
         return None;
     }
-    let read = body::collect(received, ANSWER_BYTES);
-    let body = tokio::time::timeout(ANSWER_WAIT, read).await.ok()?.ok()?;
+    let read = body::collect(received, MAX_RESPONSE_BYTES);
+    let body = tokio::time::timeout(RESPONSE_BODY_TIMEOUT, read)
+        .await
+        .ok()?
+        .ok()?;
     Some(CachedResponse {
         status: parts.status,
         headers: parts.headers,
@@ -194,76 +197,82 @@
     })
 }
 
-fn ran(shared: &Arc<Shared>, id: Id, job: &Job, kept: CachedResponse) -> AttemptResult {
-    // A service that failed may have done half of it or nothing. Its answer is
-    // passed on, but says nothing to a caller that comes again.
-    if kept.status.is_server_error() {
-        finish(shared, id, Outcome::Unknown);
-        return answered(kept, false);
+fn record_response(
+    shared: &Arc<Shared>,
+    id: Id,
+    job: &Job,
+    response: CachedResponse,
+) -> AttemptResult {
+    // A service that failed may have run the request partly or not at all. Its
+    // response is forwarded but not cached, as it does not tell a retrying caller
+    // whether the request was run.
+    if response.status.is_server_error() {
+        finish_claim(shared, id, Outcome::Unknown);
+        return build_response(response, false);
     }
-    finish(shared, id, Outcome::Ran);
+    finish_claim(shared, id, Outcome::Ran);
     let request = &job.head.request;
     if let Some(key) = request.key {
-        let size = kept.body.len() + KEPT_HEAD;
+        let size = response.body.len() + CACHED_HEAD_BYTES;
         let now = shared.now();
         let mut claims = shared.claims.lock();
         claims
             .responses
-            .insert(now, key, request.digest, kept.clone(), size);
+            .insert(now, key, request.digest, response.clone(), size);
     }
-    answered(kept, false)
+    build_response(response, false)
 }
 
-/// Bytes that the head of a kept answer is counted as.
-const KEPT_HEAD: usize = 512;
+/// The assumed size of the head of a cached response.
+const CACHED_HEAD_BYTES: usize = 512;
 
-fn answered(kept: CachedResponse, replayed: bool) -> AttemptResult {
-    let mut response = Response::new(body::full(kept.body));
-    *response.status_mut() = kept.status;
-    *response.headers_mut() = kept.headers;
+fn build_response(cached: CachedResponse, replayed: bool) -> AttemptResult {
+    let mut response = Response::new(body::full(cached.body));
+    *response.status_mut() = cached.status;
+    *response.headers_mut() = cached.headers;
     if replayed {
-        let yes = HeaderValue::from_static("true");
-        response.headers_mut().insert(header::REPLAYED, yes);
+        let value = HeaderValue::from_static("true");
+        response.headers_mut().insert(header::REPLAYED, value);
     }
     AttemptResult::Response(response)
 }
 
-fn given_up(shared: &Arc<Shared>, id: Id) -> AttemptResult {
+fn abandon(shared: &Arc<Shared>, id: Id) -> AttemptResult {
     let abandoned = shared.claims.lock().holder.abandon(id);
     match abandoned {
-        AbandonResult::NotRun(fate) => {
-            tell(shared, fate);
-            told(problem(Refusal::Deadline))
+        AbandonResult::NotRun(report) => {
+            spawn_report(shared, report);
+            problem_reply(refusal_problem(Refusal::Deadline))
         }
-        AbandonResult::TooLate => told(unknown()),
+        AbandonResult::TooLate => problem_reply(unknown_outcome()),
     }
 }
 
-fn not_run(shared: &Arc<Shared>, id: Id, permit: Permit, ending: Ending) -> AttemptResult {
+fn finish_not_run(shared: &Arc<Shared>, id: Id, permit: Permit, ending: Ending) -> AttemptResult {
     permit.finish(ending);
-    finish(shared, id, Outcome::NotRun);
-    told(spent())
+    finish_claim(shared, id, Outcome::NotRun);
+    problem_reply(key_used_up())
 }
 
-fn finish(shared: &Arc<Shared>, id: Id, outcome: Outcome) {
-    let fate = shared.claims.lock().holder.finish(id, outcome);
-    if let Some(fate) = fate {
-        tell(shared, fate);
+fn finish_claim(shared: &Arc<Shared>, id: Id, outcome: Outcome) {
+    let report = shared.claims.lock().holder.finish(id, outcome);
+    if let Some(report) = report {
+        spawn_report(shared, report);
     }
 }
 
-// Best effort, so the caller does not wait for it.
-fn tell(shared: &Arc<Shared>, fate: Item) {
+// Best effort: the caller does not wait for the report.
+fn spawn_report(shared: &Arc<Shared>, report: Item) {
     let shared = Arc::clone(shared);
-    tokio::spawn(async move { claims::report_outcome(&shared, fate).await });
+    tokio::spawn(async move { claims::report_outcome(&shared, report).await });
 }
 
-fn told(problem: Problem) -> AttemptResult {
+fn problem_reply(problem: Problem) -> AttemptResult {
     AttemptResult::Reply(Reply::Told(problem.into()))
 }
 
-// The claim is spent, so the same key can't be used again.
-fn spent() -> Problem {
+// The claim is used up, so the same key can't be used again.
+fn key_used_up() -> Problem {
     Problem::not_run(
         StatusCode::SERVICE_UNAVAILABLE,
         "unreachable",
@@ -273,7 +282,7 @@
     .with_retry_after(Duration::from_secs(1))
 }
 
-fn problem(refusal: Refusal) -> Problem {
+fn refusal_problem(refusal: Refusal) -> Problem {
     let (status, reason) = match refusal {
         Refusal::Ran => (StatusCode::CONFLICT, "key-ran"),
         Refusal::Running => (StatusCode::CONFLICT, "key-running"),
--- a/crates/router/src/relay/owner.rs
+++ b/crates/router/src/relay/owner.rs
@@ -1,4 +1,5 @@
-//! The owner's part: asks the desk, then dispatches.
+//! Serves requests as the owner: gets a permit from the local owner, then
+//! dispatches.
 
 use std::sync::Arc;
 
@@ -10,23 +11,24 @@
 
 /// Serves one attempt at this instance.
 ///
-/// An unrepeatable request runs apart from its caller: once it has started,
-/// its caller's going away must not break it off half-way, and its answer is
-/// kept for the caller's return.
+/// An unrepeatable request runs in a task of its own: once started, it must not
+/// be interrupted if the caller disconnects, and its response is cached for the
+/// caller's retry.
 pub(crate) async fn serve(shared: &Arc<Shared>, job: &Job) -> AttemptResult {
     if job.head.request.repeatable() {
         return run(shared, job).await;
     }
     let shared = Arc::clone(shared);
     let job = job.clone();
-    let apart = tokio::spawn(async move {
+    let task = tokio::spawn(async move {
         let _in_flight = shared.track_request();
         run(&shared, &job).await
     });
-    match apart.await {
+    match task.await {
         Ok(attempt) => attempt,
-        // Only a bug panics there; what the endpoint got is not known.
-        Err(_panicked) => AttemptResult::Reply(Reply::Told(once::unknown().into())),
+        // The task panics only because of a bug. Whether the endpoint got the
+        // request is then unknown.
+        Err(_panicked) => AttemptResult::Reply(Reply::Told(once::unknown_outcome().into())),
     }
 }
 
--- a/crates/router/src/relay/peer.rs
+++ b/crates/router/src/relay/peer.rs
@@ -1,4 +1,4 @@
-//! Messages to other instances, sealed, and their answers.
+//! Sealed messages to other instances, and their responses.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,20 +20,21 @@
 use crate::body;
 use crate::shared::Shared;
 
-/// Bytes of a reply that is no endpoint's answer; a hop with its evidence is
-/// a few kilobytes.
-const REPLY_BYTES: usize = 256 << 10;
+/// Maximum size of a reply other than an endpoint's response. A hop with its
+/// evidence takes a few kilobytes.
+const MAX_REPLY_BYTES: usize = 256 << 10;
 
-/// How much longer than the caller an owner is waited for: it stops at the same
-/// deadline, and its word on what was run has to come back first.
-const GRACE: Duration = Duration::from_millis(300);
+/// How long after the caller's deadline to wait for an owner's response. The
+/// owner stops at the same deadline, and its reply on whether the request was
+/// run still has to arrive.
+const RESPONSE_GRACE: Duration = Duration::from_millis(300);
 
 /// How an exchange with another instance failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Failure {
-    /// Nothing reached it.
+    /// Nothing was sent to it.
     NotSent,
-    /// It may have taken the message.
+    /// It may have processed the message.
     Unknown(Ending),
 }
 
@@ -41,7 +42,7 @@
 ///
 /// # Errors
 ///
-/// Returns how it failed if the instance gave no answer.
+/// Returns the failure if the instance did not respond.
 pub(crate) async fn dispatch(
     shared: &Arc<Shared>,
     instance: &Instance,
@@ -52,7 +53,7 @@
         body: job.body.clone(),
     }
     .encode();
-    let wait = since(job.head.request.deadline, shared.now()) + GRACE;
+    let wait = since(job.head.request.deadline, shared.now()) + RESPONSE_GRACE;
     let request = sealed(shared, instance, Method::POST, dispatch::PATH, &bytes);
     let response = shared
         .connector
@@ -60,17 +61,17 @@
         .await
         .map_err(|error| failure(&error))?;
     record_bundle_version(shared, instance, &response);
-    learn(shared, instance, job, &response);
-    answer(job, response).await
+    record_load(shared, instance, job, &response);
+    parse_response(job, response).await
 }
 
-/// The path that evidence against requests is taken on.
+/// The HTTP path for evidence against requests.
 pub(crate) const EVIDENCE_PATH: &str = "/peer/v1/evidence";
 
-/// How long a caller may wait for its failed request's evidence to be told.
+/// How long a failed request's caller waits for the evidence to be sent.
 const EVIDENCE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Tells an instance what is known against a request.
+/// Sends the evidence against a request to an instance.
 pub(crate) async fn send_evidence(shared: &Shared, instance: &Instance, evidence: &[Evidence]) {
     let bytes = Bytes::from(rmp_serde::to_vec(evidence).unwrap_or_default());
     let request = sealed(shared, instance, Method::POST, EVIDENCE_PATH, &bytes);
@@ -78,7 +79,7 @@
         .control_connector
         .send(instance.peer_address, request, EVIDENCE_TIMEOUT);
     if let Err(error) = sent.await {
-        log::debug!(instance:% = instance.name, error:% = error; "evidence not told");
+        log::debug!(instance:% = instance.name, error:% = error; "can't send evidence");
     }
 }
 
@@ -107,7 +108,7 @@
     request
 }
 
-/// Notes the bundle version that an instance says it holds.
+/// Records the bundle version that an instance reports.
 pub(crate) fn record_bundle_version<B>(
     shared: &Shared,
     instance: &Instance,
@@ -122,8 +123,8 @@
     }
 }
 
-// The owner's load comes on the back of each answer, fresher than gossip.
-fn learn<B>(shared: &Shared, instance: &Instance, job: &Job, response: &Response<B>) {
+// Each response has the owner's load in a header; it is newer than gossip.
+fn record_load<B>(shared: &Shared, instance: &Instance, job: &Job, response: &Response<B>) {
     let load = response.headers().get(header::LOAD);
     let pool = Pool::for_request(&job.head.request);
     let summary = load
@@ -144,12 +145,12 @@
     }
 }
 
-async fn answer(job: &Job, response: Response<Received>) -> Result<AttemptResult, Failure> {
+async fn parse_response(job: &Job, response: Response<Received>) -> Result<AttemptResult, Failure> {
     let broken = Failure::Unknown(Ending::Broken);
     let headers = response.headers();
     let text = |name: HeaderName| headers.get(name).and_then(|value| value.to_str().ok());
-    // An answer that isn't this attempt's is nobody's: late answers of another
-    // request must never reach this caller.
+    // Only the response to this very attempt is accepted: a late response to
+    // another request must never reach this caller.
     let attempt = text(header::ATTEMPT).and_then(|text| u64::from_str_radix(text, 16).ok());
     let kind = text(header::KIND).and_then(Kind::parse);
     match kind {
@@ -162,7 +163,7 @@
             let body = received.boxed();
             Ok(AttemptResult::Response(Response::from_parts(parts, body)))
         }
-        Some(Kind::Reply) => reply(response)
+        Some(Kind::Reply) => read_reply(response)
             .await
             .map(AttemptResult::Reply)
             .ok_or(broken),
@@ -170,11 +171,14 @@
     }
 }
 
-async fn reply(response: Response<Received>) -> Option<Reply> {
-    let read = body::collect(response.into_body(), REPLY_BYTES);
-    let bytes = tokio::time::timeout(REPLY_WAIT, read).await.ok()?.ok()?;
+async fn read_reply(response: Response<Received>) -> Option<Reply> {
+    let read = body::collect(response.into_body(), MAX_REPLY_BYTES);
+    let bytes = tokio::time::timeout(REPLY_BODY_TIMEOUT, read)
+        .await
+        .ok()?
+        .ok()?;
     rmp_serde::from_slice(&bytes).ok()
 }
 
 /// How long the body of a reply may take after its head.
-const REPLY_WAIT: Duration = Duration::from_secs(2);
+const REPLY_BODY_TIMEOUT: Duration = Duration::from_secs(2);
--- a/crates/router/src/relay/resume.rs
+++ b/crates/router/src/relay/resume.rs
@@ -1,4 +1,4 @@
-//! Asks an engine for the rest of a stream whose connection broke.
+//! Requests the rest of a stream from its engine after the connection broke.
 
 use std::sync::Arc;
 
@@ -12,11 +12,11 @@
 use super::endpoint::{self, Target};
 use crate::shared::Shared;
 
-/// Names the last event that was received (HTML Living Standard, server-sent
-/// events).
-const LAST_EVENT: HeaderName = HeaderName::from_static("last-event-id");
+/// The id of the last event that was received (HTML Living Standard,
+/// server-sent events).
+const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
 
-/// A stream that can be asked for again.
+/// The source of a stream that can be resumed.
 #[derive(Debug)]
 pub(crate) struct Source {
     pub(crate) shared: Arc<Shared>,
@@ -26,37 +26,39 @@
 }
 
 impl Source {
-    /// Returns the rest, to be waited for, if it is to be asked for.
-    pub(crate) fn again(
+    /// Returns a future of the rest of the stream, or `None` if the stream must
+    /// not be resumed.
+    pub(crate) fn reconnect(
         &self,
-        resume: &mut Progress,
+        progress: &mut Progress,
     ) -> Option<impl Future<Output = Option<Body>> + Send + use<>> {
         let now = self.shared.now();
         let request = &self.job.head.request;
-        let next = resume.record_break(now, request, &mut self.shared.entry_state().budgets);
+        let next = progress.record_break(now, request, &mut self.shared.entry_state().budgets);
         let Next::Reconnect { after } = next else {
             return None;
         };
-        log::info!(endpoint:% = self.target.endpoint.name, after = after; "resuming a stream");
+        log::info!(endpoint:% = self.target.endpoint.name, after = after; "connection to endpoint broke; resuming the stream");
         let shared = Arc::clone(&self.shared);
-        let (target, grant, job) = (self.target.clone(), self.grant, self.after(after));
-        Some(async move { rest(&shared, &target, &grant, &job).await })
+        let (target, grant, job) = (self.target.clone(), self.grant, self.job_from(after));
+        Some(async move { fetch_rest(&shared, &target, &grant, &job).await })
     }
 
-    fn after(&self, event: u64) -> Job {
+    fn job_from(&self, event: u64) -> Job {
         let mut job = self.job.clone();
-        job.headers.insert(LAST_EVENT, HeaderValue::from(event));
+        job.headers.insert(LAST_EVENT_ID, HeaderValue::from(event));
         job
     }
 }
 
-// Anything but a stream under the same request's id is no rest; what the
-// stream holds is checked event by event.
-async fn rest(shared: &Shared, target: &Target, grant: &Grant, job: &Job) -> Option<Body> {
+// Accepts only an event stream of the same request. Its events are checked
+// one by one as they are read.
+async fn fetch_rest(shared: &Shared, target: &Target, grant: &Grant, job: &Job) -> Option<Body> {
     let response = endpoint::send(shared, target, grant, job).await.ok()?;
     let headers = response.headers();
-    let kind = headers.get(CONTENT_TYPE).map_or(&b""[..], |v| v.as_bytes());
-    let events = kind.starts_with(b"text/event-stream") && !headers.contains_key(CONTENT_ENCODING);
-    let held = response.status() == StatusCode::OK && events;
-    held.then(|| response.into_body().boxed())
+    let content_type = headers.get(CONTENT_TYPE).map_or(&b""[..], |v| v.as_bytes());
+    let is_event_stream =
+        content_type.starts_with(b"text/event-stream") && !headers.contains_key(CONTENT_ENCODING);
+    let is_usable = response.status() == StatusCode::OK && is_event_stream;
+    is_usable.then(|| response.into_body().boxed())
 }
--- a/crates/router/src/running.rs
+++ b/crates/router/src/running.rs
@@ -1,8 +1,8 @@
-//! One router, from its start to its end.
+//! Starts, runs and stops one router.
 //!
-//! Control state has one thread with a current-thread runtime, traffic the
-//! threads that the settings ask for. Several routers may run in one process;
-//! they share nothing.
+//! Control state is handled by one thread with a current-thread runtime, and
+//! traffic by the configured number of threads. Several routers may run in one
+//! process; they share nothing.
 
 use std::fmt;
 use std::future::ready;
@@ -29,24 +29,24 @@
 /// Why a router could not start.
 #[derive(Debug, displaydoc::Display)]
 pub enum Error {
-    /// can't listen on {0} ({1}); name another port or end who holds it
+    /// can't listen on {0} ({1}); choose another port or stop the process that uses it
     Listen(SocketAddr, std::io::Error),
-    /// can't start threads ({0}); allow this process more
+    /// can't start threads ({0}); raise this process's thread limit
     Threads(std::io::Error),
 }
 
 impl std::error::Error for Error {}
 
-/// A router that runs.
+/// A running router.
 pub struct Running {
     shared: Arc<Shared>,
     addresses: Addresses,
-    closing: watch::Sender<bool>,
-    // Closes the peers' and operators' ports.
-    ending: watch::Sender<bool>,
+    close_callers: watch::Sender<bool>,
+    // Closes the ports for peers and operators.
+    close_internal: watch::Sender<bool>,
     ports: Vec<JoinHandle<()>>,
-    hurry: watch::Sender<bool>,
-    // Dropping it ends the control thread.
+    abort_sender: watch::Sender<bool>,
+    // Dropping it stops the control thread.
     control: Option<oneshot::Sender<()>>,
     traffic: Option<Runtime>,
 }
@@ -59,9 +59,9 @@
 }
 
 /// How long each port may take to close its idle connections.
-const CLOSE: Duration = Duration::from_secs(1);
+const PORT_CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Starts a router and returns when it listens.
+/// Starts a router and returns once it listens.
 ///
 /// # Errors
 ///
@@ -76,28 +76,28 @@
         peers: peers_port.address,
         operators: operators_port.address,
     };
-    let traffic = traffic(&settings).map_err(Error::Threads)?;
-    let own = own(&settings, addresses);
+    let traffic = build_traffic_runtime(&settings).map_err(Error::Threads)?;
+    let own = own_instance(&settings, addresses);
     let (sender, events) = mpsc::channel(control::EVENT_QUEUE_CAPACITY);
-    let shared = Arc::new(shared(settings, &own, sender));
-    let control = control(Arc::clone(&shared), own, events).map_err(Error::Threads)?;
-    let (closing, _) = watch::channel(false);
+    let shared = Arc::new(build_shared(settings, &own, sender));
+    let control = start_control_thread(Arc::clone(&shared), own, events).map_err(Error::Threads)?;
+    let (close_callers, _) = watch::channel(false);
     let ports = [callers_port, peers_port, operators_port];
-    let (ending, _) = watch::channel(false);
-    let ports = listen(&traffic, &shared, ports, &closing, &ending);
+    let (close_internal, _) = watch::channel(false);
+    let ports = spawn_ports(&traffic, &shared, ports, &close_callers, &close_internal);
     Ok(Running {
         shared,
         addresses,
-        closing,
-        ending,
+        close_callers,
+        close_internal,
         ports,
-        hurry: watch::channel(false).0,
+        abort_sender: watch::channel(false).0,
         control: Some(control),
         traffic: Some(traffic),
     })
 }
 
-fn traffic(settings: &Settings) -> std::io::Result<Runtime> {
+fn build_traffic_runtime(settings: &Settings) -> std::io::Result<Runtime> {
     Builder::new_multi_thread()
         .worker_threads(settings.threads)
         .thread_name("traffic")
@@ -105,7 +105,7 @@
         .build()
 }
 
-fn own(settings: &Settings, addresses: Addresses) -> Instance {
+fn own_instance(settings: &Settings, addresses: Addresses) -> Instance {
     Instance {
         id: settings.id(),
         name: settings.name.clone(),
@@ -118,7 +118,7 @@
     }
 }
 
-fn shared(settings: Settings, own: &Instance, events: mpsc::Sender<Event>) -> Shared {
+fn build_shared(settings: Settings, own: &Instance, events: mpsc::Sender<Event>) -> Shared {
     let snapshot = Snapshot {
         view: Arc::new(View::new(own.id, [own.clone()], [])),
         bundle: None,
@@ -127,13 +127,13 @@
     Shared::new(settings, Clock::start(), connector, snapshot, events)
 }
 
-fn control(
+fn start_control_thread(
     shared: Arc<Shared>,
     own: Instance,
     events: mpsc::Receiver<Event>,
 ) -> std::io::Result<oneshot::Sender<()>> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
-    let (alive, ended) = oneshot::channel();
+    let (stop_control, stopped_control) = oneshot::channel();
     std::thread::Builder::new()
         .name("control".to_owned())
         .spawn(move || {
@@ -141,112 +141,117 @@
                 let control = Control::new(shared, own);
                 tokio::select! {
                     () = control.run(events) => {}
-                    _ = ended => {}
+                    _ = stopped_control => {}
                 }
             });
         })?;
-    Ok(alive)
+    Ok(stop_control)
 }
 
-fn listen(
+fn spawn_ports(
     traffic: &Runtime,
     shared: &Arc<Shared>,
     [callers_port, peers_port, operators_port]: [Port; 3],
-    closing: &watch::Sender<bool>,
-    ending: &watch::Sender<bool>,
+    close_callers: &watch::Sender<bool>,
+    close_internal: &watch::Sender<bool>,
 ) -> Vec<JoinHandle<()>> {
     let head = shared.settings.limits.head_bytes;
-    let of = Arc::clone(shared);
-    let answer = move |request| callers::handle(Arc::clone(&of), request);
+    let handler_shared = Arc::clone(shared);
+    let handle = move |request| callers::handle(Arc::clone(&handler_shared), request);
     let callers_port = traffic.spawn(run(
         callers_port,
         serve::limits(head),
-        closing.subscribe(),
-        answer,
+        close_callers.subscribe(),
+        handle,
     ));
-    // Peers and operators are answered to the very end: other instances still
-    // relay streams through here, and gossip says that this one is leaving.
-    let of = Arc::clone(shared);
-    let answer = move |request| peers::handle(Arc::clone(&of), request);
+    // The ports for peers and operators stay open until the end of the
+    // shutdown: other instances still relay streams through this instance, and
+    // gossip announces that it is leaving.
+    let handler_shared = Arc::clone(shared);
+    let handle = move |request| peers::handle(Arc::clone(&handler_shared), request);
     let peers_port = traffic.spawn(run(
         peers_port,
         serve::limits(head),
-        ending.subscribe(),
-        answer,
+        close_internal.subscribe(),
+        handle,
     ));
-    let of = Arc::clone(shared);
-    let answer = move |request| ready(operators::handle(&of, &request));
+    let handler_shared = Arc::clone(shared);
+    let handle = move |request| ready(operators::handle(&handler_shared, &request));
     let operators_port = run(
         operators_port,
         serve::limits(head),
-        ending.subscribe(),
-        answer,
+        close_internal.subscribe(),
+        handle,
     );
     vec![callers_port, peers_port, traffic.spawn(operators_port)]
 }
 
 impl Running {
-    /// Returns where callers are answered.
+    /// Returns the address for callers.
     #[must_use]
     pub const fn callers_address(&self) -> SocketAddr {
         self.addresses.callers
     }
 
-    /// Returns where other instances are answered.
+    /// Returns the address for other instances.
     #[must_use]
     pub const fn peers_address(&self) -> SocketAddr {
         self.addresses.peers
     }
 
-    /// Returns where operators are answered.
+    /// Returns the address for operators.
     #[must_use]
     pub const fn operators_address(&self) -> SocketAddr {
         self.addresses.operators
     }
 
-    /// Returns a handle that cuts a graceful shutdown short.
+    /// Returns a handle that aborts a graceful shutdown.
     #[must_use]
     pub fn abort_handle(&self) -> AbortHandle {
         AbortHandle {
-            sender: self.hurry.clone(),
+            sender: self.abort_sender.clone(),
         }
     }
 
-    /// Shuts down gracefully: serves until the balancer knows, finishes what
-    /// is in flight, hands chats over, and ends.
+    /// Shuts down gracefully: serves until the balancer has noticed, finishes
+    /// the requests in flight, hands over chats, and stops.
     pub async fn stop_gracefully(mut self) -> ShutdownResult {
         let shutdown = shutdown::run(
             Arc::clone(&self.shared),
-            self.closing.clone(),
-            self.hurry.subscribe(),
+            self.close_callers.clone(),
+            self.abort_sender.subscribe(),
         );
-        // On the router's own threads, since its connections live there.
-        let stopped = match &self.traffic {
+        // Runs on the router's own threads, which drive its connections.
+        let result = match &self.traffic {
             Some(traffic) => traffic.spawn(shutdown).await,
             None => Ok(ShutdownResult::Whole),
         };
         self.close().await;
-        self.end();
-        stopped.unwrap_or(ShutdownResult::Cut { requests: 0 })
+        self.stop();
+        result.unwrap_or(ShutdownResult::Cut { requests: 0 })
     }
 
-    // Nothing is in flight, but a peer may be sending: connections are closed
-    // between two messages, or the peer could not tell whether it was taken.
+    // No request is in flight, but a peer may be sending a message. Connections
+    // are closed between two messages, since otherwise the peer could not know
+    // whether its message was processed.
     async fn close(&mut self) {
-        self.ending.send_replace(true);
+        self.close_internal.send_replace(true);
         for port in self.ports.drain(..) {
-            if tokio::time::timeout(CLOSE, port).await.is_err() {
+            if tokio::time::timeout(PORT_CLOSE_TIMEOUT, port)
+                .await
+                .is_err()
+            {
                 return;
             }
         }
     }
 
-    /// Ends at once, as a crash would: connections break.
+    /// Stops at once, as in a crash: connections break.
     pub fn kill(mut self) {
-        self.end();
+        self.stop();
     }
 
-    fn end(&mut self) {
+    fn stop(&mut self) {
         drop(self.control.take());
         if let Some(traffic) = self.traffic.take() {
             traffic.shutdown_background();
@@ -256,7 +261,7 @@
 
 impl Drop for Running {
     fn drop(&mut self) {
-        self.end();
+        self.stop();
     }
 }
 
@@ -269,14 +274,14 @@
     }
 }
 
-/// Cuts a graceful shutdown short.
+/// Aborts a graceful shutdown.
 #[derive(Clone, Debug)]
 pub struct AbortHandle {
     sender: watch::Sender<bool>,
 }
 
 impl AbortHandle {
-    /// Ends the shutdown now, with requests in flight cut.
+    /// Ends the shutdown now and aborts the requests in flight.
     pub fn abort(&self) {
         self.sender.send_replace(true);
     }
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -1,8 +1,8 @@
-//! What the control thread and the traffic threads of one router share.
+//! State shared by the control thread and the traffic threads of one router.
 //!
-//! The control thread publishes a [`Snapshot`]; traffic threads load it
-//! without a lock and keep it for the whole of a request, so a request is
-//! handled under one picture of the fleet and one bundle version.
+//! The control thread publishes a [`Snapshot`]. Traffic threads load it without
+//! a lock and use it for the whole request, so that each request is handled
+//! with one view of the fleet and one bundle version.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -29,7 +29,7 @@
 use crate::settings::Settings;
 use godwitpost_process::metrics::Metrics;
 
-/// The picture that requests are handled under.
+/// The view and bundle that a request is handled with.
 #[derive(Clone, Debug)]
 pub(crate) struct Snapshot {
     /// The fleet's instances and endpoints.
@@ -41,22 +41,22 @@
 /// The bundle in force.
 #[derive(Clone, Debug)]
 pub(crate) struct Bundle {
-    /// Resolved for decisions.
+    /// The policy, resolved for decisions.
     pub(crate) policy: Arc<Policy>,
     /// The root digest of its entries.
     pub(crate) root: Digest,
 }
 
-/// What the threads of one router share.
+/// The state shared by the threads of one router.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) settings: Settings,
     pub(crate) clock: Clock,
-    /// For requests on their way; its bytes are no control traffic.
+    /// Sends relayed requests; its bytes are not counted as control traffic.
     pub(crate) connector: Connector,
-    /// For control messages that traffic threads send.
+    /// Sends the control messages of traffic threads.
     pub(crate) control_connector: Connector,
-    /// For claims of unrepeatable requests and answers kept for them.
+    /// Sends claims of unrepeatable requests and fetches their cached responses.
     pub(crate) claims_connector: Connector,
     pub(crate) metrics: Metrics,
     pub(crate) owner: LocalOwner,
@@ -65,39 +65,39 @@
     snapshot: ArcSwap<Snapshot>,
     entry_state: Mutex<EntryState>,
     leaving: AtomicBool,
-    listed: AtomicBool,
+    fleet_listed: AtomicBool,
     in_flight: AtomicUsize,
 }
 
-/// What the entry side of requests keeps.
+/// State for admitting and retrying requests at their entry instance.
 #[derive(Debug)]
 pub(crate) struct EntryState {
-    /// Budgets of retries.
+    /// Retry budgets.
     pub(crate) budgets: Budgets,
-    /// Limits of workspaces.
+    /// Workspace limits.
     pub(crate) limits: Limits,
-    /// Instances that could not be reached, and until when they are avoided.
+    /// Unreachable instances, with the time until which they are avoided.
     avoided: BTreeMap<InstanceId, Moment>,
-    /// Draws ids and the jitter of retries.
+    /// Generates ids and retry jitter.
     pub(crate) rng: StdRng,
 }
 
-/// How long an instance that could not be reached is avoided.
+/// How long an unreachable instance is avoided.
 ///
-/// The failure: a machine that is gone answers nothing at all, so each request
-/// to it would wait out the connector's time. Views drop the instance after
-/// some seconds; until then one request in this time pays for the trial.
-const AVOIDED: Duration = Duration::from_secs(2);
+/// A machine that is gone doesn't respond at all, so each request to it would
+/// wait for the connector's timeout. Views drop the instance after some
+/// seconds; until then only one request in this period waits for the timeout.
+const AVOID_PERIOD: Duration = Duration::from_secs(2);
 
 impl EntryState {
-    /// Notes that an instance could not be reached.
+    /// Records that an instance could not be reached.
     pub(crate) fn avoid(&mut self, now: Moment, instance: InstanceId) {
         self.avoided.retain(|_, until| *until > now);
-        self.avoided.insert(instance, now + AVOIDED);
+        self.avoided.insert(instance, now + AVOID_PERIOD);
     }
 
-    /// Returns whether an instance could not be reached a moment ago.
-    pub(crate) fn avoids(&self, now: Moment, instance: InstanceId) -> bool {
+    /// Returns whether an instance was unreachable recently and is still avoided.
+    pub(crate) fn is_avoided(&self, now: Moment, instance: InstanceId) -> bool {
         self.avoided
             .get(&instance)
             .is_some_and(|until| *until > now)
@@ -131,7 +131,7 @@
                 rng: random::generator(),
             }),
             leaving: AtomicBool::new(false),
-            listed: AtomicBool::new(false),
+            fleet_listed: AtomicBool::new(false),
             in_flight: AtomicUsize::new(0),
         }
     }
@@ -148,14 +148,14 @@
         self.snapshot.load_full()
     }
 
-    /// Publishes a new picture, and moves the owner over to it.
+    /// Publishes a new snapshot and applies it to the local owner.
     pub(crate) fn publish(&self, snapshot: Snapshot) {
         let view = Arc::clone(&snapshot.view);
         let bundle = snapshot.bundle.clone();
         self.snapshot.store(Arc::new(snapshot));
         if let Some(bundle) = bundle {
             self.metrics.version(bundle.policy.version);
-            self.owner.adopt(self.now(), view, bundle.policy);
+            self.owner.apply_view(self.now(), view, bundle.policy);
         }
     }
 
@@ -167,13 +167,13 @@
     }
 
     pub(crate) fn entry_state(&self) -> MutexGuard<'_, EntryState> {
-        // No code that holds the lock can panic half-way through a change.
+        // No code panics between two related changes while holding the lock.
         self.entry_state
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Begins to leave: readiness fails from now on.
+    /// Starts leaving: the readiness check fails from now on.
     pub(crate) fn begin_leaving(&self) {
         self.leaving.store(true, Ordering::Release);
     }
@@ -184,24 +184,23 @@
 
     /// Returns whether the balancer should send callers here.
     ///
-    /// The failure: a router is ready with the bundle alone, and its first
-    /// callers hear that there is no endpoint, since it has not read the
-    /// platform's list yet.
+    /// The bundle alone isn't enough: until the router has read the platform's
+    /// list, callers would get the error that there is no endpoint.
     pub(crate) fn ready(&self) -> bool {
         !self.is_leaving() && self.is_fleet_listed() && self.snapshot.load().bundle.is_some()
     }
 
-    /// Returns whether the platform's list was read and published.
+    /// Returns whether the platform's list has been read and published.
     pub(crate) fn is_fleet_listed(&self) -> bool {
-        self.listed.load(Ordering::Acquire)
+        self.fleet_listed.load(Ordering::Acquire)
     }
 
-    /// Notes that the platform's list was read and published.
+    /// Records that the platform's list has been read and published.
     pub(crate) fn set_fleet_listed(&self) {
-        self.listed.store(true, Ordering::Release);
+        self.fleet_listed.store(true, Ordering::Release);
     }
 
-    /// Returns the requests in flight: callers' and peers'.
+    /// Returns the number of requests in flight, from callers and peers.
     pub(crate) fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::Acquire)
     }
@@ -225,7 +224,7 @@
 }
 
 impl InFlight {
-    /// Returns how many were in flight before this one.
+    /// Returns the number of requests in flight when this one was counted.
     pub(crate) const fn count_before(&self) -> usize {
         self.before
     }
