--- a/crates/router/src/resolve.rs
+++ b/crates/router/src/resolve.rs
@@ -1,8 +1,8 @@
-//! From a caller's head and body to the facts that decisions are taken on.
+//! Resolves a caller's head and body to the request that placement works on.
 //!
-//! A request is resolved under one bundle version and handled under it to its
-//! end. Everything a caller can get wrong here is refused as not run, with
-//! the remedy.
+//! A request is resolved with one bundle version and handled with it until its
+//! end. Every mistake of a caller found here is refused as not run, with the
+//! remedy.
 
 pub mod prompt;
 mod reading;
@@ -26,46 +26,46 @@
 use crate::problem::Problem;
 use prompt::Prompt;
 
-/// What a head alone says.
+/// The part of a request that is known from its head.
 #[derive(Clone, Debug)]
 pub struct Head<'p> {
     /// The workspace.
     pub workspace: WorkspaceId,
-    /// The route that its path takes.
+    /// The route that matches the method and path.
     pub route: &'p Route,
     /// The service of the route.
     pub service: &'p Service,
-    /// The class, from the route or the caller.
+    /// The class from the caller, or else from the route.
     pub class: ClassId,
-    /// When the caller stops waiting.
+    /// The time when the caller stops waiting.
     pub deadline: Moment,
     /// The key of an unrepeatable request.
     pub key: Option<Key>,
 }
 
-/// A request ready to be placed.
+/// A request that is ready for placement.
 #[derive(Clone, Debug)]
 pub struct Resolved {
-    /// The facts.
+    /// The fields that decisions are based on.
     pub request: Request,
     /// The caller's method.
     pub method: String,
     /// The caller's path, with its query.
     pub path: String,
-    /// Headers that endpoints may see.
+    /// The headers that are forwarded to endpoints.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
     /// The claim key of an unrepeatable request.
     pub key: Option<Key>,
 }
 
-/// Reads a head.
+/// Resolves a request's head.
 ///
 /// # Errors
 ///
-/// Returns the problem to tell the caller: an unknown workspace, route or
-/// class, a missing key, or a deadline that is none.
+/// Returns the problem for the caller: an unknown workspace, route or class, a
+/// missing or invalid key, or an invalid deadline.
 pub fn read_head<'p>(policy: &'p Policy, parts: &Parts, now: Moment) -> Result<Head<'p>, Problem> {
     let workspace = workspace(policy, &parts.headers)?;
     let path = parts.uri.path();
@@ -97,12 +97,12 @@
     })
 }
 
-/// Completes a head by its body.
+/// Resolves the complete request from its head and body.
 ///
 /// # Errors
 ///
-/// Returns the problem to tell the caller: a prompt that is none, or a model
-/// that the bundle doesn't have.
+/// Returns the problem for the caller: an invalid prompt, or a model that is
+/// not in the bundle.
 pub fn read_body(
     policy: &Policy,
     head: &Head<'_>,
@@ -122,19 +122,19 @@
         service: head.route.service,
         model: NO_MODEL,
         class: head.class,
-        chat: spread(id, head.key.as_ref()),
-        prompt_tokens: tokens(body.len()),
+        chat: plain_chat_id(id, head.key.as_ref()),
+        prompt_tokens: estimate_tokens(body.len()),
         answer_tokens: 0,
         deadline: head.deadline,
         key: head.key.map(|key| key.digest),
         digest,
     };
     if head.service.kind == Kind::Engine {
-        let prompt = Prompt::read(&body).map_err(|error| bad_prompt(&error))?;
+        let prompt = Prompt::read(&body).map_err(|error| prompt_problem(&error))?;
         let (model, default) = prompt.model(policy, head.route.service)?;
         request.model = model;
         request.answer_tokens = prompt.answer_tokens().unwrap_or(default);
-        request.chat = match text(&parts.headers, &header::CHAT)? {
+        request.chat = match header_text(&parts.headers, &header::CHAT)? {
             Some(chat) => id::scoped(head.workspace, chat),
             None => id::scoped(head.workspace, &prompt.prefix),
         };
@@ -143,14 +143,14 @@
         request,
         method: parts.method.as_str().to_owned(),
         path: path.to_owned(),
-        headers: forwarded(&parts.headers),
+        headers: forwarded_headers(&parts.headers),
         body,
         key: head.key,
     })
 }
 
 fn workspace(policy: &Policy, headers: &HeaderMap) -> Result<WorkspaceId, Problem> {
-    let Some(name) = text(headers, &header::WORKSPACE)? else {
+    let Some(name) = header_text(headers, &header::WORKSPACE)? else {
         return Err(Problem::not_run(
             StatusCode::BAD_REQUEST,
             "missing-workspace",
@@ -166,7 +166,7 @@
 }
 
 fn class(policy: &Policy, route: &Route, headers: &HeaderMap) -> Result<ClassId, Problem> {
-    let Some(name) = text(headers, &header::CLASS)? else {
+    let Some(name) = header_text(headers, &header::CLASS)? else {
         return Ok(route.class);
     };
     let id = id::of(name);
@@ -180,7 +180,7 @@
     ))
 }
 
-// Callers state how long they wait by RFC 7240's `wait` preference.
+// Callers say how long they wait with the `wait` preference of RFC 7240.
 fn deadline(
     policy: &Policy,
     class: ClassId,
@@ -194,8 +194,8 @@
     Ok(now + wait.unwrap_or(MAX_WAIT).min(MAX_WAIT))
 }
 
-/// The longest time that a caller may wait for an answer to begin; beyond it
-/// a connection is more likely forgotten than waited on.
+/// The longest time that a caller may wait for the response to begin. A
+/// connection that is open for longer has more likely been forgotten.
 pub const MAX_WAIT: Duration = Duration::from_mins(10);
 
 fn claim_key(
@@ -204,7 +204,7 @@
     headers: &HeaderMap,
     now: Moment,
 ) -> Result<Key, Problem> {
-    let Some(key) = text(headers, &header::KEY)? else {
+    let Some(key) = header_text(headers, &header::KEY)? else {
         return Err(Problem::not_run(
             StatusCode::BAD_REQUEST,
             "missing-key",
@@ -214,27 +214,30 @@
     let issued = headers
         .get(key::ISSUED_HEADER)
         .and_then(|value| value.to_str().ok());
-    let key = Key::parse(workspace, key, issued).map_err(|error| bad_key(&error))?;
+    let key = Key::parse(workspace, key, issued).map_err(|error| key_problem(&error))?;
     key.check_issue_time(now, policy.claim_window)
-        .map_err(|error| bad_key(&error))?;
+        .map_err(|error| key_problem(&error))?;
     Ok(key)
 }
 
-fn bad_key(error: &key::Error) -> Problem {
+fn key_problem(error: &key::Error) -> Problem {
     let problem = |reason| Problem::not_run(StatusCode::BAD_REQUEST, reason, error.to_string());
     match error {
-        // It was not run now, but an old key has most likely been sent before.
+        // Not run now, but a key this old has most likely been sent before.
         key::Error::Expired => problem("key-expired").with_outcome(Outcome::Unknown),
         key::Error::Future => problem("key-early"),
         _ => problem("bad-key"),
     }
 }
 
-fn bad_prompt(error: &prompt::Error) -> Problem {
+fn prompt_problem(error: &prompt::Error) -> Problem {
     Problem::not_run(StatusCode::BAD_REQUEST, "bad-body", error.to_string())
 }
 
-fn text<'h>(headers: &'h HeaderMap, name: &http::HeaderName) -> Result<Option<&'h str>, Problem> {
+fn header_text<'h>(
+    headers: &'h HeaderMap,
+    name: &http::HeaderName,
+) -> Result<Option<&'h str>, Problem> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
@@ -248,13 +251,14 @@
     }
 }
 
-// What endpoints may see of a caller's headers. The ones that the router sets
-// itself are taken off, so that a caller can't raise its own priority.
-fn forwarded(headers: &HeaderMap) -> HeaderMap {
+// Returns the caller's headers that are forwarded to endpoints. Headers that
+// the router sets itself are removed, so that a caller can't raise its own
+// priority.
+fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let mut headers = headers.clone();
     header::strip(&mut headers);
     header::strip_connection(&mut headers);
-    let ours = [
+    let set_by_router = [
         HOST,
         CONTENT_LENGTH,
         EXPECT,
@@ -262,25 +266,25 @@
         header::PRIORITY,
         header::PREFIX,
     ];
-    for name in ours {
+    for name in set_by_router {
         headers.remove(name);
     }
     headers
 }
 
-/// Bytes of JSON for each token of prompt, about what English text and its
-/// framing come to. Load is compared between requests only, so an even error
-/// cancels out.
+/// Estimated bytes of JSON per prompt token, for English text with its framing.
+/// Loads are only compared with each other, so a uniform error cancels out.
 const BYTES_PER_TOKEN: usize = 4;
 
-fn tokens(bytes: usize) -> u32 {
+fn estimate_tokens(bytes: usize) -> u32 {
     u32::try_from(bytes / BYTES_PER_TOKEN).unwrap_or(u32::MAX)
 }
 
-// A plain request has no chat and goes anywhere. One with a key goes where
-// the same key went before, since its answer may be kept there.
+// Returns the chat id of a plain request, which belongs to no chat. It spreads
+// requests over endpoints; a request with a key is sent where the same key was
+// sent before, since the response may be cached there.
 #[expect(clippy::cast_possible_truncation, reason = "the low half is wanted")]
-fn spread(id: RequestId, key: Option<&Key>) -> u64 {
+fn plain_chat_id(id: RequestId, key: Option<&Key>) -> u64 {
     match key {
         Some(key) => u128::from_le_bytes(key.digest) as u64,
         None => id as u64,
--- a/crates/router/src/resolve/prompt.rs
+++ b/crates/router/src/resolve/prompt.rs
@@ -1,8 +1,8 @@
-//! The little of a prompt that routing needs, without keeping the rest.
+//! Reads the parts of a prompt that routing needs.
 //!
-//! A body is parsed once and nothing of it is rewritten. Of the messages only
-//! those up to the first of the user are kept: they stay the same over all
-//! turns of a chat, so they name it where the caller gives no id.
+//! A body is parsed once and not rewritten. Only the messages up to the first
+//! one of the user are retained: they are the same in all turns of a chat, so
+//! they identify the chat if the caller gives no id.
 
 use std::borrow::Cow;
 use std::fmt::{self, Write as _};
@@ -15,17 +15,18 @@
 
 use crate::problem::Problem;
 
-/// What routing needs of a prompt.
+/// The parts of a prompt that routing needs.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Prompt {
-    /// The model's name, perhaps with `@` and the version of its weights.
+    /// The model's name, optionally with `@` and the version of its weights.
     pub model_name: Option<String>,
-    /// The messages up to the first of the user, or the plain prompt's start.
+    /// The messages up to the first one of the user, or the beginning of a plain
+    /// prompt.
     pub prefix: String,
-    limit: Option<u32>,
+    max_answer_tokens: Option<u32>,
 }
 
-/// Why a body is no prompt.
+/// The reason why a body is not a prompt.
 #[derive(Debug, displaydoc::Display)]
 pub enum Error {
     /// the body is no chat completion in JSON ({0}); see the engines' documentation
@@ -61,18 +62,18 @@
     content: serde_json::Value,
 }
 
-/// Bytes of a plain prompt that name its chat. A chat's first turn is often
-/// shorter, but then so is the prefix that a cache could reuse.
+/// Number of characters of a plain prompt that identify its chat. A chat's first
+/// turn is often shorter, but then so is the prefix that a cache could reuse.
 const PLAIN_PREFIX_CHARS: usize = 256;
 
 impl Prompt {
-    /// Reads a body.
+    /// Parses a body.
     ///
     /// # Errors
     ///
-    /// Returns an error if it is no JSON object of that shape.
+    /// Returns an error if the body is not a JSON object with the expected fields.
     pub fn read(body: &[u8]) -> Result<Self, Error> {
-        // A derived struct would take a JSON array for its fields in order.
+        // A derived struct would accept a JSON array as its fields in order.
         if body.trim_ascii_start().first() != Some(&b'{') {
             return Err(Error::NotAnObject);
         }
@@ -84,21 +85,22 @@
         Ok(Self {
             model_name: shape.model.map(Cow::into_owned),
             prefix,
-            limit: shape.max_completion_tokens.or(shape.max_tokens),
+            max_answer_tokens: shape.max_completion_tokens.or(shape.max_tokens),
         })
     }
 
-    /// Returns the caller's limit of answer tokens.
+    /// Returns the caller's limit on answer tokens.
     #[must_use]
     pub const fn answer_tokens(&self) -> Option<u32> {
-        self.limit
+        self.max_answer_tokens
     }
 
-    /// Returns the model and its usual answer tokens.
+    /// Returns the model and its usual number of answer tokens.
     ///
     /// # Errors
     ///
-    /// Returns the problem if there is no such model or version of weights.
+    /// Returns the problem if the body names no model, or if the model or the
+    /// version of its weights is unknown.
     pub fn model(&self, policy: &Policy, service: ServiceId) -> Result<(ModelId, u32), Problem> {
         let Some(model_name) = &self.model_name else {
             return Err(Problem::not_run(
@@ -155,7 +157,8 @@
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Prefix, A::Error> {
         let mut prefix = String::new();
         while let Some(message) = seq.next_element::<Message>()? {
-            // JSON text of the content ends each message without doubt.
+            // The content is written as JSON, so that the end of a message is
+            // unambiguous.
             write!(prefix, "{}:{};", message.role, message.content)
                 .map_err(serde::de::Error::custom)?;
             if message.role == "user" {
--- a/crates/router/src/resolve/prompt/tests.rs
+++ b/crates/router/src/resolve/prompt/tests.rs
@@ -7,9 +7,10 @@
 const FIRST: &str = r#"{"model":"m","messages":[{"role":"system","content":"topo"},
     {"role":"user","content":"ice lines"}]}"#;
 
-// A chat whose id changed with each turn would never find its warm context.
+// A chat whose id changed with each turn would never be sent to its cached
+// prefix.
 #[test]
-fn all_turns_of_a_chat_have_one_opening() {
+fn all_turns_of_a_chat_have_the_same_prefix() {
     let second = r#"{"messages":[{"role":"system","content":"topo"},
         {"content":"ice lines","role":"user"},{"role":"assistant","content":"..."},
         {"role":"user","content":[{"type":"text","text":"more"}]}],"stream":true}"#;
@@ -17,14 +18,14 @@
 }
 
 #[test]
-fn other_chats_have_other_openings() {
+fn different_chats_have_different_prefixes() {
     let other = FIRST.replace("ice lines", "rock");
     assert_ne!(prefix(FIRST), prefix(&other));
     assert_ne!(prefix(r#"{"prompt":"a"}"#), prefix(r#"{"prompt":"b"}"#));
 }
 
 #[test]
-fn the_callers_limit_is_found_under_either_name() {
+fn answer_limit_is_read_from_either_field() {
     let limit = |body: &str| Prompt::read(body.as_bytes()).unwrap().answer_tokens();
     assert_eq!(limit(r#"{"max_tokens":7}"#), Some(7));
     assert_eq!(
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn what_is_no_prompt_is_an_error() {
+fn invalid_prompt_is_an_error() {
     for body in [
         "",
         "[]",
--- a/crates/router/src/resolve/reading/tests.rs
+++ b/crates/router/src/resolve/reading/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_wait_that_is_no_time_is_refused() {
+fn invalid_wait_is_refused() {
     for value in [
         "wait",
         "wait=",
--- a/crates/router/tests/router/callers.rs
+++ b/crates/router/tests/router/callers.rs
@@ -1,4 +1,4 @@
-//! What callers get wrong, and what they are told.
+//! Responses to callers' mistakes, and the ports for callers and operators.
 
 use godwitpost_client::connect::Body;
 use http::Request;
@@ -13,7 +13,7 @@
     plains: 1,
 };
 
-fn to(path: &str, workspace: &str) -> http::request::Builder {
+fn post(path: &str, workspace: &str) -> http::request::Builder {
     Request::post(path).header("godwitpost-workspace", workspace)
 }
 
@@ -22,53 +22,56 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn every_mistake_gets_a_problem_that_says_not_run() {
+async fn every_invalid_request_gets_a_problem_with_outcome_not_run() {
     let fleet = Fleet::start(SIZE).await;
     let chats = "/v1/chat/completions";
     let large = "x".repeat(100_001);
     let cases = [
         (400, "missing-workspace", json(Request::post(chats), "{}")),
-        (403, "unknown-workspace", json(to(chats, "nemuro"), "{}")),
+        (403, "unknown-workspace", json(post(chats, "nemuro"), "{}")),
         (
             403,
             "forbidden",
-            json(to(chats, "kushiro"), r#"{"model":"writer"}"#),
+            json(post(chats, "kushiro"), r#"{"model":"writer"}"#),
         ),
-        (404, "unknown-route", json(to("/nowhere", "otaru"), "")),
-        (404, "unknown-route", json(to("/ordersheet", "otaru"), "")),
-        (400, "missing-key", json(to("/orders", "otaru"), "")),
+        (404, "unknown-route", json(post("/nowhere", "otaru"), "")),
+        (404, "unknown-route", json(post("/ordersheet", "otaru"), "")),
+        (400, "missing-key", json(post("/orders", "otaru"), "")),
         (
             400,
             "bad-key",
-            json(to("/orders", "otaru").header("idempotency-key", "mine"), ""),
+            json(
+                post("/orders", "otaru").header("idempotency-key", "mine"),
+                "",
+            ),
         ),
         (
             400,
             "unknown-class",
-            json(to("/stock", "otaru").header("godwitpost-class", "x"), ""),
+            json(post("/stock", "otaru").header("godwitpost-class", "x"), ""),
         ),
         (
             400,
             "bad-deadline",
-            json(to("/stock", "otaru").header("prefer", "wait=soon"), ""),
+            json(post("/stock", "otaru").header("prefer", "wait=soon"), ""),
         ),
-        (400, "bad-body", json(to(chats, "otaru"), "not json")),
-        (400, "missing-model", json(to(chats, "otaru"), "{}")),
+        (400, "bad-body", json(post(chats, "otaru"), "not json")),
+        (400, "missing-model", json(post(chats, "otaru"), "{}")),
         (
             404,
             "unknown-model",
-            json(to(chats, "otaru"), r#"{"model":"poet"}"#),
+            json(post(chats, "otaru"), r#"{"model":"poet"}"#),
         ),
         (
             404,
             "unknown-version",
-            json(to(chats, "otaru"), r#"{"model":"writer@6"}"#),
+            json(post(chats, "otaru"), r#"{"model":"writer@6"}"#),
         ),
-        (413, "large-body", json(to("/stock", "otaru"), &large)),
+        (413, "large-body", json(post("/stock", "otaru"), &large)),
         (
             431,
             "large-head",
-            json(to("/stock", "otaru").header("x", "y".repeat(17_000)), ""),
+            json(post("/stock", "otaru").header("x", "y".repeat(17_000)), ""),
         ),
     ];
     for (status, reason, request) in cases {
@@ -88,8 +91,8 @@
     assert!(fleet.plains[0].executions().is_empty());
 }
 
-// A caller that could send internal headers could claim to be an instance,
-// and one that could send an engine's headers could raise its own priority.
+// A caller whose internal headers were accepted could claim to be an instance,
+// and one whose headers reached an engine could raise its own priority.
 #[tokio::test(flavor = "multi_thread")]
 async fn internal_headers_of_a_caller_are_stripped_and_counted() {
     let fleet = Fleet::start(SIZE).await;
@@ -118,7 +121,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn operators_see_the_bundle_in_force() {
+async fn operators_port_shows_the_bundle_in_force() {
     let fleet = Fleet::start(SIZE).await;
     let operators = fleet.routers[0].operators_address();
     let (_, _, bundle) = fleet.get(operators, "/bundle").await;
@@ -129,7 +132,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn http2_callers_are_served_too() {
+async fn http2_callers_are_served() {
     let fleet = Fleet::start(SIZE).await;
     let address = fleet.routers[0].callers_address();
     let stream = tokio::net::TcpStream::connect(address).await.unwrap();
--- a/crates/router/tests/router/chats.rs
+++ b/crates/router/tests/router/chats.rs
@@ -1,4 +1,4 @@
-//! Chats: streamed whole or visibly broken, and cancelled when unwanted.
+//! Chats: complete or visibly broken streams, and cancellation.
 
 use godwitpost_standin::digest;
 use godwitpost_standin::engine::{self, End};
@@ -13,7 +13,7 @@
 };
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_chat_streams_whole_through_each_router() {
+async fn chat_streams_completely_through_each_router() {
     let fleet = Fleet::start(SIZE).await;
     for router in 0..SIZE.routers {
         let (status, headers, body) = fleet.send_and_read(router, chat("ice lines", 8)).await;
@@ -26,7 +26,7 @@
         assert_eq!(words(&body), wanted);
         assert!(body.ends_with(b"data: [DONE]\n\n"));
     }
-    // One chat has one home, whichever router its turns come in at.
+    // A chat has one home, whichever router receives its turns.
     let busy = fleet
         .engines
         .iter()
@@ -34,13 +34,13 @@
     assert_eq!(busy.count(), 1);
 }
 
-// An engine breaks off in the middle of a draft, once with a cut connection
-// and once as if the stream were complete. The editor must not take half a
-// text for the whole: the caller's connection has to break, too.
+// An engine breaks off in the middle of a stream, once with a broken connection
+// and once as if the stream were complete. The caller must not take a partial
+// text for the complete one, so its connection has to break too.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_truncated_stream_never_looks_complete() {
+async fn truncated_stream_never_looks_complete() {
     for cleanly in [false, true] {
-        // Four engines: one that broke twice gets nothing for a while.
+        // Four engines, since one that broke off twice is not used for a while.
         let fleet = Fleet::start(Size { engines: 4, ..SIZE }).await;
         for engine in &fleet.engines {
             engine.faults().change(|faults| {
@@ -49,11 +49,12 @@
             });
         }
         for router in 0..SIZE.routers {
-            // One prompt each: the same one twice would be quarantined.
+            // Each router gets its own prompt: the same one twice would be
+            // quarantined.
             let request = chat(&format!("half a text {router}"), 20);
             let response = fleet.send(router, request).await.unwrap();
-            // A break before the first token is repeated, until the request
-            // is held to be the cause.
+            // A break before the first token is retried until the request is
+            // considered the cause.
             if response.status() != 200 {
                 assert_eq!(outcome(response.headers()), "unknown");
                 continue;
@@ -64,10 +65,10 @@
     }
 }
 
-// An editor closes the page during a long draft. Without a cancel the engine
-// would go on for a minute, and others wait behind nothing.
+// A caller disconnects during a long response. Without a cancel the engine would
+// continue for a minute, and other requests would wait for an unwanted one.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_goes_away_cancels_at_the_engine() {
+async fn disconnected_caller_cancels_the_request_at_the_engine() {
     let fleet = Fleet::start(SIZE).await;
     for router in 0..SIZE.routers {
         let mut response = fleet
--- a/crates/router/tests/router/resume.rs
+++ b/crates/router/tests/router/resume.rs
@@ -1,4 +1,4 @@
-//! Streams whose connection breaks while the engine still holds them.
+//! Resuming streams whose connection to the engine breaks.
 
 use godwitpost_client::connect::Body;
 use godwitpost_standin::digest;
@@ -14,18 +14,18 @@
     plains: 0,
 };
 
-/// The numbers of a stream's events, in order.
-fn numbers(stream: &[u8]) -> Vec<usize> {
+/// Returns the ids of a stream's events, in order.
+fn event_ids(stream: &[u8]) -> Vec<usize> {
     let text = String::from_utf8(stream.to_vec()).unwrap();
     let ids = text.lines().filter_map(|line| line.strip_prefix("id: "));
     ids.map(|id| id.parse().unwrap()).collect()
 }
 
-// An engine's connection breaks in the middle of an event of a draft, and the
-// engine works on. The editor gets the rest through whichever router it came
-// in at: each event once, from the one run, and nothing of the half one.
+// An engine's connection breaks in the middle of an event while the engine
+// continues. Through each router, the caller must get every event exactly once,
+// from a single run, and nothing of the partial event.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_broken_within_an_event_arrives_whole() {
+async fn stream_broken_within_an_event_is_resumed() {
     let fleet = Fleet::start(SIZE).await;
     for engine in &fleet.engines {
         engine.faults().change(|faults| {
@@ -34,7 +34,7 @@
             faults.truncate_once = true;
         });
     }
-    // One prompt has one owner, so two of three go over another instance.
+    // A prompt has one owner, so two of the three routers forward it.
     for router in 0..SIZE.routers {
         let (status, _, body) = fleet.send_and_read(router, chat("sea ice", 20)).await;
         assert_eq!(status, 200);
@@ -42,20 +42,20 @@
         let digest = digest::of(&sent.to_bytes());
         let wanted: String = (0..20).map(|n| digest::word(&digest, n)).collect();
         assert_eq!(words(&body).concat(), wanted);
-        // One event for each token, and the last one with the usage.
-        assert_eq!(numbers(&body), (1..=21).collect::<Vec<_>>());
+        // One event for each token, and a last one with the usage.
+        assert_eq!(event_ids(&body), (1..=21).collect::<Vec<_>>());
         assert!(body.ends_with(b"data: [DONE]\n\n"));
     }
     let runs = fleet.engines.iter().map(|engine| engine.runs().len());
     assert_eq!(runs.sum::<usize>(), SIZE.routers);
 }
 
-// An engine breaks a draft off and has forgotten it when it is asked for the
-// rest. The editor must not take half a draft, or the engine's refusal joined
-// on to it, for the whole: the caller's connection breaks, and nothing runs
-// anew behind it.
+// An engine breaks off a stream and no longer holds it when the rest is
+// requested. The caller must not take the partial stream, or the engine's
+// refusal appended to it, for the complete one: its connection must break, and
+// the request must not be run again.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_that_its_engine_forgot_breaks_off() {
+async fn stream_that_its_engine_no_longer_holds_breaks_off() {
     let fleet = Fleet::start(SIZE).await;
     for router in 0..SIZE.routers {
         let request = chat(&format!("lost ice {router}"), 100_000);
