--- a/crates/router/src/relay/endpoint.rs
+++ b/crates/router/src/relay/endpoint.rs
@@ -188,7 +188,7 @@
     overloaded.then_some(Ending::Overloaded)
 }
 
-/// Removes the headers that concern only the connection to the endpoint.
+/// Removes internal, connection and outcome headers from an endpoint's response.
 pub(crate) fn strip_headers(headers: &mut HeaderMap) {
     header::strip(headers);
     header::strip_connection(headers);
--- a/crates/router/src/relay/entry.rs
+++ b/crates/router/src/relay/entry.rs
@@ -177,13 +177,13 @@
     /// byte has reached it, the local owner may serve the request; it estimates
     /// the endpoint's load from its own requests and from reports.
     async fn send(&self, instance: InstanceId) -> Result<AttemptResult, Ending> {
-        let Some(owner) = self.reachable_instance(instance) else {
+        let Some(owner_instance) = self.reachable_instance(instance) else {
             return Ok(owner::serve(self.shared, &self.job).await);
         };
-        match peer::dispatch(self.shared, owner, &self.job).await {
+        match peer::dispatch(self.shared, owner_instance, &self.job).await {
             Ok(attempt) => Ok(attempt),
             Err(Failure::NotSent) => {
-                log::debug!(instance:% = owner.name; "owner unreachable; serving the request locally");
+                log::debug!(instance:% = owner_instance.name; "owner unreachable; serving the request locally");
                 self.avoid(instance);
                 Ok(owner::serve(self.shared, &self.job).await)
             }
@@ -214,7 +214,7 @@
 
     fn record_failure(&mut self, failed_endpoint: Option<EndpointId>, ending: Ending) -> Retry {
         let view = Arc::clone(&self.shared.snapshot().view);
-        let gate = &mut *self.shared.entry_state();
+        let entry_state = &mut *self.shared.entry_state();
         self.attempts.record_failure(
             self.shared.now(),
             &view,
@@ -222,8 +222,8 @@
             &self.job.head.request,
             failed_endpoint,
             ending,
-            &mut gate.budgets,
-            &mut gate.rng,
+            &mut entry_state.budgets,
+            &mut entry_state.rng,
         )
     }
 
--- a/crates/router/src/relay/resume.rs
+++ b/crates/router/src/relay/resume.rs
@@ -38,7 +38,7 @@
         let Next::Reconnect { after } = next else {
             return None;
         };
-        log::info!(endpoint:% = self.target.endpoint.name, after = after; "connection to endpoint broke; resuming the stream");
+        log::info!(endpoint:% = self.target.endpoint.name, after = after; "stream broke off; resuming it");
         let shared = Arc::clone(&self.shared);
         let (target, grant, job) = (self.target.clone(), self.grant, self.job_from(after));
         Some(async move { fetch_rest(&shared, &target, &grant, &job).await })
--- a/crates/router/src/running.rs
+++ b/crates/router/src/running.rs
@@ -77,10 +77,11 @@
         operators: operators_port.address,
     };
     let traffic = build_traffic_runtime(&settings).map_err(Error::Threads)?;
-    let own = own_instance(&settings, addresses);
+    let instance = own_instance(&settings, addresses);
     let (sender, events) = mpsc::channel(control::EVENT_QUEUE_CAPACITY);
-    let shared = Arc::new(build_shared(settings, &own, sender));
-    let control = start_control_thread(Arc::clone(&shared), own, events).map_err(Error::Threads)?;
+    let shared = Arc::new(build_shared(settings, &instance, sender));
+    let control =
+        start_control_thread(Arc::clone(&shared), instance, events).map_err(Error::Threads)?;
     let (close_callers, _) = watch::channel(false);
     let ports = [callers_port, peers_port, operators_port];
     let (close_internal, _) = watch::channel(false);
--- a/crates/router/tests/router/chats.rs
+++ b/crates/router/tests/router/chats.rs
@@ -22,8 +22,8 @@
         assert_eq!(headers["godwitpost-version"], "1");
         let sent = chat("ice lines", 8).into_body().collect().await.unwrap();
         let digest = digest::of(&sent.to_bytes());
-        let wanted: Vec<String> = (0..8).map(|n| digest::word(&digest, n)).collect();
-        assert_eq!(words(&body), wanted);
+        let expected: Vec<String> = (0..8).map(|n| digest::word(&digest, n)).collect();
+        assert_eq!(words(&body), expected);
         assert!(body.ends_with(b"data: [DONE]\n\n"));
     }
     // A chat has one home, whichever router receives its turns.
@@ -59,8 +59,8 @@
                 assert_eq!(outcome(response.headers()), "unknown");
                 continue;
             }
-            let whole = response.into_body().collect().await;
-            assert!(whole.is_err(), "cleanly: {cleanly}, router {router}");
+            let collected = response.into_body().collect().await;
+            assert!(collected.is_err(), "cleanly: {cleanly}, router {router}");
         }
     }
 }
--- a/crates/router/tests/router/resume.rs
+++ b/crates/router/tests/router/resume.rs
@@ -40,8 +40,8 @@
         assert_eq!(status, 200);
         let sent = chat("sea ice", 20).into_body().collect().await.unwrap();
         let digest = digest::of(&sent.to_bytes());
-        let wanted: String = (0..20).map(|n| digest::word(&digest, n)).collect();
-        assert_eq!(words(&body).concat(), wanted);
+        let expected: String = (0..20).map(|n| digest::word(&digest, n)).collect();
+        assert_eq!(words(&body).concat(), expected);
         // One event for each token, and a last one with the usage.
         assert_eq!(event_ids(&body), (1..=21).collect::<Vec<_>>());
         assert!(body.ends_with(b"data: [DONE]\n\n"));
