--- a/crates/router/src/cli.rs
+++ b/crates/router/src/cli.rs
@@ -21,7 +21,7 @@
 /// Exit code after a graceful shutdown, or a check without mistakes.
 pub const EXIT_DONE: u8 = 0;
 /// Exit code when the router can't start, for example because a port is in use.
-pub const EXIT_START_FAILED: u8 = 1;
+pub const EXIT_START: u8 = 1;
 /// Exit code for a wrong command line or settings with mistakes.
 pub const EXIT_USAGE: u8 = 2;
 /// Exit code when the drain limit passed with requests in flight.
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -5,7 +5,7 @@
 
 use godwitpost_process::logging;
 use godwitpost_router::cli::{
-    Action, EXIT_ABORTED, EXIT_DONE, EXIT_DRAIN_TIMEOUT, EXIT_START_FAILED, EXIT_USAGE, parse,
+    Action, EXIT_ABORTED, EXIT_DONE, EXIT_DRAIN_TIMEOUT, EXIT_START, EXIT_USAGE, parse,
 };
 use godwitpost_router::settings::Settings;
 use godwitpost_router::{ShutdownResult, start};
@@ -54,7 +54,7 @@
     let result = runtime.and_then(|runtime| runtime.block_on(until_signal(settings)));
     result.unwrap_or_else(|error| {
         eprintln!("can't start: {error}");
-        EXIT_START_FAILED
+        EXIT_START
     })
 }
 
