--- a/crates/bench/src/direct/cost.rs
+++ b/crates/bench/src/direct/cost.rs
@@ -4,9 +4,9 @@
 use std::time::{Duration, Instant};
 
 use godwitpost_decide::health::Access;
-use godwitpost_direct::book::{EndpointStats, Report};
 use godwitpost_direct::dialect::Part;
 use godwitpost_direct::place::{Affinity, Candidate, Pick, Unavailable, pick};
+use godwitpost_direct::stats::{EndpointStats, Report};
 use godwitpost_types::hash;
 
 use super::{ALLOWED, Size};
--- a/crates/bench/src/direct/instance.rs
+++ b/crates/bench/src/direct/instance.rs
@@ -1,10 +1,10 @@
 //! One instance that is driven: what it knows, and how it places by that.
 
 use godwitpost_decide::health::Access;
-use godwitpost_direct::book::{EndpointStats, LoadEstimate};
 use godwitpost_direct::dialect::Part;
 use godwitpost_direct::holders::Directory;
 use godwitpost_direct::place::{Affinity, Candidate, Choice, Pick, Unavailable, pick};
+use godwitpost_direct::stats::{EndpointStats, LoadEstimate};
 use godwitpost_types::clock::Moment;
 use godwitpost_types::id::EndpointId;
 
--- a/crates/bench/src/direct/memory.rs
+++ b/crates/bench/src/direct/memory.rs
@@ -9,9 +9,9 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
 
-use godwitpost_direct::book::Report;
 use godwitpost_direct::dialect::{Part, Prefix};
 use godwitpost_direct::fetch::{Prompt, Selection, SourceCandidates, select_source};
+use godwitpost_direct::stats::Report;
 use godwitpost_types::clock::{Moment, since};
 use godwitpost_types::hash;
 use godwitpost_types::id::{EndpointId, SpanId};
--- a/crates/bench/src/direct/traffic.rs
+++ b/crates/bench/src/direct/traffic.rs
@@ -4,9 +4,9 @@
 use std::collections::{BTreeSet, BinaryHeap};
 use std::time::Duration;
 
-use godwitpost_direct::book::Report;
 use godwitpost_direct::dialect::Part;
 use godwitpost_direct::place::Choice;
+use godwitpost_direct::stats::Report;
 use godwitpost_types::clock::{Moment, since};
 use godwitpost_types::hash;
 use rand::{RngExt, SeedableRng};
--- a/crates/direct/src/control/peers/answer.rs
+++ b/crates/direct/src/control/peers/answer.rs
@@ -17,7 +17,7 @@
     EVIDENCE_PATH, EXCHANGE_PATH, handle_evidence, handle_exchange, record_loads,
 };
 use super::{MAX_MESSAGE_BYTES, STATE_PATH, full_body, status_response};
-use crate::board::{Update, UpdateRequest, Urgency};
+use crate::replica::{Update, UpdateRequest, Urgency};
 use crate::shared::Shared;
 
 /// How long an update waits for further changes before it is sent. A release or
--- a/crates/direct/src/control/peers/passing.rs
+++ b/crates/direct/src/control/peers/passing.rs
@@ -16,10 +16,10 @@
 
 use super::age::ANSWER_TIMEOUT;
 use super::{PeerError, STARTUP_PERIOD, full_body, status_response};
-use crate::book::Load;
+use crate::crashes::{Evidence, ForwardedEvidence};
 use crate::holders::PrefixHolder;
 use crate::shared::Shared;
-use crate::suspects::{Evidence, ForwardedEvidence};
+use crate::stats::Load;
 
 pub(super) const EVIDENCE_PATH: &str = "/peer/v2/evidence";
 pub(super) const EXCHANGE_PATH: &str = "/peer/v3/heard";
--- a/crates/direct/src/control/peers/peer.rs
+++ b/crates/direct/src/control/peers/peer.rs
@@ -14,13 +14,13 @@
 use super::age::{ANSWER_TIMEOUT, max_age};
 use super::passing::record_loads;
 use super::{MAX_MESSAGE_BYTES, STATE_PATH, full_body};
-use crate::board::{Update, UpdateRequest};
+use crate::crashes::Evidence;
 use crate::evacuation::Evacuation;
 use crate::policy::Content;
+use crate::replica::{Update, UpdateRequest};
 use crate::roster::Registration;
 use crate::shared::Shared;
 use crate::source::Position;
-use crate::suspects::Evidence;
 
 /// How many times an instance is polled, at most, until its state is not older
 /// than the state known here. Both read the log at times of their own.
--- a/crates/direct/src/control/peers/tests.rs
+++ b/crates/direct/src/control/peers/tests.rs
@@ -6,8 +6,8 @@
     poll_wait_at_reduced_service, remaining_time,
 };
 use super::peer::{KnownState, PeerError, peer_update};
-use crate::board::{Replica, UpdateRequest};
 use crate::policy::Content;
+use crate::replica::{Replica, UpdateRequest};
 use crate::source::Position;
 
 const fn at(millis: u64) -> Duration {
--- a/crates/direct/src/dialect.rs
+++ b/crates/direct/src/dialect.rs
@@ -12,7 +12,7 @@
 use godwitpost_types::id::{self, SpanId};
 use http::{HeaderMap, StatusCode};
 
-use crate::book::Report;
+use crate::stats::Report;
 
 /// A part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/direct/src/evacuation/tests.rs
+++ b/crates/direct/src/evacuation/tests.rs
@@ -6,8 +6,8 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::{EvacuatedZones, Evacuation, REWRITE_GRACE, TopicState};
-use crate::board::{Replica, UpdateRequest};
 use crate::feed::{Change, Feed, Query};
+use crate::replica::{Replica, UpdateRequest};
 use crate::source::{Page, Position, Record, Reply, Tail, Value};
 
 /// The number of schedules for each property.
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -9,17 +9,16 @@
 //!
 //! The modules that make decisions use no clock, socket or randomness of their
 //! own: [`policy`], [`feed`], [`roster`], [`lease`], [`evacuation`], [`place`],
-//! [`ramp`], [`book`], [`budget`], [`attempt`], [`notices`], [`holders`],
-//! [`fetch`], [`board`], [`standby`] and [`startup`]. The others pass them the
+//! [`ramp`], [`stats`], [`budget`], [`attempt`], [`notices`], [`holders`],
+//! [`fetch`], [`replica`], [`standby`] and [`startup`]. The others pass them the
 //! time and carry the bytes. `docs/design/platform.md` compares this design
 //! with sending requests through an endpoint's owner.
 
 pub mod attempt;
-pub mod board;
-pub mod book;
 pub mod budget;
 pub mod cli;
 pub mod control;
+pub mod crashes;
 pub mod dialect;
 pub mod evacuation;
 pub mod feed;
@@ -34,6 +33,7 @@
 pub mod ramp;
 pub mod refusal;
 mod relay;
+pub mod replica;
 pub mod revoked;
 pub mod roster;
 mod running;
@@ -43,7 +43,7 @@
 pub mod source;
 pub mod standby;
 pub mod startup;
+pub mod stats;
 mod stream;
-pub mod suspects;
 
 pub use running::{Error, Running, ShutdownResult, start};
--- a/crates/direct/src/relay/crash.rs
+++ b/crates/direct/src/relay/crash.rs
@@ -16,8 +16,8 @@
 use tokio::time::timeout;
 
 use crate::control::peers::forward_evidence;
+use crate::crashes::{Evidence, Observed};
 use crate::shared::Shared;
-use crate::suspects::{Evidence, Observed};
 
 /// How long to wait for a connection to be refused. A live machine refuses within a round
 /// trip.
--- a/crates/direct/src/relay/send.rs
+++ b/crates/direct/src/relay/send.rs
@@ -22,11 +22,11 @@
 use super::crash::{BrokenRequest, check_for_crash};
 use super::source::{self, Source};
 use crate::attempt::{Failure, Next, Verdict, classify_response};
-use crate::book::Liveness;
 use crate::dialect::{OutgoingFields, ResponseFields};
 use crate::refusal::Reason;
 use crate::roster::Registration;
 use crate::shared::Shared;
+use crate::stats::Liveness;
 
 /// How long to wait for the response head before trying another endpoint, as a multiple
 /// of the route's objective. This applies only where a retry is safe. An endpoint that is
--- a/crates/direct/src/board.rs
+++ b/crates/direct/src/replica.rs
@@ -20,13 +20,13 @@
 use godwitpost_types::{hash, id};
 use serde::{Deserialize, Serialize};
 
-use crate::book::Load;
+use crate::crashes::{Evidence, ForwardedEvidence};
 use crate::evacuation::Evacuation;
 use crate::holders::{self, PrefixHolder};
 use crate::policy::Content;
 use crate::roster::Registration;
 use crate::source::Position;
-use crate::suspects::{Evidence, ForwardedEvidence};
+use crate::stats::Load;
 
 /// How many removed endpoints are remembered. A peer whose revision is older than the
 /// oldest of them gets the full state.
--- a/crates/direct/src/board/tests.rs
+++ b/crates/direct/src/replica/tests.rs
@@ -7,12 +7,12 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::{MAX_HOLDERS, MAX_REMOVED_ENDPOINTS, Replica, Update, UpdateRequest, Urgency};
+use crate::crashes::{Evidence, Observed};
 use crate::evacuation::Evacuation;
 use crate::holders::{MAX_HOLDERS_PER_MESSAGE, PrefixHolder};
 use crate::policy::Content;
 use crate::roster::Registration;
 use crate::source::Position;
-use crate::suspects::{Evidence, Observed};
 
 const fn at(millis: u64) -> Duration {
     Duration::from_millis(millis)
--- a/crates/direct/src/shared.rs
+++ b/crates/direct/src/shared.rs
@@ -17,9 +17,8 @@
 use rand::RngExt;
 use tokio::sync::watch;
 
-use crate::board::Replica;
-use crate::book::EndpointStats;
 use crate::budget::Budget;
+use crate::crashes::CrashTracker;
 use crate::dialect::Dialect;
 use crate::holders::Directory;
 use crate::lease::Lease;
@@ -28,11 +27,12 @@
 use crate::paths::Paths;
 use crate::policy::{Policy, Ramp, Service};
 use crate::ramp::{InstanceCount, Shares};
+use crate::replica::Replica;
 use crate::revoked::RevokedKeys;
 use crate::roster::Registration;
 use crate::settings::Settings;
 use crate::standby::Pollers;
-use crate::suspects::CrashTracker;
+use crate::stats::EndpointStats;
 
 /// The round trip to an endpoint takes 2 ms, and an unreachable endpoint costs a request
 /// this much time. A lost packet is only resent after a second, so a longer timeout gains
--- a/crates/direct/tests/herd/main.rs
+++ b/crates/direct/tests/herd/main.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use godwitpost_decide::health::Access;
-use godwitpost_direct::book::{EndpointStats, Report};
 use godwitpost_direct::place::{Candidate, Pick, Unavailable, pick};
+use godwitpost_direct::stats::{EndpointStats, Report};
 use godwitpost_types::clock::since;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/direct/tests/instance/fleet.rs
+++ b/crates/direct/tests/instance/fleet.rs
@@ -6,13 +6,13 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use godwitpost_direct::book::Report;
 use godwitpost_direct::control::Sources;
 use godwitpost_direct::dialect::{Dialect, OutgoingFields, Part, RequestFields, ResponseFields};
 use godwitpost_direct::policy::{Content, Kind, Limits, Policy, Route, Service, Target, Workspace};
 use godwitpost_direct::roster::Registration;
 use godwitpost_direct::settings::Settings;
 use godwitpost_direct::source::{Directive, Page, ReadError, Record, Reply, Source, Tail, Value};
+use godwitpost_direct::stats::Report;
 use godwitpost_direct::{Running, start};
 use godwitpost_process::logging::queue::Queue;
 use godwitpost_types::endpoint::{Endpoint as ListedEndpoint, Standing};
--- a/crates/direct/tests/restores/instance.rs
+++ b/crates/direct/tests/restores/instance.rs
@@ -4,11 +4,11 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use godwitpost_direct::board::{Replica, Update, UpdateRequest};
 use godwitpost_direct::evacuation::{EvacuatedZones, Evacuation, TopicState};
 use godwitpost_direct::feed::{Change, Feed, Query};
 use godwitpost_direct::lease::Lease;
 use godwitpost_direct::policy::Content;
+use godwitpost_direct::replica::{Replica, Update, UpdateRequest};
 use godwitpost_direct::roster::{Origin, Registration, RemoveResult, Roster, SetResult};
 use godwitpost_direct::source::{Page, Position, Reply, Tail};
 use godwitpost_direct::startup::StartupState;
--- a/crates/direct/tests/restores/world.rs
+++ b/crates/direct/tests/restores/world.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use godwitpost_direct::board::Update;
+use godwitpost_direct::replica::Update;
 use godwitpost_direct::roster::Registration;
 use godwitpost_types::clock::Moment;
 use godwitpost_types::endpoint::Standing;
