--- a/crates/router/src/control/orders.rs
+++ b/crates/router/src/control/orders.rs
@@ -337,7 +337,7 @@
         let Some(endpoint) = view.endpoint(order.endpoint).cloned() else {
             return;
         };
-        log::info!(endpoint:% = endpoint.name, order:% = body; "sending an order to an engine");
+        log::info!(endpoint:% = endpoint.name, order:% = body; "order");
         let (io, fence) = (self.clone(), order.fence);
         tokio::spawn(send::send_order(io, now, service, endpoint, fence, body));
     }
