--- a/crates/bench/src/decisions/cost.rs
+++ b/crates/bench/src/decisions/cost.rs
@@ -31,10 +31,10 @@
     Request {
         id: u128::from(number),
         version: 1,
-        workspace: id::of("workspace-0"),
-        service: id::of("drafting"),
+        workspace: id::from_name("workspace-0"),
+        service: id::from_name("drafting"),
         model: size::model(0),
-        class: id::of("draft"),
+        class: id::from_name("draft"),
         chat: id::scoped(number, "chat"),
         prompt_tokens: 800,
         answer_tokens: 200,
--- a/crates/bench/src/decisions/fate.rs
+++ b/crates/bench/src/decisions/fate.rs
@@ -146,10 +146,10 @@
         Request {
             id: u128::from(self.next),
             version: 1,
-            workspace: id::of(&format!("workspace-{}", self.next % 3)),
-            service: id::of("drafting"),
+            workspace: id::from_name(&format!("workspace-{}", self.next % 3)),
+            service: id::from_name("drafting"),
             model: size::model(0),
-            class: id::of("draft"),
+            class: id::from_name("draft"),
             chat: self.next,
             prompt_tokens: self.rng.random_range(1..3000),
             answer_tokens: 100,
--- a/crates/bench/src/decisions/poison.rs
+++ b/crates/bench/src/decisions/poison.rs
@@ -102,10 +102,10 @@
         Request {
             id: u128::from(number),
             version: 1,
-            workspace: id::of("workspace-0"),
-            service: id::of("drafting"),
+            workspace: id::from_name("workspace-0"),
+            service: id::from_name("drafting"),
             model: size::model(0),
-            class: id::of("draft"),
+            class: id::from_name("draft"),
             chat: id::scoped(1, &number.to_string()),
             prompt_tokens: 800,
             answer_tokens: 200,
--- a/crates/bench/src/decisions/size.rs
+++ b/crates/bench/src/decisions/size.rs
@@ -144,7 +144,7 @@
 /// The name and id of a model.
 #[must_use]
 pub fn model(index: usize) -> ModelId {
-    id::of(&format!("model-{index}"))
+    id::from_name(&format!("model-{index}"))
 }
 
 impl Size {
@@ -153,7 +153,7 @@
     pub fn instance(&self, index: usize) -> Instance {
         let name = format!("router-{index}");
         Instance {
-            id: id::of(&name),
+            id: id::from_name(&name),
             name,
             incarnation: 1,
             zone: self.zone(index),
@@ -169,10 +169,10 @@
     pub fn endpoint(&self, index: usize, incarnation: u64) -> Endpoint {
         let name = format!("runner-{index}");
         Endpoint {
-            id: id::of(&name),
+            id: id::from_name(&name),
             name,
             incarnation,
-            service: id::of("drafting"),
+            service: id::from_name("drafting"),
             models: BTreeSet::from([model(index % self.models)]),
             zone: self.zone(index / self.models),
             region: 1,
@@ -182,7 +182,7 @@
     }
 
     fn zone(&self, index: usize) -> u64 {
-        id::of(&format!("zone-{}", index % self.zones))
+        id::from_name(&format!("zone-{}", index % self.zones))
     }
 
     /// Returns the policy of the fleet.
@@ -199,7 +199,7 @@
             deadline: Duration::from_mins(1),
             queue: true,
         };
-        policy.classes.insert(id::of("draft"), class);
+        policy.classes.insert(id::from_name("draft"), class);
         let service = Service {
             name: "drafting".into(),
             kind: Kind::Engine,
@@ -208,16 +208,18 @@
             slots: self.slots,
             checks_fencing: true,
         };
-        policy.services.insert(id::of("drafting"), service);
+        policy.services.insert(id::from_name("drafting"), service);
         for index in 0..WORKSPACES {
             let workspace = Workspace {
                 name: format!("workspace-{index}"),
                 weight: 1.0,
                 rate: f64::MAX,
                 concurrency: u32::MAX,
-                services: BTreeSet::from([id::of("drafting")]),
+                services: BTreeSet::from([id::from_name("drafting")]),
             };
-            policy.workspaces.insert(id::of(&workspace.name), workspace);
+            policy
+                .workspaces
+                .insert(id::from_name(&workspace.name), workspace);
         }
         policy
     }
--- a/crates/bench/src/decisions/traffic.rs
+++ b/crates/bench/src/decisions/traffic.rs
@@ -95,14 +95,14 @@
         let answer = self.rng.random_range(60..340);
         let chat = &mut self.chats[index];
         let prompt = chat.context + fresh;
-        let workspace = id::of(&format!("workspace-{}", chat.workspace));
+        let workspace = id::from_name(&format!("workspace-{}", chat.workspace));
         Request {
             id: u128::from(chat.number) << 64 | u128::from(prompt),
             version: 1,
             workspace,
-            service: id::of("drafting"),
+            service: id::from_name("drafting"),
             model: model(chat.model),
-            class: id::of("draft"),
+            class: id::from_name("draft"),
             chat: id::scoped(workspace, &chat.number.to_string()),
             prompt_tokens: prompt,
             answer_tokens: answer,
--- a/crates/bench/src/decisions/world.rs
+++ b/crates/bench/src/decisions/world.rs
@@ -332,7 +332,7 @@
 
 fn pool(size: &Size, engine: usize) -> Pool {
     Pool {
-        service: id::of("drafting"),
+        service: id::from_name("drafting"),
         model: super::size::model(engine % size.models),
     }
 }
--- a/crates/bench/src/direct/memory.rs
+++ b/crates/bench/src/direct/memory.rs
@@ -14,7 +14,7 @@
 use godwitpost_direct::stats::Report;
 use godwitpost_types::clock::{Moment, since};
 use godwitpost_types::hash;
-use godwitpost_types::id::{EndpointId, SpanId};
+use godwitpost_types::id::{EndpointId, PrefixId};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -90,7 +90,7 @@
     sends_until: Moment,
     // Beginnings with their own part's tokens, from when on they are held, and
     // when they were last used.
-    held: BTreeMap<SpanId, (u32, Moment, Moment)>,
+    held: BTreeMap<PrefixId, (u32, Moment, Moment)>,
     running: u32,
 }
 
--- a/crates/bundle/src/check.rs
+++ b/crates/bundle/src/check.rs
@@ -136,7 +136,7 @@
     for key in map.keys() {
         let path = format!("{section}.{key}");
         name(&path, key, found);
-        if let Some(other) = ids.insert(id::of(key), key) {
+        if let Some(other) = ids.insert(id::from_name(key), key) {
             found.push(Mistake::new(
                 path,
                 format!("has the same id as {other}"),
--- a/crates/bundle/src/fold/held.rs
+++ b/crates/bundle/src/fold/held.rs
@@ -110,10 +110,10 @@
         for (name, blob) in &change.delta.puts {
             let bare = name.strip_prefix(WORKSPACE).unwrap_or(name);
             let workspace = entry::decode::<Workspace>(name, blob).map_err(Refusal::Entry)?;
-            let known = |service: &str| self.policy.services.contains_key(&id::of(service));
+            let known = |service: &str| self.policy.services.contains_key(&id::from_name(service));
             check::name(&format!("workspaces.{bare}"), bare, &mut found);
             check::workspace(bare, &workspace, known, &mut found);
-            let other = self.policy.workspaces.get(&id::of(bare));
+            let other = self.policy.workspaces.get(&id::from_name(bare));
             if other.is_some_and(|other| other.name != bare) {
                 return self.replace(change);
             }
@@ -124,10 +124,10 @@
         }
         for name in &change.delta.removes {
             let bare = name.strip_prefix(WORKSPACE).unwrap_or(name);
-            self.policy.workspaces.remove(&id::of(bare));
+            self.policy.workspaces.remove(&id::from_name(bare));
         }
         for workspace in resolved {
-            let id = id::of(&workspace.name);
+            let id = id::from_name(&workspace.name);
             self.policy.workspaces.insert(id, workspace);
         }
         Ok(())
--- a/crates/bundle/src/resolve.rs
+++ b/crates/bundle/src/resolve.rs
@@ -32,14 +32,18 @@
         weight: workspace.weight,
         rate: workspace.rate,
         concurrency: workspace.concurrency,
-        services: workspace.services.iter().map(|name| id::of(name)).collect(),
+        services: workspace
+            .services
+            .iter()
+            .map(|name| id::from_name(name))
+            .collect(),
     }
 }
 
 fn section<T, U>(parts: &BTreeMap<String, T>, resolve: fn(&str, &T) -> U) -> BTreeMap<u64, U> {
     parts
         .iter()
-        .map(|(name, part)| (id::of(name), resolve(name, part)))
+        .map(|(name, part)| (id::from_name(name), resolve(name, part)))
         .collect()
 }
 
@@ -70,7 +74,7 @@
 fn model(name: &str, model: &Model) -> policy::Model {
     policy::Model {
         name: name.to_owned(),
-        service: id::of(&model.service),
+        service: id::from_name(&model.service),
         weights: model.weights.clone(),
         replicas: model.replicas,
         answer_tokens: model.answer_tokens,
@@ -87,8 +91,8 @@
     policy::Route {
         path: route.path.clone(),
         methods: route.methods.clone(),
-        service: id::of(&route.service),
-        class: id::of(&route.class),
+        service: id::from_name(&route.service),
+        class: id::from_name(&route.class),
         unrepeatable: route.unrepeatable,
     }
 }
--- a/crates/bundle/src/resolve/tests.rs
+++ b/crates/bundle/src/resolve/tests.rs
@@ -11,10 +11,10 @@
     let route = policy.route("POST", "/orders/7").expect("it is routed");
     assert_eq!(policy.services[&route.service].name, "ordering");
     assert_eq!(policy.classes[&route.class].name, "order");
-    let otaru = &policy.workspaces[&id::of("otaru")];
+    let otaru = &policy.workspaces[&id::from_name("otaru")];
     assert!(otaru.services.contains(&route.service));
     assert_eq!(
-        policy.models[&id::of("route-writer")].service,
-        id::of("drafting")
+        policy.models[&id::from_name("route-writer")].service,
+        id::from_name("drafting")
     );
 }
--- a/crates/capacity/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -21,7 +21,7 @@
 /// Returns the id of one of some models.
 #[must_use]
 pub fn model(index: usize) -> u64 {
-    id::of(&format!("model-{index}"))
+    id::from_name(&format!("model-{index}"))
 }
 
 /// Returns an instance; its zone follows from its index.
@@ -29,7 +29,7 @@
 pub fn instance(index: usize) -> Instance {
     let name = format!("router-{index}");
     Instance {
-        id: id::of(&name),
+        id: id::from_name(&name),
         name,
         incarnation: 1,
         zone: zone(index),
@@ -45,10 +45,10 @@
 pub fn endpoint(index: usize, models: usize) -> Endpoint {
     let name = format!("runner-{index}");
     Endpoint {
-        id: id::of(&name),
+        id: id::from_name(&name),
         name,
         incarnation: 1,
-        service: id::of(SERVICE),
+        service: id::from_name(SERVICE),
         models: BTreeSet::from([model(index % models)]),
         zone: zone(index),
         region: region(index),
@@ -79,7 +79,7 @@
         deadline: Duration::from_mins(1),
         queue: true,
     };
-    policy.classes.insert(id::of(CLASS), class);
+    policy.classes.insert(id::from_name(CLASS), class);
     let service = Service {
         name: SERVICE.into(),
         kind: Kind::Engine,
@@ -88,15 +88,17 @@
         slots: u32::MAX,
         checks_fencing: true,
     };
-    policy.services.insert(id::of(SERVICE), service);
+    policy.services.insert(id::from_name(SERVICE), service);
     let workspace = Workspace {
         name: WORKSPACE.into(),
         weight: 1.0,
         rate: 1e9,
         concurrency: u32::MAX,
-        services: BTreeSet::from([id::of(SERVICE)]),
+        services: BTreeSet::from([id::from_name(SERVICE)]),
     };
-    policy.workspaces.insert(id::of(WORKSPACE), workspace);
+    policy
+        .workspaces
+        .insert(id::from_name(WORKSPACE), workspace);
     Arc::new(policy)
 }
 
@@ -107,10 +109,10 @@
     Request {
         id: u128::from(chat),
         version: 1,
-        workspace: id::of(WORKSPACE),
-        service: id::of(SERVICE),
+        workspace: id::from_name(WORKSPACE),
+        service: id::from_name(SERVICE),
         model: model(number % models),
-        class: id::of(CLASS),
+        class: id::from_name(CLASS),
         chat: id::scoped(chat, "chat"),
         prompt_tokens: 800,
         answer_tokens: 376,
@@ -121,11 +123,11 @@
 }
 
 fn zone(index: usize) -> u64 {
-    id::of(&format!("zone-{}", index % ZONES))
+    id::from_name(&format!("zone-{}", index % ZONES))
 }
 
 fn region(index: usize) -> u64 {
-    id::of(&format!("region-{}", index % ZONES % REGIONS))
+    id::from_name(&format!("region-{}", index % ZONES % REGIONS))
 }
 
 fn nowhere() -> SocketAddr {
--- a/crates/capacity/src/live/bare.rs
+++ b/crates/capacity/src/live/bare.rs
@@ -96,7 +96,7 @@
     let body = full(body.unwrap_or_default());
     let sent = connector.send(to, Request::from_parts(parts, body), WAIT);
     let response = match sent.await {
-        Ok(response) => response.map(godwitpost_client::connect::Received::boxed),
+        Ok(response) => response.map(godwitpost_client::connect::ResponseBody::boxed),
         Err(_failed) => {
             let mut response = Response::new(full(Bytes::new()));
             *response.status_mut() = StatusCode::BAD_GATEWAY;
--- a/crates/capacity/src/live/callers.rs
+++ b/crates/capacity/src/live/callers.rs
@@ -37,7 +37,7 @@
 /// Sends `requests` in all, `at_once` at a time, spread over the targets.
 pub async fn send(targets: &[SocketAddr], ask: Ask, at_once: u64, requests: u64) -> Count {
     let connector = Connector::new(Settings {
-        idle_per_address: usize::try_from(at_once).unwrap_or(usize::MAX),
+        max_idle_per_address: usize::try_from(at_once).unwrap_or(usize::MAX),
         ..Settings::default()
     });
     let next = Arc::new(AtomicU64::new(0));
--- a/crates/capacity/src/live/control.rs
+++ b/crates/capacity/src/live/control.rs
@@ -134,7 +134,7 @@
 fn message(name: &str) -> Bytes {
     let message = Message {
         from: Heartbeat {
-            id: id::of(name),
+            id: id::from_name(name),
             incarnation: 1,
             sequence: 0,
             standing: Standing::Live,
--- a/crates/client/src/connect.rs
+++ b/crates/client/src/connect.rs
@@ -39,14 +39,14 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout_at};
 
-use self::meter::{Metered, Wire};
+use self::meter::{MeteredStream, TransferCounter};
 pub use self::pool::Settings;
 use self::pool::{Connection, Pool};
-pub use self::received::Received;
+pub use self::received::ResponseBody;
 
 /// Probes without an answer after which a peer counts as gone: a single lost
 /// packet must not cut a stream.
-const PROBES: u32 = 3;
+const KEEPALIVE_PROBES: u32 = 3;
 
 /// An error of a body or a connection below this module.
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
@@ -109,11 +109,11 @@
     /// Returns whether the other machine gave no sign of life: no connection
     /// came about, or nothing that was sent was confirmed.
     #[must_use]
-    pub fn is_dark(&self) -> bool {
+    pub fn is_unreachable(&self) -> bool {
         match self {
             Self::Connect(_) | Self::ConnectTimeout => true,
             Self::ResponseTimeout => false,
-            Self::Connection(failure) => unconfirmed(&failure.0),
+            Self::Connection(failure) => is_ack_timeout(&failure.0),
         }
     }
 }
@@ -121,7 +121,7 @@
 /// Returns whether a connection ended since the other machine confirmed
 /// nothing that was sent.
 #[must_use]
-pub fn unconfirmed(error: &hyper::Error) -> bool {
+pub fn is_ack_timeout(error: &hyper::Error) -> bool {
     error
         .source()
         .and_then(|source| source.downcast_ref::<std::io::Error>())
@@ -140,7 +140,7 @@
 #[derive(Clone, Debug)]
 pub struct Connector {
     pool: Pool,
-    wire: Wire,
+    transferred: TransferCounter,
 }
 
 impl Connector {
@@ -149,7 +149,7 @@
     pub fn new(settings: Settings) -> Self {
         Self {
             pool: Pool::new(settings),
-            wire: Wire::default(),
+            transferred: TransferCounter::default(),
         }
     }
 
@@ -158,7 +158,7 @@
     /// their acknowledgements as estimated from reads, writes and opens.
     #[must_use]
     pub fn wire_bytes(&self) -> u64 {
-        self.wire.bytes()
+        self.transferred.bytes()
     }
 
     /// Sends a request to an address and returns the response's head.
@@ -178,8 +178,8 @@
         address: SocketAddr,
         request: Request<Body>,
         wait: Duration,
-    ) -> Result<Response<Received>, Error> {
-        self.send_rested(address, request, wait, Duration::MAX)
+    ) -> Result<Response<ResponseBody>, Error> {
+        self.send_with_max_idle(address, request, wait, Duration::MAX)
             .await
     }
 
@@ -201,12 +201,12 @@
         address: SocketAddr,
         request: Request<Body>,
         wait: Duration,
-    ) -> Result<Response<Received>, Error> {
-        self.send_rested(address, request, wait, Duration::ZERO)
+    ) -> Result<Response<ResponseBody>, Error> {
+        self.send_with_max_idle(address, request, wait, Duration::ZERO)
             .await
     }
 
-    /// Sends a request over a connection that was idle for less than `rested`,
+    /// Sends a request over a connection that was idle for less than `max_idle`,
     /// or over one opened for it; else as [`Connector::send`].
     ///
     /// It lies between the two: a server that forgets idle connections sooner
@@ -216,17 +216,17 @@
     /// # Errors
     ///
     /// As [`Connector::send`].
-    pub async fn send_rested(
+    pub async fn send_with_max_idle(
         &self,
         address: SocketAddr,
         mut request: Request<Body>,
         wait: Duration,
-        rested: Duration,
-    ) -> Result<Response<Received>, Error> {
+        max_idle: Duration,
+    ) -> Result<Response<ResponseBody>, Error> {
         let deadline = Instant::now() + wait;
-        set_host(&mut request, address);
+        set_default_host(&mut request, address);
         loop {
-            let (connection, fresh) = match self.pool.take(address, rested) {
+            let (connection, is_new) = match self.pool.take_recent(address, max_idle) {
                 Some(connection) => (connection, false),
                 None => match self.open(address, deadline).await {
                     Ok(connection) => (connection, true),
@@ -240,7 +240,7 @@
                 Err(Error::NotSent {
                     request: Some(unsent),
                     ..
-                }) if !fresh => request = *unsent,
+                }) if !is_new => request = *unsent,
                 result => return result,
             }
         }
@@ -248,21 +248,21 @@
 
     /// Returns how many connections to an address are idle in the pool.
     #[must_use]
-    pub fn idle(&self, address: SocketAddr) -> usize {
-        self.pool.idle(address)
+    pub fn idle_count(&self, address: SocketAddr) -> usize {
+        self.pool.idle_count(address)
     }
 
     /// Closes the idle connections to an address, as when its machine was
     /// found dark: what is written to one of them has an unknown fate, while a
     /// new connection that can't be opened proves that nothing was sent.
-    pub fn forget(&self, address: SocketAddr) {
-        self.pool.forget(address);
+    pub fn close_idle(&self, address: SocketAddr) {
+        self.pool.close_idle(address);
     }
 
     async fn open(&self, address: SocketAddr, deadline: Instant) -> Result<Connection, Cause> {
         let settings = self.pool.settings();
         let deadline = deadline.min(Instant::now() + settings.connect_timeout);
-        timeout_at(deadline, connect(address, settings, &self.wire))
+        timeout_at(deadline, connect(address, settings, &self.transferred))
             .await
             .unwrap_or(Err(Cause::ConnectTimeout))
     }
@@ -272,7 +272,7 @@
         mut connection: Connection,
         request: Request<Body>,
         deadline: Instant,
-    ) -> Result<Response<Received>, Error> {
+    ) -> Result<Response<ResponseBody>, Error> {
         let sent = connection.sender.try_send_request(request);
         // On a time-out the connection is dropped and closed: a late answer
         // then has no reader and can't reach another request.
@@ -283,16 +283,16 @@
             Ok(response) => {
                 let (head, body) = response.into_parts();
                 let pool = self.pool.clone();
-                let body = Received::new(&head.headers, body, connection, pool);
+                let body = ResponseBody::new(&head.headers, body, connection, pool);
                 Ok(Response::from_parts(head, body))
             }
-            Err(mut refused) => match refused.take_message() {
+            Err(mut failure) => match failure.take_message() {
                 Some(unsent) => Err(not_sent(
-                    Cause::Connection(refused.into_error().into()),
+                    Cause::Connection(failure.into_error().into()),
                     Some(unsent),
                 )),
                 None => Err(Error::Unknown(Cause::Connection(
-                    refused.into_error().into(),
+                    failure.into_error().into(),
                 ))),
             },
         }
@@ -306,7 +306,7 @@
     }
 }
 
-fn set_host(request: &mut Request<Body>, address: SocketAddr) {
+fn set_default_host(request: &mut Request<Body>, address: SocketAddr) {
     if request.headers().contains_key(HOST) {
         return;
     }
@@ -320,33 +320,36 @@
 /// A machine that loses power or network closes nothing: without probes a
 /// stream from it stays silent for ever, as a long prefill does. A live machine
 /// answers probes however busy its process is, so this never cuts a slow one.
-fn probe(stream: &TcpStream, dead_after: Duration) -> std::io::Result<()> {
-    let interval = (dead_after / (PROBES + 1)).max(Duration::from_secs(1));
+fn enable_keepalive(stream: &TcpStream, dead_after: Duration) -> std::io::Result<()> {
+    let interval = (dead_after / (KEEPALIVE_PROBES + 1)).max(Duration::from_secs(1));
     let keepalive = TcpKeepalive::new()
         .with_time(interval)
         .with_interval(interval)
-        .with_retries(PROBES);
+        .with_retries(KEEPALIVE_PROBES);
     SockRef::from(stream).set_tcp_keepalive(&keepalive)
 }
 
 async fn connect(
     address: SocketAddr,
     settings: &Settings,
-    wire: &Wire,
+    transferred: &TransferCounter,
 ) -> Result<Connection, Cause> {
     let stream = TcpStream::connect(address).await.map_err(Cause::Connect)?;
-    wire.opened();
+    transferred.record_open();
     // Small frames of a token stream must not wait for an acknowledgement.
     stream.set_nodelay(true).map_err(Cause::Connect)?;
-    probe(&stream, settings.dead_after).map_err(Cause::Connect)?;
-    if settings.unconfirmed.is_some() {
+    enable_keepalive(&stream, settings.dead_after).map_err(Cause::Connect)?;
+    if settings.ack_timeout.is_some() {
         SockRef::from(&stream)
-            .set_tcp_user_timeout(settings.unconfirmed)
+            .set_tcp_user_timeout(settings.ack_timeout)
             .map_err(Cause::Connect)?;
     }
     let (sender, connection) = http1::Builder::new()
-        .max_buf_size(settings.buffer)
-        .handshake(TokioIo::new(Metered::new(stream, wire.clone())))
+        .max_buf_size(settings.buffer_bytes)
+        .handshake(TokioIo::new(MeteredStream::new(
+            stream,
+            transferred.clone(),
+        )))
         .await
         .map_err(|error| Cause::Connection(error.into()))?;
     let driver = tokio::spawn(async move {
--- a/crates/client/src/connect/meter.rs
+++ b/crates/client/src/connect/meter.rs
@@ -13,34 +13,35 @@
 use tokio::net::TcpStream;
 
 /// IPv4 and TCP headers with the time stamp option: 20, 20 and 12 bytes.
-const PACKET: u64 = 52;
+const PACKET_HEADER_BYTES: u64 = 52;
 
 /// Headers of a read or write: its packet and the acknowledgement of it. A
 /// large one takes several packets, at 4% of their bytes; what is counted here
 /// is small.
-const EXCHANGE: u64 = 2 * PACKET;
+const TRANSFER_OVERHEAD_BYTES: u64 = 2 * PACKET_HEADER_BYTES;
 
 /// Opening and closing a connection: three packets and four.
-const CONNECTION: u64 = 7 * PACKET;
+const CONNECTION_OVERHEAD_BYTES: u64 = 7 * PACKET_HEADER_BYTES;
 
 /// The bytes of a connector's connections.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Wire {
+pub(super) struct TransferCounter {
     bytes: Arc<AtomicU64>,
 }
 
-impl Wire {
+impl TransferCounter {
     pub(super) fn bytes(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
     }
 
-    pub(super) fn opened(&self) {
-        self.bytes.fetch_add(CONNECTION, Ordering::Relaxed);
+    pub(super) fn record_open(&self) {
+        self.bytes
+            .fetch_add(CONNECTION_OVERHEAD_BYTES, Ordering::Relaxed);
     }
 
-    fn passed(&self, payload: usize) {
+    fn record_transfer(&self, payload: usize) {
         if payload > 0 {
-            let bytes = payload as u64 + EXCHANGE;
+            let bytes = payload as u64 + TRANSFER_OVERHEAD_BYTES;
             self.bytes.fetch_add(bytes, Ordering::Relaxed);
         }
     }
@@ -48,25 +49,25 @@
 
 /// A TCP stream that counts what passes.
 #[derive(Debug)]
-pub(super) struct Metered {
+pub(super) struct MeteredStream {
     stream: TcpStream,
-    wire: Wire,
+    counter: TransferCounter,
 }
 
-impl Metered {
-    pub(super) const fn new(stream: TcpStream, wire: Wire) -> Self {
-        Self { stream, wire }
+impl MeteredStream {
+    pub(super) const fn new(stream: TcpStream, counter: TransferCounter) -> Self {
+        Self { stream, counter }
     }
 
-    fn wrote(&self, written: Poll<Result<usize>>) -> Poll<Result<usize>> {
+    fn record_write(&self, written: Poll<Result<usize>>) -> Poll<Result<usize>> {
         if let Poll::Ready(Ok(bytes)) = written {
-            self.wire.passed(bytes);
+            self.counter.record_transfer(bytes);
         }
         written
     }
 }
 
-impl AsyncRead for Metered {
+impl AsyncRead for MeteredStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -74,19 +75,19 @@
     ) -> Poll<Result<()>> {
         let before = buf.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buf);
-        self.wire.passed(buf.filled().len() - before);
+        self.counter.record_transfer(buf.filled().len() - before);
         read
     }
 }
 
-impl AsyncWrite for Metered {
+impl AsyncWrite for MeteredStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.wrote(written)
+        self.record_write(written)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Result<()>> {
@@ -103,7 +104,7 @@
         bufs: &[IoSlice<'_>],
     ) -> Poll<Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.wrote(written)
+        self.record_write(written)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/client/src/connect/received.rs
+++ b/crates/client/src/connect/received.rs
@@ -17,23 +17,23 @@
 /// Its end returns the connection to the pool. Dropping it before closes the
 /// connection, so the rest of the body can never be taken for another answer.
 #[derive(Debug)]
-pub struct Received {
+pub struct ResponseBody {
     body: Incoming,
     connection: Option<(Connection, Pool)>,
     framed: bool,
 }
 
-impl Received {
+impl ResponseBody {
     pub(super) fn new(
         headers: &HeaderMap,
         body: Incoming,
         mut connection: Connection,
         pool: Pool,
     ) -> Self {
-        if let Some(told) = keep_alive(headers) {
-            connection.told(told);
+        if let Some(timeout) = parse_keep_alive_timeout(headers) {
+            connection.set_server_idle_timeout(timeout);
         }
-        let framed = body.size_hint().exact().is_some() || chunked(headers);
+        let framed = body.size_hint().exact().is_some() || is_chunked(headers);
         let mut received = Self {
             body,
             connection: Some((connection, pool)),
@@ -63,14 +63,14 @@
         if self.body.is_end_stream()
             && let Some((connection, pool)) = self.connection.take()
         {
-            pool.give_back(connection);
+            pool.release(connection);
         }
     }
 }
 
 // The time-out that the server names, in whole seconds: RFC 2068, section
 // 19.7.1.1, and common practice since.
-fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
+fn parse_keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let parameter = value
         .split(',')
@@ -79,7 +79,7 @@
 }
 
 // Chunks frame a body only as the last coding, RFC 9112, section 6.3.
-fn chunked(headers: &HeaderMap) -> bool {
+fn is_chunked(headers: &HeaderMap) -> bool {
     headers
         .get_all(TRANSFER_ENCODING)
         .iter()
@@ -89,7 +89,7 @@
         .is_some_and(|last| last.trim().eq_ignore_ascii_case("chunked"))
 }
 
-impl Body for Received {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = hyper::Error;
 
@@ -103,7 +103,7 @@
             Some(Err(_)) => self.connection = None,
             None => {
                 if let Some((connection, pool)) = self.connection.take() {
-                    pool.give_back(connection);
+                    pool.release(connection);
                 }
             }
         }
--- a/crates/client/src/list.rs
+++ b/crates/client/src/list.rs
@@ -23,7 +23,7 @@
 
 /// Bytes of a list that are read at most. 4,000 entries of 300 bytes take
 /// 1.2 MB.
-const ANSWER_LIMIT: usize = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
 /// Makes calls to the instance list.
 #[derive(Clone, Debug)]
@@ -90,14 +90,14 @@
     /// the instance list answered {0}; try again after a pause
     Status(StatusCode),
     /// unreadable instance list ({0}); try again after a pause
-    Answer(connect::BoxError),
+    InvalidResponse(connect::BoxError),
 }
 
 impl std::error::Error for Error {}
 
 /// What the list answers: everything, or what changed after a revision.
 #[derive(Debug, Deserialize)]
-struct Answer {
+struct ListResponse {
     #[serde(default)]
     revision: Option<u64>,
     #[serde(default)]
@@ -125,15 +125,15 @@
     ///
     /// [`Error`] if the list can't be reached or read as a whole.
     pub async fn fetch(&self) -> Result<Listing, Error> {
-        let answer = self.get("/v1/instances", self.timeout).await?;
-        let instances = answer.instances.unwrap_or_default();
-        Ok(read(instances.iter()))
+        let response = self.get("/v1/instances", self.timeout).await?;
+        let instances = response.instances.unwrap_or_default();
+        Ok(parse_entries(instances.iter()))
     }
 
-    async fn get(&self, path: &str, wait: Duration) -> Result<Answer, Error> {
+    async fn get(&self, path: &str, wait: Duration) -> Result<ListResponse, Error> {
         let request = Request::get(path)
             .body(text::full(Bytes::new()))
-            .map_err(|error| Error::Answer(error.into()))?;
+            .map_err(|error| Error::InvalidResponse(error.into()))?;
         let response = self
             .connector
             .send(self.address, request, wait)
@@ -143,22 +143,22 @@
         if status != StatusCode::OK {
             return Err(Error::Status(status));
         }
-        let collected = text::collect(response.into_body(), ANSWER_LIMIT);
+        let collected = text::collect(response.into_body(), MAX_RESPONSE_BYTES);
         let body = tokio::time::timeout(self.timeout, collected)
             .await
-            .map_err(|late| Error::Answer(late.into()))?
-            .map_err(Error::Answer)?;
-        serde_json::from_slice(&body).map_err(|error| Error::Answer(error.into()))
+            .map_err(|late| Error::InvalidResponse(late.into()))?
+            .map_err(Error::InvalidResponse)?;
+        serde_json::from_slice(&body).map_err(|error| Error::InvalidResponse(error.into()))
     }
 }
 
-fn read<'v>(values: impl Iterator<Item = &'v serde_json::Value>) -> Listing {
+fn parse_entries<'v>(values: impl Iterator<Item = &'v serde_json::Value>) -> Listing {
     let mut listing = Listing::default();
     for value in values {
         let name = value["name"].as_str().unwrap_or("(no name)");
         let added = Entry::deserialize(value)
             .map_err(|error| error.to_string())
-            .and_then(|entry| add(&mut listing, entry));
+            .and_then(|entry| add_entry(&mut listing, entry));
         if let Err(reason) = added {
             listing.refused.push(format!("{name}: {reason}"));
         }
@@ -166,7 +166,7 @@
     listing
 }
 
-fn add(listing: &mut Listing, entry: Entry) -> Result<(), String> {
+fn add_entry(listing: &mut Listing, entry: Entry) -> Result<(), String> {
     match entry.role {
         Role::Router => listing.instances.push(instance(entry)?),
         Role::Endpoint => listing.endpoints.push(endpoint(entry)?),
@@ -179,10 +179,10 @@
         .operators_address
         .ok_or("a router without operators_address; add it to the entry")?;
     Ok(Instance {
-        id: id::of(&entry.name),
+        id: id::from_name(&entry.name),
         incarnation: entry.incarnation,
-        zone: id::of(&entry.zone),
-        region: id::of(&entry.region),
+        zone: id::from_name(&entry.zone),
+        region: id::from_name(&entry.region),
         peer_address: entry.address,
         operators_address,
         standing: entry.standing,
@@ -195,12 +195,12 @@
         .service
         .ok_or("an endpoint without service; add it to the entry")?;
     Ok(Endpoint {
-        id: id::of(&entry.name),
+        id: id::from_name(&entry.name),
         incarnation: entry.incarnation,
-        service: id::of(&service),
+        service: id::from_name(&service),
         models: entry.models.iter().map(|model| model_id(model)).collect(),
-        zone: id::of(&entry.zone),
-        region: id::of(&entry.region),
+        zone: id::from_name(&entry.zone),
+        region: id::from_name(&entry.region),
         address: entry.address,
         standing: entry.standing,
         name: entry.name,
@@ -210,5 +210,5 @@
 // Lists may name models as engines report them, with their weights, which
 // pass from version to version while the model stays the same.
 fn model_id(model: &str) -> id::ModelId {
-    id::of(model.split_once('@').map_or(model, |(name, _)| name))
+    id::from_name(model.split_once('@').map_or(model, |(name, _)| name))
 }
--- a/crates/client/src/list/watch.rs
+++ b/crates/client/src/list/watch.rs
@@ -11,7 +11,7 @@
 
 use serde_json::Value;
 
-use super::{Answer, Client, Error, Listing, read};
+use super::{Client, Error, ListResponse, Listing, parse_entries};
 
 /// The list as followed so far.
 #[derive(Debug)]
@@ -40,7 +40,7 @@
     /// # Errors
     ///
     /// [`Error`] if the list can't be reached or read. The next call goes on
-    /// from the last answer.
+    /// from the last response.
     pub async fn next(&mut self, wait: Duration) -> Result<Listing, Error> {
         let path = match self.revision {
             None => "/v1/instances".to_owned(),
@@ -50,32 +50,32 @@
             }
         };
         let timeout = self.client.timeout + wait;
-        let answer = self.client.get(&path, timeout).await?;
-        self.take(answer);
-        Ok(read(self.entries.values()))
+        let response = self.client.get(&path, timeout).await?;
+        self.apply_response(response);
+        Ok(parse_entries(self.entries.values()))
     }
 
     /// Returns whether the list itself waits for changes.
     #[must_use]
-    pub const fn waits(&self) -> bool {
+    pub const fn is_long_polling(&self) -> bool {
         self.revision.is_some()
     }
 
-    fn take(&mut self, answer: Answer) {
-        self.revision = answer.revision;
-        if let Some(instances) = answer.instances {
+    fn apply_response(&mut self, response: ListResponse) {
+        self.revision = response.revision;
+        if let Some(instances) = response.instances {
             self.entries.clear();
-            self.put(instances);
+            self.insert_entries(instances);
             return;
         }
-        self.put(answer.changed);
-        for name in &answer.removed {
+        self.insert_entries(response.changed);
+        for name in &response.removed {
             self.entries.remove(name);
         }
     }
 
     // An entry without a name is kept too, to be named as refused.
-    fn put(&mut self, values: Vec<Value>) {
+    fn insert_entries(&mut self, values: Vec<Value>) {
         for value in values {
             let name = value["name"].as_str().unwrap_or_default().to_owned();
             self.entries.insert(name, value);
--- a/crates/client/src/log.rs
+++ b/crates/client/src/log.rs
@@ -27,7 +27,7 @@
 
 /// Bytes of an answer that are read at most. A page is asked for by number of
 /// records, and the largest record is a whole bundle of a few megabytes.
-const ANSWER_LIMIT: usize = 64 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
 /// Makes calls to the log service.
 #[derive(Clone, Debug)]
@@ -100,17 +100,17 @@
             .map_err(append::from_connect)?;
         let status = response.status();
         if status != StatusCode::CREATED {
-            return Err(append::refused(status));
+            return Err(append::from_status(status));
         }
         let body = self
-            .body(response.into_body(), self.timeout)
+            .collect_body(response.into_body(), self.timeout)
             .await
-            .map_err(append::Error::Answer)?;
-        let answer: AppendAnswer =
-            serde_json::from_slice(&body).map_err(|error| append::Error::Answer(error.into()))?;
+            .map_err(append::Error::InvalidResponse)?;
+        let appended: AppendResponse = serde_json::from_slice(&body)
+            .map_err(|error| append::Error::InvalidResponse(error.into()))?;
         Ok(Appended {
-            offset: answer.offset,
-            time: Duration::from_millis(answer.time_ms),
+            offset: appended.offset,
+            time: Duration::from_millis(appended.time_ms),
         })
     }
 
@@ -147,23 +147,23 @@
             return Err(read::Error::Status(status));
         }
         let body = self
-            .body(response.into_body(), timeout)
+            .collect_body(response.into_body(), timeout)
             .await
-            .map_err(read::Error::Answer)?;
+            .map_err(read::Error::InvalidResponse)?;
         read::parse(&body, from)
     }
 
-    async fn body(
+    async fn collect_body(
         &self,
-        body: connect::Received,
+        body: connect::ResponseBody,
         timeout: Duration,
     ) -> Result<Bytes, connect::BoxError> {
-        tokio::time::timeout(timeout, text::collect(body, ANSWER_LIMIT)).await?
+        tokio::time::timeout(timeout, text::collect(body, MAX_RESPONSE_BYTES)).await?
     }
 }
 
 #[derive(Deserialize)]
-struct AppendAnswer {
+struct AppendResponse {
     offset: Offset,
     time_ms: u64,
 }
--- a/crates/client/src/log/append.rs
+++ b/crates/client/src/log/append.rs
@@ -12,17 +12,17 @@
     /// not appended: {0}; the append may be tried again
     NotSent(connect::Error),
     /// not appended: over the log's rate; try again more slowly
-    Busy,
+    RateLimited,
     /// not appended: the log is down; try again after a pause
-    Down,
+    Unavailable,
     /// not appended: the log answered {0}; check the stream and the record
-    Refused(StatusCode),
+    Rejected(StatusCode),
     /// fate unknown: {0}; read the stream back before another append
-    Lost(connect::Error),
+    ResponseLost(connect::Error),
     /// fate unknown: the log answered {0}; read the stream back
-    Strange(StatusCode),
+    UnexpectedStatus(StatusCode),
     /// fate unknown: unreadable answer ({0}); read the stream back
-    Answer(connect::BoxError),
+    InvalidResponse(connect::BoxError),
 }
 
 impl std::error::Error for Error {}
@@ -32,23 +32,25 @@
     #[must_use]
     pub const fn may_have_taken_effect(&self) -> bool {
         match self {
-            Self::Stream(_) | Self::NotSent(_) | Self::Busy | Self::Down | Self::Refused(_) => {
-                false
-            }
-            Self::Lost(_) | Self::Strange(_) | Self::Answer(_) => true,
+            Self::Stream(_)
+            | Self::NotSent(_)
+            | Self::RateLimited
+            | Self::Unavailable
+            | Self::Rejected(_) => false,
+            Self::ResponseLost(_) | Self::UnexpectedStatus(_) | Self::InvalidResponse(_) => true,
         }
     }
 
     /// Returns whether another try of the same record must fail as well.
     #[must_use]
     pub const fn is_permanent(&self) -> bool {
-        matches!(self, Self::Stream(_) | Self::Refused(_))
+        matches!(self, Self::Stream(_) | Self::Rejected(_))
     }
 }
 
 pub(super) fn from_connect(error: connect::Error) -> Error {
     if error.may_have_run() {
-        Error::Lost(error)
+        Error::ResponseLost(error)
     } else {
         Error::NotSent(error)
     }
@@ -57,13 +59,13 @@
 // Only the answers that PLATFORM.md defines as refusals, and those by which a
 // server says that it didn't take the request, count as no effect. A 500 or a
 // 504 may come from something between us and the log after the append.
-pub(super) fn refused(status: StatusCode) -> Error {
+pub(super) fn from_status(status: StatusCode) -> Error {
     match status {
-        StatusCode::TOO_MANY_REQUESTS => Error::Busy,
-        StatusCode::SERVICE_UNAVAILABLE => Error::Down,
+        StatusCode::TOO_MANY_REQUESTS => Error::RateLimited,
+        StatusCode::SERVICE_UNAVAILABLE => Error::Unavailable,
         status if status.is_client_error() && status != StatusCode::REQUEST_TIMEOUT => {
-            Error::Refused(status)
+            Error::Rejected(status)
         }
-        status => Error::Strange(status),
+        status => Error::UnexpectedStatus(status),
     }
 }
--- a/crates/client/src/log/backoff.rs
+++ b/crates/client/src/log/backoff.rs
@@ -14,18 +14,18 @@
 /// The growing pauses of one caller.
 #[derive(Clone, Debug)]
 pub struct Backoff {
-    least: Duration,
-    most: Duration,
+    min: Duration,
+    max: Duration,
     failures: u32,
 }
 
 impl Backoff {
     /// Makes pauses between `least` and `most`.
     #[must_use]
-    pub const fn new(least: Duration, most: Duration) -> Self {
+    pub const fn new(min: Duration, max: Duration) -> Self {
         Self {
-            least,
-            most,
+            min,
+            max,
             failures: 0,
         }
     }
@@ -34,12 +34,12 @@
     ///
     /// It lies between the least pause and twice that for each failure in a
     /// row, and never above the most.
-    pub fn pause(&mut self, random: &mut impl Rng) -> Duration {
+    pub fn next_pause(&mut self, random: &mut impl Rng) -> Duration {
         self.failures = self.failures.saturating_add(1);
         let doubled = 2_u32.saturating_pow(self.failures);
-        let ceiling = self.least.saturating_mul(doubled).min(self.most);
-        let spread = ceiling.saturating_sub(self.least);
-        self.least + spread.mul_f64(random.random::<f64>())
+        let ceiling = self.min.saturating_mul(doubled).min(self.max);
+        let spread = ceiling.saturating_sub(self.min);
+        self.min + spread.mul_f64(random.random::<f64>())
     }
 
     /// Starts over after a success.
--- a/crates/client/src/log/backoff/tests.rs
+++ b/crates/client/src/log/backoff/tests.rs
@@ -5,8 +5,8 @@
 
 use super::Backoff;
 
-const LEAST: Duration = Duration::from_millis(50);
-const MOST: Duration = Duration::from_secs(5);
+const MIN_PAUSE: Duration = Duration::from_millis(50);
+const MAX_PAUSE: Duration = Duration::from_secs(5);
 
 // The log is down for minutes and comes back. If all 320 instances paused
 // alike, it would get 320 appends in the same instant, go over its rate, and
@@ -16,9 +16,9 @@
     let mut tenths = [0; 50];
     for instance in 0..320 {
         let mut random = ChaCha8Rng::seed_from_u64(instance);
-        let mut backoff = Backoff::new(LEAST, MOST);
+        let mut backoff = Backoff::new(MIN_PAUSE, MAX_PAUSE);
         let pause = (0..10)
-            .map(|_| backoff.pause(&mut random))
+            .map(|_| backoff.next_pause(&mut random))
             .last()
             .expect("ten pauses");
         tenths[usize::try_from(pause.as_millis() / 100).expect("a small number")] += 1;
@@ -30,11 +30,11 @@
 #[test]
 fn pauses_stay_in_bounds_and_start_over() {
     let mut random = ChaCha8Rng::seed_from_u64(1);
-    let mut backoff = Backoff::new(LEAST, MOST);
+    let mut backoff = Backoff::new(MIN_PAUSE, MAX_PAUSE);
     for _ in 0..100 {
-        let pause = backoff.pause(&mut random);
-        assert!((LEAST..=MOST).contains(&pause), "{pause:?}");
+        let pause = backoff.next_pause(&mut random);
+        assert!((MIN_PAUSE..=MAX_PAUSE).contains(&pause), "{pause:?}");
     }
     backoff.reset();
-    assert!(backoff.pause(&mut random) <= 2 * LEAST);
+    assert!(backoff.next_pause(&mut random) <= 2 * MIN_PAUSE);
 }
--- a/crates/client/src/log/budget.rs
+++ b/crates/client/src/log/budget.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug)]
 pub struct Budget {
     interval: Duration,
-    burst: Duration,
+    max_advance: Duration,
     // When the next turn falls due if nothing was saved up.
     next: Moment,
 }
@@ -35,15 +35,15 @@
         let interval = Duration::from_secs_f64(1.0 / rate);
         Self {
             interval,
-            burst: interval * (burst - 1),
+            max_advance: interval * (burst - 1),
             next: Moment::ZERO,
         }
     }
 
     /// Takes the next turn if it comes by `deadline`, and returns its moment.
-    pub fn take(&mut self, now: Moment, deadline: Moment) -> Option<Moment> {
+    pub fn reserve(&mut self, now: Moment, deadline: Moment) -> Option<Moment> {
         let next = self.next.max(now);
-        let turn = next.saturating_sub(self.burst).max(now);
+        let turn = next.saturating_sub(self.max_advance).max(now);
         if turn > deadline {
             return None;
         }
--- a/crates/client/src/log/budget/tests.rs
+++ b/crates/client/src/log/budget/tests.rs
@@ -25,7 +25,7 @@
         let mut turns = Vec::new();
         for gap in gaps {
             now += Duration::from_millis(gap);
-            turns.extend(budget.take(now, now + Duration::from_secs(30)));
+            turns.extend(budget.reserve(now, now + Duration::from_secs(30)));
         }
         for (index, turn) in turns.iter().enumerate() {
             let end = *turn + Duration::from_secs(1);
@@ -39,8 +39,8 @@
 fn a_turn_past_the_deadline_is_not_taken() {
     let mut budget = Budget::new(1.0, 1);
     let now = Duration::from_secs(10);
-    assert_eq!(budget.take(now, now), Some(now));
-    assert_eq!(budget.take(now, now), None);
+    assert_eq!(budget.reserve(now, now), Some(now));
+    assert_eq!(budget.reserve(now, now), None);
     let second = Duration::from_secs(1);
-    assert_eq!(budget.take(now, now + second), Some(now + second));
+    assert_eq!(budget.reserve(now, now + second), Some(now + second));
 }
--- a/crates/client/src/log/follower.rs
+++ b/crates/client/src/log/follower.rs
@@ -11,10 +11,10 @@
 use crate::timer::Timer;
 
 /// The shortest pause after a read that failed.
-const LEAST_PAUSE: Duration = Duration::from_millis(100);
+const MIN_PAUSE: Duration = Duration::from_millis(100);
 /// The longest pause. Configuration is to be in force everywhere within 6 s,
 /// so a log that is back must be noticed well before that.
-const MOST_PAUSE: Duration = Duration::from_secs(2);
+const MAX_PAUSE: Duration = Duration::from_secs(2);
 
 /// Limits of a [`Follower`].
 #[derive(Clone, Debug)]
@@ -54,7 +54,7 @@
     /// No record came within the long poll's wait: the reader is up to date.
     Idle,
     /// The log can't be read; the next call waits before it tries again.
-    Down(read::Error),
+    ReadFailed(read::Error),
 }
 
 /// Follows one stream.
@@ -66,7 +66,7 @@
     stream: String,
     next: Offset,
     // Records read along with a gap that has to be reported first.
-    held: Vec<Record>,
+    pending: Vec<Record>,
     backoff: Backoff,
     random: StdRng,
     pause: Option<Duration>,
@@ -87,8 +87,8 @@
             timer,
             stream: stream.to_owned(),
             next: from,
-            held: Vec::new(),
-            backoff: Backoff::new(LEAST_PAUSE, MOST_PAUSE),
+            pending: Vec::new(),
+            backoff: Backoff::new(MIN_PAUSE, MAX_PAUSE),
             random: StdRng::seed_from_u64(settings.seed),
             pause: None,
             settings,
@@ -98,7 +98,9 @@
     /// Returns the offset that is read next.
     #[must_use]
     pub fn position(&self) -> Offset {
-        self.held.first().map_or(self.next, |record| record.offset)
+        self.pending
+            .first()
+            .map_or(self.next, |record| record.offset)
     }
 
     /// Waits for the next event.
@@ -106,28 +108,28 @@
     /// A future that is dropped loses no record: what it would have brought
     /// is read again.
     pub async fn next(&mut self) -> Event {
-        if !self.held.is_empty() {
-            return Event::Records(std::mem::take(&mut self.held));
+        if !self.pending.is_empty() {
+            return Event::Records(std::mem::take(&mut self.pending));
         }
         if let Some(pause) = self.pause {
-            self.timer.until(self.timer.now() + pause).await;
+            self.timer.sleep_until(self.timer.now() + pause).await;
             self.pause = None;
         }
         let Settings { limit, wait, .. } = self.settings;
         match self.client.read(&self.stream, self.next, limit, wait).await {
-            Ok(page) => self.take(page),
+            Ok(page) => self.apply_page(page),
             Err(error) => {
-                self.pause = Some(self.backoff.pause(&mut self.random));
-                Event::Down(error)
+                self.pause = Some(self.backoff.next_pause(&mut self.random));
+                Event::ReadFailed(error)
             }
         }
     }
 
-    fn take(&mut self, page: Page) -> Event {
+    fn apply_page(&mut self, page: Page) -> Event {
         self.backoff.reset();
         let asked = std::mem::replace(&mut self.next, page.next);
         if page.first > asked {
-            self.held = page.records;
+            self.pending = page.records;
             return Event::Gap {
                 asked,
                 first: page.first,
--- a/crates/client/src/log/gate.rs
+++ b/crates/client/src/log/gate.rs
@@ -14,11 +14,11 @@
 
 /// Whether a call to the log may go now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Pass {
+pub enum Admission {
     /// It may.
-    Go,
+    Allowed,
     /// It may ask again then, or when the log has worked for another.
-    At(Moment),
+    RetryAt(Moment),
 }
 
 /// The gate before one log.
@@ -26,7 +26,7 @@
 pub struct Gate {
     backoff: Backoff,
     // When the next try may go; `None` while the log works.
-    next: Option<Moment>,
+    next_attempt: Option<Moment>,
 }
 
 impl Gate {
@@ -35,41 +35,41 @@
     pub const fn new(backoff: Backoff) -> Self {
         Self {
             backoff,
-            next: None,
+            next_attempt: None,
         }
     }
 
     /// Returns whether the log works, as far as is known.
     #[must_use]
     pub const fn is_open(&self) -> bool {
-        self.next.is_none()
+        self.next_attempt.is_none()
     }
 
     /// Asks to make a call now. While the log fails, the one that may go
     /// holds the others back for a pause.
-    pub fn pass(&mut self, now: Moment, random: &mut impl Rng) -> Pass {
-        match self.next {
-            None => Pass::Go,
-            Some(next) if next > now => Pass::At(next),
+    pub fn try_pass(&mut self, now: Moment, random: &mut impl Rng) -> Admission {
+        match self.next_attempt {
+            None => Admission::Allowed,
+            Some(next) if next > now => Admission::RetryAt(next),
             Some(_) => {
-                self.next = Some(now + self.backoff.pause(random));
-                Pass::Go
+                self.next_attempt = Some(now + self.backoff.next_pause(random));
+                Admission::Allowed
             }
         }
     }
 
     /// A call worked. Returns whether that opened the gate.
-    pub const fn worked(&mut self) -> bool {
+    pub const fn record_success(&mut self) -> bool {
         self.backoff.reset();
-        self.next.take().is_some()
+        self.next_attempt.take().is_some()
     }
 
     /// A call failed: refused for load, not sent, or not answered.
-    pub fn failed(&mut self, now: Moment, random: &mut impl Rng) {
+    pub fn record_failure(&mut self, now: Moment, random: &mut impl Rng) {
         // The failure of a call that the gate let go while closed has its
         // pause already.
-        if self.next.is_none() {
-            self.next = Some(now + self.backoff.pause(random));
+        if self.next_attempt.is_none() {
+            self.next_attempt = Some(now + self.backoff.next_pause(random));
         }
     }
 }
--- a/crates/client/src/log/gate/tests.rs
+++ b/crates/client/src/log/gate/tests.rs
@@ -3,7 +3,7 @@
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 
-use super::{Gate, Pass};
+use super::{Admission, Gate};
 use crate::log::backoff::Backoff;
 
 const INSTANCES: u64 = 320;
@@ -27,13 +27,13 @@
     let mut now = Duration::ZERO;
     while now < down_until + Duration::from_secs(10) {
         for (gate, random) in &mut gates {
-            if gate.pass(now, random) != Pass::Go {
+            if gate.try_pass(now, random) != Admission::Allowed {
                 continue;
             }
             if now < down_until {
                 tries[usize::try_from(now.as_secs()).expect("seconds")] += 1;
-                gate.failed(now, random);
-            } else if gate.worked() {
+                gate.record_failure(now, random);
+            } else if gate.record_success() {
                 last_back = now;
             }
         }
@@ -61,14 +61,17 @@
     let pause = Duration::from_millis(100);
     let mut gate = Gate::new(Backoff::new(pause, pause));
     let now = Duration::from_secs(1);
-    assert_eq!(gate.pass(now, &mut random), Pass::Go);
-    gate.failed(now, &mut random);
-    assert_eq!(gate.pass(now, &mut random), Pass::At(now + pause));
-    assert_eq!(gate.pass(now + pause, &mut random), Pass::Go);
+    assert_eq!(gate.try_pass(now, &mut random), Admission::Allowed);
+    gate.record_failure(now, &mut random);
     assert_eq!(
-        gate.pass(now + pause, &mut random),
-        Pass::At(now + 2 * pause)
+        gate.try_pass(now, &mut random),
+        Admission::RetryAt(now + pause)
     );
-    assert!(gate.worked());
-    assert_eq!(gate.pass(now + pause, &mut random), Pass::Go);
+    assert_eq!(gate.try_pass(now + pause, &mut random), Admission::Allowed);
+    assert_eq!(
+        gate.try_pass(now + pause, &mut random),
+        Admission::RetryAt(now + 2 * pause)
+    );
+    assert!(gate.record_success());
+    assert_eq!(gate.try_pass(now + pause, &mut random), Admission::Allowed);
 }
--- a/crates/client/src/log/read.rs
+++ b/crates/client/src/log/read.rs
@@ -25,11 +25,11 @@
     /// the log answered {0}; try again after a pause
     Status(StatusCode),
     /// unreadable answer ({0}); try again after a pause
-    Answer(connect::BoxError),
-    /// the log answered offset {found} where {wanted} was due; report it
-    Order {
+    InvalidResponse(connect::BoxError),
+    /// the log answered offset {found} where {expected} was due; report it
+    UnexpectedOffset {
         /// The offset that a gapless page has next.
-        wanted: Offset,
+        expected: Offset,
         /// The offset that it had.
         found: Offset,
     },
@@ -38,14 +38,14 @@
 impl std::error::Error for Error {}
 
 #[derive(Deserialize)]
-struct Answer {
+struct ReadResponse {
     first: Offset,
     next: Offset,
-    records: Vec<AnswerRecord>,
+    records: Vec<ResponseRecord>,
 }
 
 #[derive(Deserialize)]
-struct AnswerRecord {
+struct ResponseRecord {
     offset: Offset,
     time_ms: u64,
     body: String,
@@ -54,34 +54,34 @@
 /// Parses a page; offsets must run without a gap from `from` or, if that has
 /// expired, from the first record kept.
 pub(super) fn parse(body: &[u8], from: Offset) -> Result<Page, Error> {
-    let answer: Answer =
-        serde_json::from_slice(body).map_err(|error| Error::Answer(error.into()))?;
-    let mut wanted = from.max(answer.first);
-    let mut records = Vec::with_capacity(answer.records.len());
-    for record in answer.records {
-        check(wanted, record.offset)?;
-        wanted += 1;
+    let response: ReadResponse =
+        serde_json::from_slice(body).map_err(|error| Error::InvalidResponse(error.into()))?;
+    let mut expected = from.max(response.first);
+    let mut records = Vec::with_capacity(response.records.len());
+    for record in response.records {
+        check_offset(expected, record.offset)?;
+        expected += 1;
         let body = STANDARD
             .decode(record.body)
-            .map_err(|error| Error::Answer(error.into()))?;
+            .map_err(|error| Error::InvalidResponse(error.into()))?;
         records.push(Record {
             offset: record.offset,
             time: Duration::from_millis(record.time_ms),
             body: Bytes::from(body),
         });
     }
-    check(wanted, answer.next)?;
+    check_offset(expected, response.next)?;
     Ok(Page {
-        first: answer.first,
-        next: answer.next,
+        first: response.first,
+        next: response.next,
         records,
     })
 }
 
-fn check(wanted: Offset, found: Offset) -> Result<(), Error> {
-    if wanted == found {
+fn check_offset(expected: Offset, found: Offset) -> Result<(), Error> {
+    if expected == found {
         Ok(())
     } else {
-        Err(Error::Order { wanted, found })
+        Err(Error::UnexpectedOffset { expected, found })
     }
 }
--- a/crates/client/src/log/read/tests.rs
+++ b/crates/client/src/log/read/tests.rs
@@ -23,7 +23,7 @@
     // skip a winner or count a record twice. Whatever the log answers, a page
     // that is taken runs without a gap from where it had to begin.
     #[test]
-    fn a_page_that_is_taken_has_no_gap(
+    fn an_accepted_page_has_no_gap(
         from in 0_u64..6,
         first in 0_u64..6,
         length in 0_u64..6,
@@ -45,7 +45,7 @@
     }
 
     #[test]
-    fn no_bytes_make_it_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-        prop_assert!(matches!(parse(&bytes, 0), Err(Error::Answer(_))));
+    fn arbitrary_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+        prop_assert!(matches!(parse(&bytes, 0), Err(Error::InvalidResponse(_))));
     }
 }
--- a/crates/client/src/log/writer.rs
+++ b/crates/client/src/log/writer.rs
@@ -27,17 +27,17 @@
 use rand::rngs::StdRng;
 use tokio::sync::Notify;
 
-use self::attempt::{Attempt, Found, Next};
+use self::attempt::{Attempt, ReadBack, Step};
 pub use self::error::Error;
-use self::place::Place;
+use self::place::Reservation;
 use super::backoff::Backoff;
 use super::budget::Budget;
-use super::gate::{Gate, Pass};
+use super::gate::{Admission, Gate};
 use super::{Appended, Client, read};
 use crate::timer::Timer;
 
 /// Records asked for in one read.
-const PAGE: usize = 1000;
+const READ_BACK_PAGE_RECORDS: usize = 1000;
 
 /// Limits of a [`Writer`].
 #[derive(Clone, Debug)]
@@ -47,13 +47,13 @@
     /// Appends that may go at once after a quiet time.
     pub burst: u32,
     /// Records that wait or are under way at most.
-    pub records: usize,
+    pub max_records: usize,
     /// Bytes of these records at most.
-    pub bytes: usize,
+    pub max_bytes: usize,
     /// The shortest pause between tries.
-    pub least_pause: Duration,
+    pub min_pause: Duration,
     /// The longest pause between tries.
-    pub most_pause: Duration,
+    pub max_pause: Duration,
     /// The seed of the pauses; each instance has its own.
     pub seed: u64,
 }
@@ -65,10 +65,10 @@
             // hundred that the log takes.
             rate: 15.0,
             burst: 15,
-            records: 1024,
-            bytes: 16 * 1024 * 1024,
-            least_pause: Duration::from_millis(50),
-            most_pause: Duration::from_secs(5),
+            max_records: 1024,
+            max_bytes: 16 * 1024 * 1024,
+            min_pause: Duration::from_millis(50),
+            max_pause: Duration::from_secs(5),
             seed: 0,
         }
     }
@@ -82,7 +82,7 @@
     settings: Arc<Settings>,
     state: Arc<Mutex<State>>,
     // Wakes those that the gate holds back when the log has worked again.
-    opened: Arc<Notify>,
+    gate_opened: Arc<Notify>,
 }
 
 #[derive(Debug)]
@@ -93,7 +93,7 @@
     records: usize,
     bytes: usize,
     // By stream, an offset below which no record of a later append can be.
-    seen: BTreeMap<String, Offset>,
+    read_up_to: BTreeMap<String, Offset>,
 }
 
 impl Writer {
@@ -106,18 +106,18 @@
     pub fn new(client: Client, timer: Timer, settings: Settings) -> Self {
         let state = State {
             budget: Budget::new(settings.rate, settings.burst),
-            gate: Gate::new(Backoff::new(settings.least_pause, settings.most_pause)),
+            gate: Gate::new(Backoff::new(settings.min_pause, settings.max_pause)),
             random: StdRng::seed_from_u64(settings.seed),
             records: 0,
             bytes: 0,
-            seen: BTreeMap::new(),
+            read_up_to: BTreeMap::new(),
         };
         Self {
             client,
             timer,
             settings: Arc::new(settings),
             state: Arc::new(Mutex::new(state)),
-            opened: Arc::default(),
+            gate_opened: Arc::default(),
         }
     }
 
@@ -137,47 +137,47 @@
         body: Bytes,
         deadline: Moment,
     ) -> Result<Appended, Error> {
-        let _place = Place::take(self, body.len())?;
-        let from = self.lock().seen.get(stream).copied().unwrap_or(0);
-        let pauses = Backoff::new(self.settings.least_pause, self.settings.most_pause);
+        let _reservation = Reservation::acquire(self, body.len())?;
+        let from = self.lock().read_up_to.get(stream).copied().unwrap_or(0);
+        let pauses = Backoff::new(self.settings.min_pause, self.settings.max_pause);
         let mut attempt = Attempt::new(deadline, pauses);
-        let mut next = Next::Append(self.timer.now());
+        let mut next = Step::Append(self.timer.now());
         loop {
             next = match next {
-                Next::Append(at) => {
-                    self.timer.until(at).await;
+                Step::Append(at) => {
+                    self.timer.sleep_until(at).await;
                     self.try_append(stream, &body, &mut attempt).await
                 }
-                Next::ReadBack => self.try_read_back(stream, &body, from, &mut attempt).await,
-                Next::Done(appended) => return Ok(appended),
-                Next::Failed(error) => return Err(error),
+                Step::ReadBack => self.try_read_back(stream, &body, from, &mut attempt).await,
+                Step::Done(appended) => return Ok(appended),
+                Step::Failed(error) => return Err(error),
             };
         }
     }
 
     /// Tells the writer that a stream has been read up to `next`, so that
     /// reading back after a lost answer need not start at the stream's start.
-    pub fn seen(&self, stream: &str, next: Offset) {
+    pub fn record_read_up_to(&self, stream: &str, next: Offset) {
         let mut state = self.lock();
-        let seen = state.seen.entry(stream.to_owned()).or_default();
-        *seen = next.max(*seen);
+        let offset = state.read_up_to.entry(stream.to_owned()).or_default();
+        *offset = next.max(*offset);
     }
 
-    async fn try_append(&self, stream: &str, body: &Bytes, attempt: &mut Attempt) -> Next {
-        if !self.turn(attempt.deadline()).await {
-            return attempt.no_turn();
+    async fn try_append(&self, stream: &str, body: &Bytes, attempt: &mut Attempt) -> Step {
+        if !self.wait_for_slot(attempt.deadline()).await {
+            return attempt.give_up_waiting();
         }
         match self.client.append(stream, body.clone()).await {
             Ok(appended) => {
-                self.worked();
-                self.seen(stream, appended.offset + 1);
-                Next::Done(appended)
+                self.record_success();
+                self.record_read_up_to(stream, appended.offset + 1);
+                Step::Done(appended)
             }
             Err(error) => {
                 if !error.is_permanent() {
-                    self.failed();
+                    self.record_failure();
                 }
-                attempt.failed(self.timer.now(), error)
+                attempt.record_failure(self.timer.now(), error)
             }
         }
     }
@@ -188,38 +188,38 @@
         body: &Bytes,
         from: Offset,
         attempt: &mut Attempt,
-    ) -> Next {
-        if !self.pass(attempt.deadline()).await {
-            return attempt.no_turn();
+    ) -> Step {
+        if !self.wait_for_gate(attempt.deadline()).await {
+            return attempt.give_up_waiting();
         }
-        let found = self.find(stream, body, from).await;
+        let found = self.find_record(stream, body, from).await;
         match &found {
-            Ok(_) => self.worked(),
+            Ok(_) => self.record_success(),
             Err(error) => {
                 ::log::debug!(error:% = error; "reading back failed");
-                self.failed();
+                self.record_failure();
             }
         }
         let now = self.timer.now();
-        attempt.read_back(now, found.ok(), &mut self.lock().random)
+        attempt.record_read_back(now, found.ok(), &mut self.lock().random)
     }
 
     /// Waits for a turn within the budget at an open gate.
-    async fn turn(&self, deadline: Moment) -> bool {
+    async fn wait_for_slot(&self, deadline: Moment) -> bool {
         loop {
-            if !self.pass(deadline).await {
+            if !self.wait_for_gate(deadline).await {
                 return false;
             }
             let now = self.timer.now();
-            let Some(turn) = self.lock().budget.take(now, deadline) else {
+            let Some(slot) = self.lock().budget.reserve(now, deadline) else {
                 return false;
             };
-            if turn <= now {
+            if slot <= now {
                 return true;
             }
             // The log may fail before the turn has come; the turn is lost
             // then, which costs nothing while there is an outage.
-            self.timer.until(turn).await;
+            self.timer.sleep_until(slot).await;
             if self.lock().gate.is_open() {
                 return true;
             }
@@ -227,53 +227,61 @@
     }
 
     /// Waits until the gate lets a call go; false if that is too late.
-    async fn pass(&self, deadline: Moment) -> bool {
+    async fn wait_for_gate(&self, deadline: Moment) -> bool {
         loop {
             // Made before the gate is asked, so that no opening is missed.
-            let opened = self.opened.notified();
+            let gate_opened = self.gate_opened.notified();
             let now = self.timer.now();
-            let pass = {
+            let admission = {
                 let state = &mut *self.lock();
-                state.gate.pass(now, &mut state.random)
+                state.gate.try_pass(now, &mut state.random)
             };
-            match pass {
-                Pass::Go => return true,
-                Pass::At(at) if at > deadline => return false,
-                Pass::At(at) => {
+            match admission {
+                Admission::Allowed => return true,
+                Admission::RetryAt(at) if at > deadline => return false,
+                Admission::RetryAt(at) => {
                     tokio::select! {
-                        () = self.timer.until(at) => {}
-                        () = opened => {}
+                        () = self.timer.sleep_until(at) => {}
+                        () = gate_opened => {}
                     }
                 }
             }
         }
     }
 
-    fn worked(&self) {
-        if self.lock().gate.worked() {
-            self.opened.notify_waiters();
+    fn record_success(&self) {
+        if self.lock().gate.record_success() {
+            self.gate_opened.notify_waiters();
         }
     }
 
-    fn failed(&self) {
+    fn record_failure(&self) {
         let now = self.timer.now();
         let state = &mut *self.lock();
-        state.gate.failed(now, &mut state.random);
+        state.gate.record_failure(now, &mut state.random);
     }
 
     /// Looks for a record of these bytes from an offset to the stream's end.
-    async fn find(&self, stream: &str, body: &Bytes, from: Offset) -> Result<Found, read::Error> {
+    async fn find_record(
+        &self,
+        stream: &str,
+        body: &Bytes,
+        from: Offset,
+    ) -> Result<ReadBack, read::Error> {
         let mut next = from;
         loop {
-            let page = self.client.read(stream, next, PAGE, Duration::ZERO).await?;
+            let page = self
+                .client
+                .read(stream, next, READ_BACK_PAGE_RECORDS, Duration::ZERO)
+                .await?;
             if let Some(record) = page.records.iter().find(|record| record.body == *body) {
-                return Ok(Found::There(Appended {
+                return Ok(ReadBack::Found(Appended {
                     offset: record.offset,
                     time: record.time,
                 }));
             }
             if page.records.is_empty() {
-                return Ok(Found::Missing);
+                return Ok(ReadBack::Missing);
             }
             next = page.next;
         }
--- a/crates/client/src/log/writer/attempt.rs
+++ b/crates/client/src/log/writer/attempt.rs
@@ -12,7 +12,7 @@
 
 /// What the writer does next.
 #[derive(Debug)]
-pub(super) enum Next {
+pub(super) enum Step {
     /// Append the record at a moment.
     Append(Moment),
     /// Look for the record in the stream.
@@ -25,9 +25,9 @@
 
 /// What reading back brought.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Found {
+pub(super) enum ReadBack {
     /// The record is on the log.
-    There(Appended),
+    Found(Appended),
     /// It isn't, though it may still come.
     Missing,
 }
@@ -39,8 +39,8 @@
     pauses: Backoff,
     // The last failure, and one that left the append's fate open. Once there
     // was such a one no later refusal makes the append certain not to be.
-    refused: Option<append::Error>,
-    lost: Option<append::Error>,
+    last_rejection: Option<append::Error>,
+    unknown_outcome: Option<append::Error>,
 }
 
 impl Attempt {
@@ -48,8 +48,8 @@
         Self {
             deadline,
             pauses,
-            refused: None,
-            lost: None,
+            last_rejection: None,
+            unknown_outcome: None,
         }
     }
 
@@ -58,53 +58,55 @@
     }
 
     /// An append failed.
-    pub(super) fn failed(&mut self, now: Moment, error: append::Error) -> Next {
+    pub(super) fn record_failure(&mut self, now: Moment, error: append::Error) -> Step {
         if error.may_have_taken_effect() {
-            self.lost = Some(error);
-            return Next::ReadBack;
+            self.unknown_outcome = Some(error);
+            return Step::ReadBack;
         }
         let permanent = error.is_permanent();
-        self.refused = Some(error);
+        self.last_rejection = Some(error);
         if permanent || now > self.deadline {
             return self.give_up();
         }
-        Next::Append(now)
+        Step::Append(now)
     }
 
     /// The stream was read back, or could not be.
     ///
     /// A record that isn't there is appended again after a pause, in which a
     /// late effect may still show.
-    pub(super) fn read_back(
+    pub(super) fn record_read_back(
         &mut self,
         now: Moment,
-        found: Option<Found>,
+        found: Option<ReadBack>,
         random: &mut impl Rng,
-    ) -> Next {
+    ) -> Step {
         match found {
-            Some(Found::There(appended)) => Next::Done(appended),
-            Some(Found::Missing) => {
-                let at = now + self.pauses.pause(random);
+            Some(ReadBack::Found(appended)) => Step::Done(appended),
+            Some(ReadBack::Missing) => {
+                let at = now + self.pauses.next_pause(random);
                 if at > self.deadline {
                     return self.give_up();
                 }
-                Next::Append(at)
+                Step::Append(at)
             }
             None if now > self.deadline => self.give_up(),
-            None => Next::ReadBack,
+            None => Step::ReadBack,
         }
     }
 
     /// No turn comes before the deadline.
-    pub(super) fn no_turn(&mut self) -> Next {
+    pub(super) fn give_up_waiting(&mut self) -> Step {
         self.give_up()
     }
 
-    fn give_up(&mut self) -> Next {
-        Next::Failed(match (self.lost.take(), self.refused.take()) {
-            (Some(lost), _) => Error::Unknown(lost),
-            (None, Some(refused)) => Error::NotAppended(refused),
-            (None, None) => Error::NoTurn,
-        })
+    fn give_up(&mut self) -> Step {
+        Step::Failed(
+            match (self.unknown_outcome.take(), self.last_rejection.take()) {
+                (Some(lost), _) => Error::Unknown(lost),
+                (None, Some(refused)) => Error::NotAppended(refused),
+                (None, None) => Error::NoSlot,
+            },
+        )
     }
 }
--- a/crates/client/src/log/writer/attempt/tests.rs
+++ b/crates/client/src/log/writer/attempt/tests.rs
@@ -4,7 +4,7 @@
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 
-use super::{Attempt, Found, Next};
+use super::{Attempt, ReadBack, Step};
 use crate::log::append::Error as Append;
 use crate::log::backoff::Backoff;
 use crate::log::writer::Error;
@@ -19,7 +19,7 @@
 }
 
 fn lost() -> Append {
-    Append::Strange(StatusCode::GATEWAY_TIMEOUT)
+    Append::UnexpectedStatus(StatusCode::GATEWAY_TIMEOUT)
 }
 
 // An append's answer is lost, the read-back doesn't show the record, and then
@@ -29,47 +29,50 @@
 #[test]
 fn a_later_refusal_does_not_settle_a_lost_answer() {
     let (mut attempt, mut random) = attempt();
-    assert!(matches!(attempt.failed(START, lost()), Next::ReadBack));
-    let next = attempt.read_back(START, Some(Found::Missing), &mut random);
-    assert!(matches!(next, Next::Append(at) if at > START));
     assert!(matches!(
-        attempt.failed(DEADLINE, Append::Down),
-        Next::Append(_)
+        attempt.record_failure(START, lost()),
+        Step::ReadBack
     ));
-    let next = attempt.failed(DEADLINE + MS, Append::Down);
-    assert!(matches!(next, Next::Failed(Error::Unknown(_))));
+    let next = attempt.record_read_back(START, Some(ReadBack::Missing), &mut random);
+    assert!(matches!(next, Step::Append(at) if at > START));
+    assert!(matches!(
+        attempt.record_failure(DEADLINE, Append::Unavailable),
+        Step::Append(_)
+    ));
+    let next = attempt.record_failure(DEADLINE + MS, Append::Unavailable);
+    assert!(matches!(next, Step::Failed(Error::Unknown(_))));
 }
 
 #[test]
 fn refusals_alone_are_a_certain_no() {
     let (mut attempt, _) = attempt();
     assert!(matches!(
-        attempt.failed(START, Append::Down),
-        Next::Append(START)
+        attempt.record_failure(START, Append::Unavailable),
+        Step::Append(START)
     ));
-    let next = attempt.failed(DEADLINE + MS, Append::Busy);
+    let next = attempt.record_failure(DEADLINE + MS, Append::RateLimited);
     assert!(matches!(
         next,
-        Next::Failed(Error::NotAppended(Append::Busy))
+        Step::Failed(Error::NotAppended(Append::RateLimited))
     ));
 }
 
 #[test]
 fn a_read_back_that_fails_is_repeated_before_another_append() {
     let (mut attempt, mut random) = attempt();
-    attempt.failed(START, lost());
+    attempt.record_failure(START, lost());
     assert!(matches!(
-        attempt.read_back(START, None, &mut random),
-        Next::ReadBack
+        attempt.record_read_back(START, None, &mut random),
+        Step::ReadBack
     ));
-    let next = attempt.read_back(DEADLINE + MS, None, &mut random);
-    assert!(matches!(next, Next::Failed(Error::Unknown(_))));
+    let next = attempt.record_read_back(DEADLINE + MS, None, &mut random);
+    assert!(matches!(next, Step::Failed(Error::Unknown(_))));
 }
 
 #[test]
 fn a_record_that_the_log_rejects_is_not_tried_again() {
     let (mut attempt, _) = attempt();
-    let refused = Append::Refused(StatusCode::PAYLOAD_TOO_LARGE);
-    let next = attempt.failed(START, refused);
-    assert!(matches!(next, Next::Failed(Error::NotAppended(_))));
+    let refused = Append::Rejected(StatusCode::PAYLOAD_TOO_LARGE);
+    let next = attempt.record_failure(START, refused);
+    assert!(matches!(next, Step::Failed(Error::NotAppended(_))));
 }
--- a/crates/client/src/log/writer/error.rs
+++ b/crates/client/src/log/writer/error.rs
@@ -8,7 +8,7 @@
     /// not appended: too many records wait for the log; try again later
     Full,
     /// not appended: no turn within the time allowed; allow more, or raise the budget
-    NoTurn,
+    NoSlot,
     /// not appended within the time allowed; the last try: {0}
     NotAppended(append::Error),
     /// may have been appended: {0}; look for the record's id in the stream
--- a/crates/client/src/log/writer/place.rs
+++ b/crates/client/src/log/writer/place.rs
@@ -3,16 +3,16 @@
 use super::{Error, Writer};
 
 /// A record's place within the writer's bounds, free again when dropped.
-pub(super) struct Place {
+pub(super) struct Reservation {
     writer: Writer,
     bytes: usize,
 }
 
-impl Place {
-    pub(super) fn take(writer: &Writer, bytes: usize) -> Result<Self, Error> {
+impl Reservation {
+    pub(super) fn acquire(writer: &Writer, bytes: usize) -> Result<Self, Error> {
         let mut state = writer.lock();
         let settings = &writer.settings;
-        if state.records >= settings.records || state.bytes + bytes > settings.bytes {
+        if state.records >= settings.max_records || state.bytes + bytes > settings.max_bytes {
             return Err(Error::Full);
         }
         state.records += 1;
@@ -24,7 +24,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for Reservation {
     fn drop(&mut self) {
         let mut state = self.writer.lock();
         state.records -= 1;
--- a/crates/client/src/text.rs
+++ b/crates/client/src/text.rs
@@ -6,7 +6,7 @@
 use crate::connect::{self, BoxError};
 
 /// Reads a body whole; one longer than `limit` bytes is an error.
-pub(crate) async fn collect(body: connect::Received, limit: usize) -> Result<Bytes, BoxError> {
+pub(crate) async fn collect(body: connect::ResponseBody, limit: usize) -> Result<Bytes, BoxError> {
     Ok(Limited::new(body, limit).collect().await?.to_bytes())
 }
 
--- a/crates/client/src/timer.rs
+++ b/crates/client/src/timer.rs
@@ -98,7 +98,7 @@
     }
 
     /// Waits until a moment has come.
-    pub async fn until(&self, moment: Moment) {
+    pub async fn sleep_until(&self, moment: Moment) {
         if moment > self.now() {
             // `None` would mean that the timer is gone, yet it is held here.
             let _tick = self.at(moment).next().await;
@@ -135,7 +135,7 @@
         let clock = *self.shared.clock.get_or_init(|| clock);
         loop {
             self.advance(clock.now());
-            let next = self.shared.lock().next();
+            let next = self.shared.lock().next_due();
             let changed = self.shared.changed.notified();
             match next {
                 Some(next) => {
--- a/crates/client/src/timer/wheel.rs
+++ b/crates/client/src/timer/wheel.rs
@@ -18,10 +18,10 @@
 #[derive(Debug)]
 pub struct Wheel<T> {
     now: Moment,
-    keys: Key,
+    last_key: Key,
     due: BTreeMap<(Moment, Key), (Schedule, T)>,
     // When each entry is due next, to find it by its key.
-    moments: BTreeMap<Key, Moment>,
+    due_by_key: BTreeMap<Key, Moment>,
 }
 
 /// Names an entry of a wheel.
@@ -39,9 +39,9 @@
     pub const fn new(now: Moment) -> Self {
         Self {
             now,
-            keys: 0,
+            last_key: 0,
             due: BTreeMap::new(),
-            moments: BTreeMap::new(),
+            due_by_key: BTreeMap::new(),
         }
     }
 
@@ -51,14 +51,14 @@
             Schedule::Every(period) => now + period,
             Schedule::At(moment) => moment,
         };
-        self.keys += 1;
-        self.put(at, self.keys, schedule, entry);
-        self.keys
+        self.last_key += 1;
+        self.schedule_at(at, self.last_key, schedule, entry);
+        self.last_key
     }
 
     /// Removes an entry; one that is gone already changes nothing.
     pub fn remove(&mut self, key: Key) {
-        if let Some(at) = self.moments.remove(&key) {
+        if let Some(at) = self.due_by_key.remove(&key) {
             self.due.remove(&(at, key));
         }
     }
@@ -83,7 +83,7 @@
 
     /// Returns the moment at which the next entry is due.
     #[must_use]
-    pub fn next(&self) -> Option<Moment> {
+    pub fn next_due(&self) -> Option<Moment> {
         self.due.keys().next().map(|&(at, _)| at)
     }
 
@@ -97,25 +97,25 @@
         let after = self.due.split_off(&(self.now, u64::MAX));
         let due = std::mem::replace(&mut self.due, after);
         for ((at, key), (schedule, entry)) in due {
-            self.moments.remove(&key);
+            self.due_by_key.remove(&key);
             if !fire(&entry) {
                 continue;
             }
             if let Schedule::Every(period) = schedule {
-                self.put(following(at, period, self.now), key, schedule, entry);
+                self.schedule_at(next_period(at, period, self.now), key, schedule, entry);
             }
         }
     }
 
-    fn put(&mut self, at: Moment, key: Key, schedule: Schedule, entry: T) {
-        self.moments.insert(key, at);
+    fn schedule_at(&mut self, at: Moment, key: Key, schedule: Schedule, entry: T) {
+        self.due_by_key.insert(key, at);
         self.due.insert((at, key), (schedule, entry));
     }
 }
 
 // The first moment after `now` on the grid of `period` from `at`: a late
 // driver doesn't shift the grid, and missed periods are skipped.
-fn following(at: Moment, period: Duration, now: Moment) -> Moment {
+fn next_period(at: Moment, period: Duration, now: Moment) -> Moment {
     let next = at + period;
     if next > now {
         return next;
--- a/crates/client/src/weights.rs
+++ b/crates/client/src/weights.rs
@@ -14,7 +14,7 @@
 use crate::text;
 
 /// The pause after a 429 without a readable `Retry-After`.
-const DEFAULT_PAUSE: Duration = Duration::from_secs(1);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Makes calls to the weight store.
 #[derive(Clone, Debug)]
@@ -78,16 +78,18 @@
         match response.status() {
             StatusCode::OK => Ok(Presence::Present),
             StatusCode::NOT_FOUND => Ok(Presence::Absent),
-            StatusCode::TOO_MANY_REQUESTS => Ok(Presence::Busy(pause(response.headers()))),
+            StatusCode::TOO_MANY_REQUESTS => {
+                Ok(Presence::Busy(parse_retry_after(response.headers())))
+            }
             status => Err(Error::Status(status)),
         }
     }
 }
 
-fn pause(headers: &http::HeaderMap) -> Duration {
+fn parse_retry_after(headers: &http::HeaderMap) -> Duration {
     headers
         .get(RETRY_AFTER)
         .and_then(|value| value.to_str().ok())
         .and_then(|text| text.parse().ok())
-        .map_or(DEFAULT_PAUSE, Duration::from_secs)
+        .map_or(DEFAULT_RETRY_AFTER, Duration::from_secs)
 }
--- a/crates/client/tests/connect.rs
+++ b/crates/client/tests/connect.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use godwitpost_client::connect::{Cause, Connector, Error, Received, Settings};
+use godwitpost_client::connect::{Cause, Connector, Error, ResponseBody, Settings};
 use http::{Request, Response};
 use http_body_util::{BodyExt as _, Full};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
@@ -41,7 +41,7 @@
     text.split(' ').nth(1).map(str::to_owned)
 }
 
-async fn text(response: Response<Received>) -> Bytes {
+async fn text(response: Response<ResponseBody>) -> Bytes {
     let body = response.into_body().collect().await;
     body.expect("a whole body").to_bytes()
 }
@@ -61,7 +61,7 @@
     for _ in 0..3 {
         let response = connector.send(address, request("/"), LONG).await;
         assert_eq!(text(response.expect("a response")).await, "ok");
-        while connector.idle(address) == 0 {
+        while connector.idle_count(address) == 0 {
             tokio::task::yield_now().await;
         }
     }
@@ -233,7 +233,7 @@
     body.frame().await.expect("a frame").expect("a part");
     drop(body);
     assert!(server.await.expect("a server without a panic"));
-    assert_eq!(connector.idle(address), 0);
+    assert_eq!(connector.idle_count(address), 0);
 }
 
 // The control budget is kept by this counter. Bodies alone would show a
@@ -296,7 +296,7 @@
 #[tokio::test]
 async fn idle_connections_are_bounded_over_all_addresses() {
     let connector = Connector::new(Settings {
-        idle: 2,
+        max_idle: 2,
         ..Settings::default()
     });
     let mut servers = Vec::new();
@@ -321,7 +321,7 @@
     }
     let idle: usize = servers
         .iter()
-        .map(|(address, _)| connector.idle(*address))
+        .map(|(address, _)| connector.idle_count(*address))
         .sum();
     assert_eq!(idle, 2);
 }
@@ -392,14 +392,14 @@
         }
     });
     let connector = Connector::new(Settings {
-        unconfirmed: Some(Duration::from_millis(650)),
+        ack_timeout: Some(Duration::from_millis(650)),
         ..Settings::default()
     });
     let first = connector.send(address, request("/a"), LONG).await;
     text(first.expect("an answer")).await;
-    assert_eq!(connector.idle(address), 1);
-    connector.forget(address);
-    assert_eq!(connector.idle(address), 0);
+    assert_eq!(connector.idle_count(address), 1);
+    connector.close_idle(address);
+    assert_eq!(connector.idle_count(address), 0);
     let second = connector.send(address, request("/b"), LONG).await;
     text(second.expect("an answer")).await;
     server.await.expect("two connections");
@@ -414,10 +414,10 @@
     let Err(Error::Unknown(cause)) = slow.await else {
         panic!("nobody answers");
     };
-    assert!(!cause.is_dark(), "{cause}");
+    assert!(!cause.is_unreachable(), "{cause}");
     let refused = connector.send(refusing, request("/a"), LONG).await;
     let Err(Error::NotSent { cause, .. }) = refused else {
         panic!("nobody listens");
     };
-    assert!(cause.is_dark(), "{cause}");
+    assert!(cause.is_unreachable(), "{cause}");
 }
--- a/crates/decide/tests/traps/fleet.rs
+++ b/crates/decide/tests/traps/fleet.rs
@@ -23,10 +23,10 @@
 pub fn instance(index: usize) -> Instance {
     let name = format!("router-{index}");
     Instance {
-        id: id::of(&name),
+        id: id::from_name(&name),
         name,
         incarnation: 1,
-        zone: id::of(ZONES[index % 4]),
+        zone: id::from_name(ZONES[index % 4]),
         region: 1,
         peer_address: address(),
         operators_address: address(),
@@ -37,12 +37,12 @@
 pub fn runner(index: usize) -> Endpoint {
     let name = format!("runner-{index}");
     Endpoint {
-        id: id::of(&name),
+        id: id::from_name(&name),
         name,
         incarnation: 1,
-        service: id::of("drafting"),
+        service: id::from_name("drafting"),
         models: BTreeSet::from([MODEL]),
-        zone: id::of(ZONES[index % 4]),
+        zone: id::from_name(ZONES[index % 4]),
         region: 1,
         address: address(),
         standing: Standing::Live,
@@ -68,7 +68,7 @@
             deadline: Duration::from_secs(deadline),
             queue: true,
         };
-        policy.classes.insert(id::of(name), class);
+        policy.classes.insert(id::from_name(name), class);
     }
     let service = Service {
         name: "drafting".into(),
@@ -78,16 +78,16 @@
         slots: 4,
         checks_fencing: true,
     };
-    policy.services.insert(id::of("drafting"), service);
+    policy.services.insert(id::from_name("drafting"), service);
     for name in ["otaru", "sounkyo"] {
         let workspace = Workspace {
             name: name.into(),
             weight: 1.0,
             rate: 50.0,
             concurrency: 40,
-            services: BTreeSet::from([id::of("drafting")]),
+            services: BTreeSet::from([id::from_name("drafting")]),
         };
-        policy.workspaces.insert(id::of(name), workspace);
+        policy.workspaces.insert(id::from_name(name), workspace);
     }
     Arc::new(policy)
 }
@@ -96,10 +96,10 @@
     Request {
         id: u128::from(chat),
         version: 1,
-        workspace: id::of("otaru"),
-        service: id::of("drafting"),
+        workspace: id::from_name("otaru"),
+        service: id::from_name("drafting"),
         model: MODEL,
-        class: id::of("draft"),
+        class: id::from_name("draft"),
         chat: id::scoped(chat, "chat"),
         prompt_tokens: 800,
         answer_tokens: 200,
--- a/crates/decide/tests/traps/limit.rs
+++ b/crates/decide/tests/traps/limit.rs
@@ -15,7 +15,7 @@
     Workspace {
         rate,
         concurrency,
-        ..fleet::policy().workspaces[&id::of("otaru")].clone()
+        ..fleet::policy().workspaces[&id::from_name("otaru")].clone()
     }
 }
 
--- a/crates/decide/tests/traps/place.rs
+++ b/crates/decide/tests/traps/place.rs
@@ -40,7 +40,7 @@
 fn home_of_a_chat_is_the_same_from_every_zone() {
     let view = fleet::view(0, 6, 10);
     for chat in 0..100 {
-        let from = |zone| view.ranked(pool(), chat, id::of(zone)).next();
+        let from = |zone| view.ranked(pool(), chat, id::from_name(zone)).next();
         let homes: BTreeSet<_> = fleet::ZONES.into_iter().map(from).collect();
         assert_eq!(homes.len(), 1);
     }
--- a/crates/demo/src/answer.rs
+++ b/crates/demo/src/answer.rs
@@ -57,5 +57,5 @@
 }
 
 fn digest(text: &str) -> String {
-    format!("{:016x}", id::of(text))
+    format!("{:016x}", id::from_name(text))
 }
--- a/crates/direct/src/control.rs
+++ b/crates/direct/src/control.rs
@@ -298,7 +298,7 @@
         self.returned_at.insert(zone.to_owned(), now);
         let mut stats = self.shared.endpoint_stats();
         let registrations = self.roster.registrations();
-        for one in registrations.filter(|one| one.endpoint.zone == id::of(zone)) {
+        for one in registrations.filter(|one| one.endpoint.zone == id::from_name(zone)) {
             stats.set_idle(one.endpoint.id, now);
         }
     }
@@ -462,7 +462,7 @@
         let warming = self.roster.warming(now);
         let mut warm_at: BTreeMap<_, _> = warming.map(|(one, at)| (one.endpoint.id, at)).collect();
         for (name, returned_at) in &self.returned_at {
-            let zone = id::of(name);
+            let zone = id::from_name(name);
             let all = self.roster.registrations();
             for one in all.filter(|one| one.endpoint.zone == zone) {
                 let until = warm_at.entry(one.endpoint.id).or_default();
@@ -490,7 +490,7 @@
         let usable = |one: &&Registration| !evacuated(one);
         let fetchable = |one: &&Registration| {
             let mut zones = self.fetchable_until.keys();
-            zones.any(|name| id::of(name) == one.endpoint.zone)
+            zones.any(|name| id::from_name(name) == one.endpoint.zone)
         };
         let leaving = with_standing(Standing::Leaving).filter(|one| usable(one) || fetchable(one));
         let leaving = leaving.chain(with_standing(Standing::Live).filter(fetchable));
--- a/crates/direct/src/dialect.rs
+++ b/crates/direct/src/dialect.rs
@@ -9,7 +9,7 @@
 
 use godwitpost_types::endpoint::Standing;
 use godwitpost_types::hash;
-use godwitpost_types::id::{self, SpanId};
+use godwitpost_types::id::{self, PrefixId};
 use http::{HeaderMap, StatusCode};
 
 use crate::stats::Report;
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Prefix {
     /// The prefix's id; the same for all prompts of one model that start with it.
-    pub id: SpanId,
+    pub id: PrefixId,
     /// The prefix's length.
     pub tokens: u32,
 }
@@ -68,7 +68,7 @@
     /// An engine can use a part only with all parts before it.
     #[must_use]
     pub fn prefixes(&self) -> Vec<Prefix> {
-        let model = self.model.as_deref().map_or(id::NO_MODEL, id::of);
+        let model = self.model.as_deref().map_or(id::NO_MODEL, id::from_name);
         let mut prefix = Prefix {
             id: model,
             tokens: 0,
--- a/crates/direct/src/evacuation.rs
+++ b/crates/direct/src/evacuation.rs
@@ -132,7 +132,7 @@
     /// Returns whether a zone is evacuated.
     #[must_use]
     pub fn contains(&self, zone: ZoneId) -> bool {
-        self.zones().any(|name| id::of(name) == zone)
+        self.zones().any(|name| id::from_name(name) == zone)
     }
 }
 
--- a/crates/direct/src/evacuation/tests.rs
+++ b/crates/direct/src/evacuation/tests.rs
@@ -296,7 +296,7 @@
 fn a_zone_is_found_by_its_name() {
     let mut own = EvacuatedZones::default();
     own.apply(state(3, &["otaru", "kushiro"]), Duration::ZERO);
-    assert!(own.contains(id::of("otaru")) && !own.contains(id::of("sapporo")));
+    assert!(own.contains(id::from_name("otaru")) && !own.contains(id::from_name("sapporo")));
 }
 
 /// Guards against comparing states by their offsets although they are of different eras.
@@ -307,7 +307,7 @@
     let changes = own.apply(in_era(2, 4, &["otaru"]), Duration::ZERO);
     assert_eq!(changes.expect("newer").evacuated, ["otaru"]);
     assert_eq!(own.apply(in_era(1, 95, &[]), Duration::ZERO), None);
-    assert!(own.contains(id::of("otaru")));
+    assert!(own.contains(id::from_name("otaru")));
 }
 
 /// Guards against a zone that is used because the log lost its evacuation, and against
@@ -321,9 +321,9 @@
     let changes = own.apply(in_era(2, 4, &["otaru"]), REWRITE_GRACE / 2);
     assert!(changes.expect("newer").is_empty());
     assert_eq!(own.release_expired(REWRITE_GRACE / 2), [""; 0]);
-    assert!(own.contains(id::of("otaru")) && own.contains(id::of("kushiro")));
+    assert!(own.contains(id::from_name("otaru")) && own.contains(id::from_name("kushiro")));
     assert_eq!(own.release_expired(REWRITE_GRACE), ["kushiro"]);
-    assert!(own.contains(id::of("otaru")) && !own.contains(id::of("kushiro")));
+    assert!(own.contains(id::from_name("otaru")) && !own.contains(id::from_name("kushiro")));
     // A zone that the operator returns in the same era is usable at once.
     let changes = own.apply(in_era(2, 6, &[]), REWRITE_GRACE).expect("newer");
     assert_eq!(changes.returned, ["otaru"]);
--- a/crates/direct/src/holders.rs
+++ b/crates/direct/src/holders.rs
@@ -16,7 +16,7 @@
 
 use godwitpost_types::clock::{Moment, since};
 use godwitpost_types::hash;
-use godwitpost_types::id::{EndpointId, SpanId};
+use godwitpost_types::id::{EndpointId, PrefixId};
 use serde::{Deserialize, Serialize};
 
 use crate::dialect::Prefix;
@@ -49,7 +49,7 @@
 pub struct PrefixHolder {
     /// The prefix.
     #[serde(rename = "span")]
-    pub prefix: SpanId,
+    pub prefix: PrefixId,
     /// The endpoint.
     pub endpoint: EndpointId,
     /// The time since the endpoint was last seen to use the prefix.
@@ -79,9 +79,9 @@
 /// The known holders of prefixes.
 #[derive(Debug, Default)]
 pub struct Directory {
-    prefixes: BTreeMap<SpanId, Vec<HolderEntry>>,
+    prefixes: BTreeMap<PrefixId, Vec<HolderEntry>>,
     // Holders that have not been sent to other instances yet.
-    unsent: Vec<(SpanId, EndpointId, Moment)>,
+    unsent: Vec<(PrefixId, EndpointId, Moment)>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -132,7 +132,7 @@
 
     /// Returns whether an endpoint is believed to hold a prefix.
     #[must_use]
-    pub fn holds(&self, prefix: SpanId, endpoint: EndpointId, now: Moment) -> bool {
+    pub fn holds(&self, prefix: PrefixId, endpoint: EndpointId, now: Moment) -> bool {
         let holders = self.prefixes.get(&prefix).map_or(&[][..], Vec::as_slice);
         holders
             .iter()
@@ -178,7 +178,7 @@
     }
 
     // Records a holder; returns whether it should be sent to other instances.
-    fn record_holder(&mut self, prefix: SpanId, endpoint: EndpointId, used: Moment) -> bool {
+    fn record_holder(&mut self, prefix: PrefixId, endpoint: EndpointId, used: Moment) -> bool {
         if !self.prefixes.contains_key(&prefix) {
             self.evict();
         }
@@ -209,7 +209,7 @@
         })
     }
 
-    fn queue_unsent(&mut self, prefix: SpanId, endpoint: EndpointId, used: Moment) {
+    fn queue_unsent(&mut self, prefix: PrefixId, endpoint: EndpointId, used: Moment) {
         if self.unsent.len() >= MAX_UNSENT {
             self.unsent.drain(..MAX_HOLDERS_PER_MESSAGE);
         }
--- a/crates/direct/src/relay/answer.rs
+++ b/crates/direct/src/relay/answer.rs
@@ -5,7 +5,7 @@
 //! that the outcome is unknown. An event stream is relayed as it arrives.
 
 use bytes::{Bytes, BytesMut};
-use godwitpost_client::connect::{Body, Received};
+use godwitpost_client::connect::{Body, ResponseBody};
 use http::header::RETRY_AFTER;
 use http::response::Parts;
 use http::{Method, Response};
@@ -73,7 +73,7 @@
     dispatch(job, None).await
 }
 
-async fn buffer_body(mut body: Received) -> BufferedBody {
+async fn buffer_body(mut body: ResponseBody) -> BufferedBody {
     let mut bytes = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else {
--- a/crates/direct/src/relay/choose.rs
+++ b/crates/direct/src/relay/choose.rs
@@ -183,7 +183,11 @@
 }
 
 fn group_endpoints<'a>(job: &Job, registrations: &'a [Arc<Registration>]) -> EndpointGroups<'a> {
-    let model = job.fields.model.as_deref().map(godwitpost_types::id::of);
+    let model = job
+        .fields
+        .model
+        .as_deref()
+        .map(godwitpost_types::id::from_name);
     let has_model = |one: &Registration| {
         let models = &one.endpoint.models;
         models.is_empty() || model.is_none_or(|model| models.contains(&model))
--- a/crates/direct/src/relay/send.rs
+++ b/crates/direct/src/relay/send.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use godwitpost_client::clock::boot_time;
-use godwitpost_client::connect::{Body, Cause, Error, Received};
+use godwitpost_client::connect::{Body, Cause, Error, ResponseBody};
 use godwitpost_decide::health::Event;
 use godwitpost_types::clock::{Moment, since};
 use godwitpost_types::endpoint::Standing;
@@ -151,7 +151,7 @@
 #[derive(Debug)]
 pub(crate) struct EndpointResponse {
     pub(crate) head: Parts,
-    pub(crate) body: Received,
+    pub(crate) body: ResponseBody,
     pub(crate) in_flight: InFlightRequest,
 }
 
@@ -243,7 +243,7 @@
     let max_idle = max_idle(job);
     let connector = &job.shared.connector;
     match connector
-        .send_rested(address, request, head_timeout, max_idle)
+        .send_with_max_idle(address, request, head_timeout, max_idle)
         .await
     {
         Ok(response) => handle_response(job, in_flight, response),
@@ -303,7 +303,7 @@
 fn handle_response(
     job: &Job,
     in_flight: InFlightRequest,
-    response: Response<Received>,
+    response: Response<ResponseBody>,
 ) -> AttemptResult {
     let (head, body) = response.into_parts();
     let fields = (job.shared.dialect.read_response)(head.status, &head.headers);
@@ -419,7 +419,7 @@
 fn handle_send_error(job: &Job, in_flight: &InFlightRequest, error: &Error) -> Failure {
     log::warn!(request:% = job.id(), endpoint:% = in_flight.name(), error:% = error; "not answered");
     let (Error::NotSent { cause, .. } | Error::Unknown(cause)) = error;
-    if cause.is_dark() {
+    if cause.is_unreachable() {
         in_flight.record_unresponsive();
     } else if matches!(error, Error::Unknown(Cause::Connection(_))) {
         in_flight.check_for_crash(job.id(), job.digest());
@@ -438,7 +438,7 @@
     /// The whole body.
     Whole(Bytes),
     /// The beginning of a body that is too long to buffer, and the rest of it.
-    TooLong(Bytes, Received),
+    TooLong(Bytes, ResponseBody),
     /// The body broke off.
     Broken,
 }
--- a/crates/direct/src/replica.rs
+++ b/crates/direct/src/replica.rs
@@ -472,7 +472,7 @@
         endpoint.service,
         endpoint.zone,
         endpoint.region,
-        id::of(&endpoint.address.to_string()),
+        id::from_name(&endpoint.address.to_string()),
         u64::from(endpoint.standing == Standing::Live),
         u64::from(*slots),
     ];
--- a/crates/direct/src/replica/tests.rs
+++ b/crates/direct/src/replica/tests.rs
@@ -21,7 +21,7 @@
 fn registration(name: &str) -> Registration {
     Registration {
         endpoint: Endpoint {
-            id: id::of(name),
+            id: id::from_name(name),
             name: name.to_owned(),
             incarnation: 1,
             service: 1,
--- a/crates/direct/src/revoked.rs
+++ b/crates/direct/src/revoked.rs
@@ -41,11 +41,11 @@
             removed: 0,
         };
         for key in added_keys {
-            self.versions.remove(&id::of(key));
+            self.versions.remove(&id::from_name(key));
             changes.added += 1;
         }
         for key in old_keys.keys().filter(|key| !new_keys.contains_key(*key)) {
-            self.versions.insert(id::of(key), new.version());
+            self.versions.insert(id::from_name(key), new.version());
             changes.removed += 1;
         }
         self.drop_oldest();
@@ -55,7 +55,7 @@
     /// Returns the version that revoked a key, if that is remembered.
     #[must_use]
     pub fn revoking_version(&self, key: &str) -> Option<Version> {
-        self.versions.get(&id::of(key)).copied()
+        self.versions.get(&id::from_name(key)).copied()
     }
 
     // Drops the keys revoked longest ago, which are the least likely to be
--- a/crates/direct/src/roster/tests.rs
+++ b/crates/direct/src/roster/tests.rs
@@ -14,7 +14,7 @@
 
 fn endpoint(name: &str, standing: Standing) -> Registration {
     let endpoint = Endpoint {
-        id: id::of(name),
+        id: id::from_name(name),
         name: name.to_owned(),
         incarnation: 1,
         service: 1,
--- a/crates/direct/src/settings.rs
+++ b/crates/direct/src/settings.rs
@@ -186,7 +186,7 @@
     /// Returns the id of its availability zone.
     #[must_use]
     pub fn zone_id(&self) -> ZoneId {
-        id::of(&self.zone)
+        id::from_name(&self.zone)
     }
 }
 
@@ -247,7 +247,7 @@
     zones
         .filter_map(|zone| {
             let region = level.required(&zone, NAME_HINT, non_empty, mistakes)?;
-            Some((id::of(&zone), id::of(&region.value)))
+            Some((id::from_name(&zone), id::from_name(&region.value)))
         })
         .collect()
 }
--- a/crates/direct/src/settings/tests.rs
+++ b/crates/direct/src/settings/tests.rs
@@ -38,8 +38,8 @@
     let text = format!("{COMPLETE}regions:\n  otaru: hokkaido\n  \"sendai\": honshu\n");
     let settings = Settings::parse(&text).expect("valid settings");
     assert_eq!(
-        settings.regions.get(&id::of("sendai")),
-        Some(&id::of("honshu"))
+        settings.regions.get(&id::from_name("sendai")),
+        Some(&id::from_name("honshu"))
     );
     let text = format!("{COMPLETE}regions:\n  otaru: [1]\n");
     let Err(Error::Mistakes(mistakes)) = Settings::parse(&text) else {
--- a/crates/direct/src/shared.rs
+++ b/crates/direct/src/shared.rs
@@ -190,8 +190,8 @@
     pub(crate) fn new(settings: Settings, dialect: Dialect) -> Self {
         let connector = Connector::new(connect::Settings {
             connect_timeout: ENDPOINT_CONNECT_TIMEOUT,
-            idle_for: MAX_CONNECTION_IDLE,
-            unconfirmed: Some(UNACKNOWLEDGED_TIMEOUT),
+            idle_timeout: MAX_CONNECTION_IDLE,
+            ack_timeout: Some(UNACKNOWLEDGED_TIMEOUT),
             ..connect::Settings::default()
         });
         Self {
@@ -398,7 +398,7 @@
     /// Records that nothing listens at an endpoint's address, or that its machine doesn't
     /// respond. Its other connections are dead as well, so none of them is reused.
     pub(crate) fn mark_endpoint_down(&self, endpoint: EndpointId, address: SocketAddr) {
-        self.connector.forget(address);
+        self.connector.close_idle(address);
         self.endpoint_stats()
             .record_unreachable(endpoint, boot_time());
     }
@@ -430,7 +430,7 @@
         drop(endpoint_stats);
         let idle = endpoints
             .iter()
-            .map(|one| self.connector.idle(one.endpoint.address));
+            .map(|one| self.connector.idle_count(one.endpoint.address));
         let idle = u32::try_from(idle.sum::<usize>()).unwrap_or(u32::MAX);
         ServiceUsage {
             service: service.name.clone(),
--- a/crates/direct/src/standby.rs
+++ b/crates/direct/src/standby.rs
@@ -110,7 +110,7 @@
 }
 
 fn rank(salt: u64, address: SocketAddr) -> u64 {
-    hash::score(salt, id::of(&address.to_string()))
+    hash::score(salt, id::from_name(&address.to_string()))
 }
 
 /// The instances that can be polled, in order.
--- a/crates/direct/src/stream.rs
+++ b/crates/direct/src/stream.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use godwitpost_client::connect::{BoxError, Received};
+use godwitpost_client::connect::{BoxError, ResponseBody};
 use godwitpost_decide::resume::Progress;
 use godwitpost_decide::resume::events::EventSplitter;
 use http_body::{Body, Frame};
@@ -63,7 +63,7 @@
 
 struct Reading {
     job: Box<Job>,
-    body: Received,
+    body: ResponseBody,
     in_flight: InFlightRequest,
 }
 
@@ -93,7 +93,7 @@
 impl Stream {
     pub(crate) fn new(
         job: Box<Job>,
-        body: Received,
+        body: ResponseBody,
         in_flight: InFlightRequest,
         buffered: Bytes,
     ) -> Self {
--- a/crates/direct/tests/instance/evacuation.rs
+++ b/crates/direct/tests/instance/evacuation.rs
@@ -58,7 +58,7 @@
 
 // Returns prompt parts whose home is the first of three endpoints.
 fn parts_homed_at_first() -> impl Iterator<Item = u64> {
-    let score = |part: u64, name: &str| hash::score(part, id::of(name));
+    let score = |part: u64, name: &str| hash::score(part, id::from_name(name));
     let is_homed_at_first = move |part: &u64| {
         let others = ["e1", "e2"].map(|name| score(*part, name));
         others.iter().all(|other| score(*part, "e0") > *other)
--- a/crates/direct/tests/instance/fleet.rs
+++ b/crates/direct/tests/instance/fleet.rs
@@ -270,7 +270,7 @@
 
     pub(crate) fn register_in_zone(&self, zone: &str, name: &str, address: SocketAddr) {
         let mut joined = registration(name, address, Standing::Live);
-        joined.endpoint.zone = id::of(zone);
+        joined.endpoint.zone = id::from_name(zone);
         self.endpoints.append(name, Value::Set(joined));
     }
 
@@ -382,12 +382,12 @@
 pub(crate) fn registration(name: &str, address: SocketAddr, standing: Standing) -> Registration {
     Registration {
         endpoint: ListedEndpoint {
-            id: id::of(name),
+            id: id::from_name(name),
             name: name.to_owned(),
             incarnation: 1,
-            service: id::of(SERVICE),
+            service: id::from_name(SERVICE),
             models: BTreeSet::new(),
-            zone: id::of("otaru"),
+            zone: id::from_name("otaru"),
             region: 0,
             address,
             standing,
@@ -410,7 +410,7 @@
         open,
         affinity: prefix == "/draft/",
         targets: vec![Target {
-            service: id::of(SERVICE),
+            service: id::from_name(SERVICE),
             weight: 1,
         }],
         homes: BTreeSet::new(),
@@ -438,7 +438,7 @@
             route("/caption/", Kind::Stream { resumable: false }, 1, false),
             route("/open/", Kind::Safe, 2, true),
         ],
-        services: BTreeMap::from([(id::of(SERVICE), service)]),
+        services: BTreeMap::from([(id::from_name(SERVICE), service)]),
         keys: Some(BTreeMap::from([("k1".to_owned(), workspace)])),
         limits: Some(Limits {
             head_bytes: 2_000,
--- a/crates/direct/tests/instance/homes.rs
+++ b/crates/direct/tests/instance/homes.rs
@@ -11,7 +11,7 @@
 
 // Returns version 2, with these home regions of the stock route and of the workspace.
 fn content_with_homes(route: &[&str], workspace: &[&str]) -> Content {
-    let regions = |names: &[&str]| names.iter().map(|name| id::of(name)).collect();
+    let regions = |names: &[&str]| names.iter().map(|name| id::from_name(name)).collect();
     let mut content = content(2);
     content.routes[0].homes = regions(route);
     let homes: BTreeSet<_> = regions(workspace);
--- a/crates/direct/tests/instance/prompts.rs
+++ b/crates/direct/tests/instance/prompts.rs
@@ -32,7 +32,7 @@
 // Returns the endpoints' numbers in a part's ranking, the home first.
 fn ranked(part: u64) -> [usize; 3] {
     let mut ranked = [0, 1, 2];
-    ranked.sort_by_key(|n| Reverse(hash::score(part, id::of(&format!("e{n}")))));
+    ranked.sort_by_key(|n| Reverse(hash::score(part, id::from_name(&format!("e{n}")))));
     ranked
 }
 
--- a/crates/direct/tests/notices/endpoint.rs
+++ b/crates/direct/tests/notices/endpoint.rs
@@ -52,7 +52,7 @@
     }
 
     pub(crate) fn id_of(&self, incarnation: Incarnation) -> EndpointId {
-        id::life(incarnation, &self.name)
+        id::incarnation_id(incarnation, &self.name)
     }
 
     pub(crate) fn registration(
--- a/crates/direct/tests/notices/instance.rs
+++ b/crates/direct/tests/notices/instance.rs
@@ -69,7 +69,7 @@
     // The id under which notices of an endpoint are recorded.
     fn notice_id(&self, registration: &Registration) -> EndpointId {
         if self.is_disabled(Guard::Incarnations) {
-            return id::of(&registration.endpoint.name);
+            return id::from_name(&registration.endpoint.name);
         }
         registration.endpoint.id
     }
--- a/crates/direct/tests/restores/instance.rs
+++ b/crates/direct/tests/restores/instance.rs
@@ -378,7 +378,7 @@
 
     /// Returns whether it treats a zone as evacuated.
     pub(crate) fn is_evacuated(&self, zone: &str) -> bool {
-        self.evacuated_zones.contains(id::of(zone))
+        self.evacuated_zones.contains(id::from_name(zone))
     }
 }
 
--- a/crates/direct/tests/restores/platform.rs
+++ b/crates/direct/tests/restores/platform.rs
@@ -162,7 +162,7 @@
 fn entry(name: &str, started_at: Moment, standing: Standing) -> Registration {
     Registration {
         endpoint: Endpoint {
-            id: id::of(name),
+            id: id::from_name(name),
             name: name.to_owned(),
             incarnation: u64::try_from(started_at.as_millis()).expect("a short day"),
             service: 1,
--- a/crates/router/src/control/bundles.rs
+++ b/crates/router/src/control/bundles.rs
@@ -55,7 +55,7 @@
             follower::Event::Idle => Vec::new(),
             // The fold detects a gap by the offset of the next record.
             follower::Event::Gap { .. } => continue,
-            follower::Event::Down(error) => {
+            follower::Event::ReadFailed(error) => {
                 log::debug!(error:% = error; "could not read the bundle stream");
                 continue;
             }
--- a/crates/router/src/control/models.rs
+++ b/crates/router/src/control/models.rs
@@ -49,7 +49,7 @@
         let reported = Reported {
             received_at: now,
             incarnation: report.incarnation,
-            models: names.map(id::of).collect(),
+            models: names.map(id::from_name).collect(),
         };
         let models = reported.models.clone();
         let known = self.reported.insert(id, reported);
--- a/crates/router/src/control/models/tests.rs
+++ b/crates/router/src/control/models/tests.rs
@@ -12,7 +12,7 @@
         name: "runner-7".to_owned(),
         incarnation: 2,
         service: 1,
-        models: BTreeSet::from([id::of("writer")]),
+        models: BTreeSet::from([id::from_name("writer")]),
         zone: 1,
         region: 1,
         address: "127.0.0.1:1".parse().expect("an address"),
@@ -40,7 +40,7 @@
     assert!(models.record_report(now, ENGINE, &report(2), &reported));
     assert!(!models.record_report(now, ENGINE, &report(2), &reported));
     let corrected = models.apply_reported_models(now, Some(Kind::Engine), endpoint());
-    assert_eq!(corrected.models, BTreeSet::from([id::of("tagger")]));
+    assert_eq!(corrected.models, BTreeSet::from([id::from_name("tagger")]));
     let stale = models.apply_reported_models(now + REPORT_MAX_AGE, Some(Kind::Engine), endpoint());
     assert_eq!(stale.models, endpoint().models);
 }
--- a/crates/router/src/control/orders/reports.rs
+++ b/crates/router/src/control/orders/reports.rs
@@ -206,7 +206,7 @@
     pub(super) fn model_name(&self, endpoint: EndpointId, model: ModelId) -> Option<&str> {
         let reported = self.engines.get(&endpoint)?.report.as_ref()?;
         let mut names = reported.models.iter().map(|model| split_model(model).0);
-        names.find(|name| id::of(name) == model)
+        names.find(|name| id::from_name(name) == model)
     }
 
     fn record_request(&mut self, now: Moment, id: EndpointId) {
@@ -261,7 +261,7 @@
 fn parse_models(models: &[String]) -> BTreeMap<ModelId, String> {
     let parts = models.iter().map(|model| {
         let (name, weights) = split_model(model);
-        (id::of(name), weights.to_owned())
+        (id::from_name(name), weights.to_owned())
     });
     parts.collect()
 }
--- a/crates/router/src/control/probe.rs
+++ b/crates/router/src/control/probe.rs
@@ -109,7 +109,7 @@
     let mut watch = Watch::new(client);
     loop {
         let listed = watch.next(LIST_POLL_TIME).await;
-        let pause = listed.is_err() || !watch.waits();
+        let pause = listed.is_err() || !watch.is_long_polling();
         match listed {
             Ok(listing) => {
                 if io.events.send(Event::Listing(listing)).await.is_err() {
@@ -119,7 +119,7 @@
             Err(error) => log::debug!(error:% = error; "could not read the instance list"),
         }
         if pause {
-            io.timer.until(io.now() + LIST_RETRY_PAUSE).await;
+            io.timer.sleep_until(io.now() + LIST_RETRY_PAUSE).await;
         }
     }
 }
--- a/crates/router/src/relay/answer.rs
+++ b/crates/router/src/relay/answer.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use godwitpost_client::connect::{Body, Received};
+use godwitpost_client::connect::{Body, ResponseBody};
 use godwitpost_decide::ending::Ending;
 use godwitpost_types::policy::Kind;
 use http::header::{CONTENT_ENCODING, CONTENT_TYPE};
@@ -54,7 +54,7 @@
     /// Returns how the attempt ended if the beginning does not arrive.
     pub(crate) async fn read(
         kind: Kind,
-        response: Response<Received>,
+        response: Response<ResponseBody>,
         wait: Duration,
     ) -> Result<Self, Ending> {
         let (mut parts, received) = response.into_parts();
@@ -114,7 +114,7 @@
     }
 }
 
-async fn read_first_frame(mut received: Received, wait: Duration) -> Result<Body, Ending> {
+async fn read_first_frame(mut received: ResponseBody, wait: Duration) -> Result<Body, Ending> {
     match tokio::time::timeout(wait, received.frame()).await {
         Err(_elapsed) => Err(Ending::Timeout),
         Ok(Some(Ok(frame))) => Ok(Peeked::new(frame, received).boxed_unsync()),
@@ -122,7 +122,7 @@
     }
 }
 
-async fn read_json(received: Received, wait: Duration) -> Result<Body, Ending> {
+async fn read_json(received: ResponseBody, wait: Duration) -> Result<Body, Ending> {
     let read = body::collect(received, MAX_JSON_BYTES);
     let bytes: Bytes = match tokio::time::timeout(wait, read).await {
         Err(_elapsed) => return Err(Ending::Timeout),
--- a/crates/router/src/relay/endpoint.rs
+++ b/crates/router/src/relay/endpoint.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use godwitpost_client::connect::{self, Body, Cause, Received};
+use godwitpost_client::connect::{self, Body, Cause, ResponseBody};
 use godwitpost_decide::ending::Ending;
 use godwitpost_decide::owner::Grant;
 use godwitpost_types::clock::since;
@@ -124,7 +124,7 @@
     target: &Target,
     grant: &Grant,
     job: &Job,
-) -> Result<Response<Received>, Ending> {
+) -> Result<Response<ResponseBody>, Ending> {
     let request = build_request(grant, job).ok_or(Ending::NotSent)?;
     let wait = since(job.head.request.deadline, shared.now());
     let response = shared
--- a/crates/router/src/relay/once.rs
+++ b/crates/router/src/relay/once.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use godwitpost_client::connect::Received;
+use godwitpost_client::connect::ResponseBody;
 use godwitpost_decide::ending::Ending;
 use godwitpost_state::claim::key::Key;
 use godwitpost_state::claim::{AbandonResult, Id, Item, Lookup, Refusal, Step, Verdict};
@@ -178,7 +178,7 @@
     read_response(response).await.ok_or(Ending::Broken)
 }
 
-async fn read_response(response: Response<Received>) -> Option<CachedResponse> {
+async fn read_response(response: Response<ResponseBody>) -> Option<CachedResponse> {
     let (mut parts, received) = response.into_parts();
     endpoint::strip_headers(&mut parts.headers);
     // A response that ends when its connection closes may be truncated.
--- a/crates/router/src/relay/peer.rs
+++ b/crates/router/src/relay/peer.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use godwitpost_client::connect::{self, Cause, Received};
+use godwitpost_client::connect::{self, Cause, ResponseBody};
 use godwitpost_decide::ending::Ending;
 use godwitpost_decide::quarantine::Evidence;
 use godwitpost_decide::view::Pool;
@@ -145,7 +145,10 @@
     }
 }
 
-async fn parse_response(job: &Job, response: Response<Received>) -> Result<AttemptResult, Failure> {
+async fn parse_response(
+    job: &Job,
+    response: Response<ResponseBody>,
+) -> Result<AttemptResult, Failure> {
     let broken = Failure::Unknown(Ending::Broken);
     let headers = response.headers();
     let text = |name: HeaderName| headers.get(name).and_then(|value| value.to_str().ok());
@@ -171,7 +174,7 @@
     }
 }
 
-async fn read_reply(response: Response<Received>) -> Option<Reply> {
+async fn read_reply(response: Response<ResponseBody>) -> Option<Reply> {
     let read = body::collect(response.into_body(), MAX_REPLY_BYTES);
     let bytes = tokio::time::timeout(REPLY_BODY_TIMEOUT, read)
         .await
--- a/crates/router/src/resolve.rs
+++ b/crates/router/src/resolve.rs
@@ -157,7 +157,7 @@
             "the request names no workspace; add the header Godwitpost-Workspace",
         ));
     };
-    let id = id::of(name);
+    let id = id::from_name(name);
     if policy.workspaces.contains_key(&id) {
         Ok(id)
     } else {
@@ -169,7 +169,7 @@
     let Some(name) = header_text(headers, &header::CLASS)? else {
         return Ok(route.class);
     };
-    let id = id::of(name);
+    let id = id::from_name(name);
     if policy.classes.contains_key(&id) {
         return Ok(id);
     }
--- a/crates/router/src/resolve/prompt.rs
+++ b/crates/router/src/resolve/prompt.rs
@@ -113,7 +113,7 @@
             Some((name, weights)) => (name, Some(weights)),
             None => (model_name.as_str(), None),
         };
-        let id = id::of(name);
+        let id = id::from_name(name);
         let model = policy
             .models
             .get(&id)
--- a/crates/router/src/serve/peers.rs
+++ b/crates/router/src/serve/peers.rs
@@ -79,7 +79,7 @@
     let version = parts.headers.get(header::BUNDLE);
     let version = version.and_then(|value| value.to_str().ok()?.parse().ok());
     if let Some(version) = version {
-        crate::control::report_peer_version(shared, id::of(sender), version);
+        crate::control::report_peer_version(shared, id::from_name(sender), version);
     }
 }
 
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -132,19 +132,19 @@
     /// Returns the id of the instance.
     #[must_use]
     pub fn id(&self) -> InstanceId {
-        id::of(&self.name)
+        id::from_name(&self.name)
     }
 
     /// Returns the id of its availability zone.
     #[must_use]
     pub fn zone_id(&self) -> ZoneId {
-        id::of(&self.zone)
+        id::from_name(&self.zone)
     }
 
     /// Returns the id of its region.
     #[must_use]
     pub fn region_id(&self) -> RegionId {
-        id::of(&self.region)
+        id::from_name(&self.region)
     }
 
     /// Returns all values as YAML, with secrets hidden.
--- a/crates/router/tests/router/engine_orders.rs
+++ b/crates/router/tests/router/engine_orders.rs
@@ -27,7 +27,7 @@
         let decoded = Record::decode(&record.body);
         table.apply(record.offset, record.time, decoded.as_ref());
     }
-    let current = table.current(id::of("drafting"))?;
+    let current = table.current(id::from_name("drafting"))?;
     (table.log_time() < current.expires_at).then_some((current.holder, current.fence))
 }
 
@@ -59,7 +59,7 @@
 
 fn remove_router(fleet: &mut Fleet, holder: u64) -> Running {
     let names = ["router-0", "router-1", "router-2"];
-    let index = names.iter().position(|name| id::of(name) == holder);
+    let index = names.iter().position(|name| id::from_name(name) == holder);
     fleet.routers.remove(index.unwrap())
 }
 
--- a/crates/router/tests/router/fleet.rs
+++ b/crates/router/tests/router/fleet.rs
@@ -14,7 +14,7 @@
 use godwitpost_bundle::root::Tree;
 use godwitpost_bundle::schema::Bundle;
 use godwitpost_bundle::source;
-use godwitpost_client::connect::{self, Body, Connector, Received};
+use godwitpost_client::connect::{self, Body, Connector, ResponseBody};
 use godwitpost_client::list::{Entry, Role};
 use godwitpost_router::settings::Settings;
 use godwitpost_router::{Running, start};
@@ -214,7 +214,7 @@
         &self,
         router: usize,
         request: Request<Body>,
-    ) -> Result<Response<Received>, connect::Error> {
+    ) -> Result<Response<ResponseBody>, connect::Error> {
         let address = self.routers[router].callers_address();
         self.client.send(address, request, MAX_WAIT).await
     }
@@ -301,7 +301,9 @@
         .collect()
 }
 
-pub(crate) async fn read_response(response: Response<Received>) -> (StatusCode, HeaderMap, Bytes) {
+pub(crate) async fn read_response(
+    response: Response<ResponseBody>,
+) -> (StatusCode, HeaderMap, Bytes) {
     let (parts, body) = response.into_parts();
     let bytes = body.collect().await.unwrap().to_bytes();
     (parts.status, parts.headers, bytes)
--- a/crates/standin/tests/engine.rs
+++ b/crates/standin/tests/engine.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use godwitpost_client::connect::{Connector, Error, Received, Settings as Pool};
+use godwitpost_client::connect::{Connector, Error, ResponseBody, Settings as Pool};
 use godwitpost_standin::digest;
 use godwitpost_standin::engine::{self, End, Faults, Running, Settings};
 use http::{Method, Request, Response, StatusCode};
@@ -35,7 +35,7 @@
     path: &str,
     headers: &[(&str, &str)],
     body: &str,
-) -> Result<Response<Received>, Error> {
+) -> Result<Response<ResponseBody>, Error> {
     let body = Full::new(Bytes::from(body.to_owned()))
         .map_err(|never| match never {})
         .boxed_unsync();
@@ -48,18 +48,18 @@
     connector.send(address, request, TIMEOUT).await
 }
 
-async fn chat(running: &Running, id: &str, body: &str) -> Result<Response<Received>, Error> {
+async fn chat(running: &Running, id: &str, body: &str) -> Result<Response<ResponseBody>, Error> {
     let headers = [("x-request-id", id), ("x-prefix-key", "chat-1")];
     let path = "/v1/chat/completions";
     call(running.address(), Method::POST, path, &headers, body).await
 }
 
-async fn text(response: Response<Received>) -> Result<String, hyper::Error> {
+async fn text(response: Response<ResponseBody>) -> Result<String, hyper::Error> {
     let bytes = response.into_body().collect().await?.to_bytes();
     Ok(String::from_utf8(bytes.to_vec()).expect("text"))
 }
 
-async fn parsed(response: Response<Received>) -> Value {
+async fn parsed(response: Response<ResponseBody>) -> Value {
     let text = text(response).await.expect("a whole body");
     serde_json::from_str(&text).expect("JSON")
 }
--- a/crates/standin/tests/list.rs
+++ b/crates/standin/tests/list.rs
@@ -55,7 +55,7 @@
     assert!(
         listing.endpoints[0]
             .models
-            .contains(&id::of("route-writer"))
+            .contains(&id::from_name("route-writer"))
     );
 }
 
--- a/crates/standin/tests/log.rs
+++ b/crates/standin/tests/log.rs
@@ -79,9 +79,9 @@
     let body = Bytes::from_static(b"claim");
     client.append("claims", body.clone()).await.expect("room");
     let busy = client.append("claims", body.clone()).await;
-    assert!(matches!(busy, Err(append::Error::Busy)));
+    assert!(matches!(busy, Err(append::Error::RateLimited)));
     running.faults().change(|faults| faults.down = true);
     let down = client.append("claims", body).await;
-    assert!(matches!(down, Err(append::Error::Down)));
+    assert!(matches!(down, Err(append::Error::Unavailable)));
     assert_eq!(running.records("claims").len(), 1);
 }
--- a/crates/standin/tests/log_client.rs
+++ b/crates/standin/tests/log_client.rs
@@ -37,9 +37,9 @@
         let settings = Settings {
             rate: 1000.0,
             burst: 100,
-            records,
-            least_pause: 5 * MS,
-            most_pause: 20 * MS,
+            max_records: records,
+            min_pause: 5 * MS,
+            max_pause: 20 * MS,
             ..Settings::default()
         };
         Writer::new(self.client.clone(), self.timer.clone(), settings)
@@ -198,7 +198,7 @@
     fixture.log.append("claims", CLAIM);
     assert!(matches!(follower.next().await, Event::Records(_)));
     fixture.log.faults().change(|faults| faults.down = true);
-    assert!(matches!(follower.next().await, Event::Down(_)));
+    assert!(matches!(follower.next().await, Event::ReadFailed(_)));
     fixture.log.append("claims", CLAIM);
     fixture.log.faults().change(|faults| faults.down = false);
     let Event::Records(records) = follower.next().await else {
--- a/crates/standin/tests/plain.rs
+++ b/crates/standin/tests/plain.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use godwitpost_client::connect::{Connector, Error, Received, Settings};
+use godwitpost_client::connect::{Connector, Error, ResponseBody, Settings};
 use godwitpost_standin::plain::{self, Faults, Running};
 use http::{Request, Response, StatusCode};
 use http_body_util::{BodyExt as _, Full};
@@ -15,7 +15,7 @@
     plain::start(address, faults).await.expect("a free port")
 }
 
-async fn order(running: &Running, body: &'static str) -> Result<Response<Received>, Error> {
+async fn order(running: &Running, body: &'static str) -> Result<Response<ResponseBody>, Error> {
     let body = Full::new(Bytes::from_static(body.as_bytes()))
         .map_err(|never| match never {})
         .boxed_unsync();
--- a/crates/types/src/id.rs
+++ b/crates/types/src/id.rs
@@ -21,7 +21,7 @@
 /// A region: a group of zones that may lose its peers as a whole.
 pub type RegionId = u64;
 /// The beginning of a prompt, from its model and its parts.
-pub type SpanId = u64;
+pub type PrefixId = u64;
 /// A chat, from its workspace and its id or prompt prefix.
 pub type ChatId = u64;
 /// One request as the entry instance accepted it; random.
@@ -42,7 +42,7 @@
 
 /// Returns the id of a name: its 64-bit XXH3 hash.
 #[must_use]
-pub fn of(name: &str) -> u64 {
+pub fn from_name(name: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes())
 }
 
@@ -54,9 +54,9 @@
 
 /// Returns the id of one life of an instance or endpoint.
 #[must_use]
-pub fn life(incarnation: Incarnation, name: &str) -> u64 {
+pub fn incarnation_id(incarnation: Incarnation, name: &str) -> u64 {
     // Seeds that are as small as incarnations are lost in the hash of a short name.
-    hash::score(of(name), incarnation)
+    hash::score(from_name(name), incarnation)
 }
 
 #[cfg(test)]
--- a/crates/types/src/id/tests.rs
+++ b/crates/types/src/id/tests.rs
@@ -1,17 +1,17 @@
 use std::collections::BTreeSet;
 
-use super::{life, of};
+use super::{from_name, incarnation_id};
 
 /// Guards against two endpoints that are taken for one, since a later life of the one has
 /// the id of an earlier life of the other.
 #[test]
-fn each_life_of_each_name_has_an_id_of_its_own() {
+fn each_incarnation_of_each_name_has_a_distinct_id() {
     let names = (0..100).map(|number| format!("e{number}"));
     let mut ids = BTreeSet::new();
     for name in names {
         for incarnation in 0..100 {
             assert!(
-                ids.insert(life(incarnation, &name)),
+                ids.insert(incarnation_id(incarnation, &name)),
                 "{name}, {incarnation}"
             );
         }
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_life_is_no_name() {
-    assert_ne!(life(0, "e1"), of("e1"));
-    assert_ne!(life(1, "e1"), of("e1"));
+fn an_incarnation_id_differs_from_the_id_of_its_name() {
+    assert_ne!(incarnation_id(0, "e1"), from_name("e1"));
+    assert_ne!(incarnation_id(1, "e1"), from_name("e1"));
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -4,7 +4,7 @@
 //! one of our routers, an *endpoint* is a back end, a *workspace* is a tenant.
 //! `docs/GLOSSARY.md` maps these words to the standard ones.
 //!
-//! Ids are aliases of integers derived from names with [`id::of`], so every
+//! Ids are aliases of integers derived from names with [`id::from_name`], so every
 //! instance computes the same id without agreement, and decision logic never
 //! compares strings on a hot path.
 
