--- a/crates/direct/src/fetch.rs
+++ b/crates/direct/src/fetch.rs
@@ -80,10 +80,10 @@
     draw: u64,
     now: Moment,
 ) -> Selection {
-    let Some(whole) = prompt.prefixes.last() else {
+    let Some(full_prefix) = prompt.prefixes.last() else {
         return Selection::Nobody;
     };
-    if directory.holds(whole.id, target, now) {
+    if directory.holds(full_prefix.id, target, now) {
         return Selection::AlreadyHeld;
     }
     let rank = |endpoint: EndpointId| (hash::score(prompt.part, endpoint), endpoint);
@@ -96,7 +96,7 @@
     let usable = |endpoint| candidates.all.contains(&endpoint);
     let known = directory
         .source(prompt.prefixes, usable, draw, now)
-        .filter(|source| target_is_home || source.tokens >= whole.tokens);
+        .filter(|source| target_is_home || source.tokens >= full_prefix.tokens);
     if let Some(source) = known {
         let basis = Basis::Known {
             tokens: source.tokens,
--- a/crates/direct/tests/instance/callers.rs
+++ b/crates/direct/tests/instance/callers.rs
@@ -21,13 +21,13 @@
     assert_eq!(received.header("x-rank"), Some("3"));
     assert_eq!(received.header("x-key"), None);
     assert_eq!(received.header("connection"), None);
-    let left: u64 = received
+    let timeout_millis: u64 = received
         .header("x-patience")
         .expect("a time")
         .parse()
         .expect("a number");
     // At most the timeout of the route, though the caller would wait longer.
-    assert!((900..=1_200).contains(&left), "{left}");
+    assert!((900..=1_200).contains(&timeout_millis), "{timeout_millis}");
 }
 
 #[tokio::test]
@@ -189,14 +189,14 @@
 async fn hundreds_of_routes_are_added_at_once() {
     let endpoint = Endpoint::start(ok_with_body("ok")).await;
     let instance = TestInstance::start(&[endpoint.address]).await;
-    let mut more = content(2);
-    let pattern = more.routes[0].clone();
-    more.routes.extend((0..400).map(|n| {
-        let mut route = pattern.clone();
+    let mut grown = content(2);
+    let template = grown.routes[0].clone();
+    grown.routes.extend((0..400).map(|n| {
+        let mut route = template.clone();
         route.prefix = format!("/new/{n}/");
         route
     }));
-    instance.publish(more);
+    instance.publish(grown);
     crate::fleet::wait_until(async || {
         let response = instance.call("GET", "/new/399/x", "").await;
         response.starts_with("HTTP/1.1 200")
--- a/crates/direct/tests/instance/endpoint.rs
+++ b/crates/direct/tests/instance/endpoint.rs
@@ -210,20 +210,20 @@
 pub(crate) fn response_to(
     received: &ReceivedRequest,
     status: &str,
-    more: &str,
+    extra_headers: &str,
     body: &str,
 ) -> Step {
     let attempt = received.header("x-attempt").unwrap_or_default();
     Step::Send(format!(
-        "HTTP/1.1 {status}\r\nx-attempt: {attempt}\r\nx-signed: s1\r\n{more}content-length: {}\r\n\r\n{body}",
+        "HTTP/1.1 {status}\r\nx-attempt: {attempt}\r\nx-signed: s1\r\n{extra_headers}content-length: {}\r\n\r\n{body}",
         body.len()
     ))
 }
 
 /// Returns a late response that belongs to an attempt that no test makes.
-pub(crate) fn response_to_other_attempt(status: &str, more: &str) -> Step {
+pub(crate) fn response_to_other_attempt(status: &str, extra_headers: &str) -> Step {
     Step::Send(format!(
-        "HTTP/1.1 {status}\r\nx-attempt: a0\r\nx-signed: s1\r\n{more}content-length: 5\r\n\r\nother"
+        "HTTP/1.1 {status}\r\nx-attempt: a0\r\nx-signed: s1\r\n{extra_headers}content-length: 5\r\n\r\nother"
     ))
 }
 
--- a/crates/direct/tests/instance/failures.rs
+++ b/crates/direct/tests/instance/failures.rs
@@ -83,20 +83,20 @@
 /// Another server has the address of an endpoint that left, and answers with status 421.
 #[tokio::test]
 async fn misdirected_request_is_retried_at_the_right_endpoint() {
-    let stranger = Endpoint::start(|_, _| {
+    let wrong_server = Endpoint::start(|_, _| {
         vec![Step::Send(
             "HTTP/1.1 421 Misdirected\r\ncontent-length: 0\r\n\r\n".to_owned(),
         )]
     })
     .await;
     let registered = Endpoint::start(ok_with_body("ok")).await;
-    let instance = TestInstance::start(&[stranger.address, registered.address]).await;
+    let instance = TestInstance::start(&[wrong_server.address, registered.address]).await;
     for _ in 0..4 {
         let response = instance.call("GET", "/stock/1", "").await;
         assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     }
     // After at most one request it is known to be the wrong server.
-    assert!(stranger.received().len() <= 1);
+    assert!(wrong_server.received().len() <= 1);
 }
 
 /// Guards against relaying a second response to an earlier request, which arrives while the
@@ -211,7 +211,7 @@
                 b"HTTP/1.1 400 No\r\nx-attempt: a1\r\nx-signed: s1\r\ncontent-length: 2\r\n\r\nno",
             )
             .await
-            .expect("an answer");
+            .expect("a response");
         let mut request_text = String::from_utf8(start).expect("text");
         while !request_text.ends_with(&sent) {
             let mut bytes = vec![0; 4096];
--- a/crates/direct/tests/instance/fleet.rs
+++ b/crates/direct/tests/instance/fleet.rs
@@ -182,7 +182,7 @@
 
     /// Starts an instance whose log is empty.
     pub(crate) fn start_with_empty_log() -> Self {
-        Self::start_with(SETTINGS, Topic::new(), Topic::new())
+        Self::start_from_settings(SETTINGS, Topic::new(), Topic::new())
     }
 
     /// Starts an instance whose log holds these endpoints and version 1, and has just been
@@ -191,7 +191,7 @@
         let (operator, endpoints) = topics(addresses);
         operator.restore(1);
         endpoints.restore(addresses.len());
-        Self::start_with(SETTINGS, operator, endpoints)
+        Self::start_from_settings(SETTINGS, operator, endpoints)
     }
 
     /// Starts a seed and an instance that polls it. Each has a log of its own, so that a
@@ -220,7 +220,7 @@
         let seeds: Vec<String> = seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
         let text = format!("{text}seeds: [{}]\n", seeds.join(","));
         let (operator, endpoints) = topics(addresses);
-        Self::start_with(&text, operator, endpoints)
+        Self::start_from_settings(&text, operator, endpoints)
     }
 
     /// Returns the number of calls that the instance made to its log.
@@ -228,7 +228,7 @@
         self.operator.calls() + self.endpoints.calls()
     }
 
-    fn start_with(
+    fn start_from_settings(
         settings: &str,
         operator: Topic<Directive>,
         endpoints: Topic<Registration>,
@@ -269,9 +269,9 @@
     }
 
     pub(crate) fn register_in_zone(&self, zone: &str, name: &str, address: SocketAddr) {
-        let mut joined = registration(name, address, Standing::Live);
-        joined.endpoint.zone = id::from_name(zone);
-        self.endpoints.append(name, Value::Set(joined));
+        let mut entry = registration(name, address, Standing::Live);
+        entry.endpoint.zone = id::from_name(zone);
+        self.endpoints.append(name, Value::Set(entry));
     }
 
     pub(crate) fn register_leaving(&self, name: &str, address: SocketAddr) {
@@ -295,8 +295,8 @@
     }
 
     /// Sends a request with the default headers and returns the complete response.
-    pub(crate) async fn call(&self, method: &str, path: &str, more: &str) -> String {
-        let text = request(method, path, more, "");
+    pub(crate) async fn call(&self, method: &str, path: &str, extra_headers: &str) -> String {
+        let text = request(method, path, extra_headers, "");
         exchange(self.running.callers_address(), &text).await
     }
 
@@ -345,10 +345,10 @@
 }
 
 /// Returns a request with the default headers.
-pub(crate) fn request(method: &str, path: &str, more: &str, body: &str) -> String {
+pub(crate) fn request(method: &str, path: &str, extra_headers: &str, body: &str) -> String {
     format!(
         "{method} {path} HTTP/1.1\r\nhost: shop.example\r\nx-attempt: a1\r\nx-key: k1\r\n\
-         x-patience: 1500\r\nconnection: close\r\n{more}content-length: {}\r\n\r\n{body}",
+         x-patience: 1500\r\nconnection: close\r\n{extra_headers}content-length: {}\r\n\r\n{body}",
         body.len()
     )
 }
@@ -485,8 +485,8 @@
     set("x-endpoint", outgoing.endpoint);
     set("x-rank", &outgoing.rank.to_string());
     set("x-workspace", outgoing.workspace.unwrap_or("none"));
-    if let Some(after) = outgoing.last_event_id {
-        set("x-after", &after.to_string());
+    if let Some(last_event_id) = outgoing.last_event_id {
+        set("x-after", &last_event_id.to_string());
     }
     if let Some(source) = outgoing.source {
         set("x-source", &source.to_string());
--- a/crates/direct/tests/instance/peers.rs
+++ b/crates/direct/tests/instance/peers.rs
@@ -27,9 +27,9 @@
     let second = Endpoint::start(ok_with_body("ok")).await;
     let [seed, other] = TestInstance::start_seed_and_poller(&[first.address]).await;
     wait_until_log_unread(&other).await;
-    let mut more = content(2);
-    more.routes.retain(|route| route.prefix != "/open/");
-    seed.publish(more);
+    let mut reduced = content(2);
+    reduced.routes.retain(|route| route.prefix != "/open/");
+    seed.publish(reduced);
     wait_until(async || status(&other, "/open/1").await == "404").await;
     seed.register("e1", second.address);
     seed.register_leaving("e0", first.address);
@@ -103,17 +103,19 @@
     }
     let other = TestInstance::start_with_seeds(&seeds, own, &[endpoint.address]);
     other.wait_until_ready().await;
-    let mut without = content(2);
-    without.routes.retain(|route| route.prefix != "/open/");
-    seed_instances[0].publish(without);
+    let mut reduced_first = content(2);
+    reduced_first
+        .routes
+        .retain(|route| route.prefix != "/open/");
+    seed_instances[0].publish(reduced_first);
     tokio::time::sleep(Duration::from_millis(600)).await;
     let polls_first = status(&other, "/open/1").await == "404";
     seed_instances.rotate_left(usize::from(!polls_first));
     let [polled, remaining_seed] = seed_instances;
     drop(polled);
-    let mut more = content(3);
-    more.routes.retain(|route| route.prefix != "/stock/");
-    remaining_seed.publish(more);
+    let mut reduced = content(3);
+    reduced.routes.retain(|route| route.prefix != "/stock/");
+    remaining_seed.publish(reduced);
     wait_until(async || status(&other, "/stock/1").await == "404").await;
     assert_eq!(other.calls(), 0);
 }
@@ -153,9 +155,9 @@
     let [seed, other] = TestInstance::start_seed_and_poller(&[endpoint.address]).await;
     wait_until_log_unread(&other).await;
     drop(seed);
-    let mut more = content(2);
-    more.routes.retain(|route| route.prefix != "/open/");
-    other.publish(more);
+    let mut reduced = content(2);
+    reduced.routes.retain(|route| route.prefix != "/open/");
+    other.publish(reduced);
     let start = Instant::now();
     wait_until(async || status(&other, "/open/1").await == "404").await;
     assert!(start.elapsed() < Duration::from_secs(2));
--- a/crates/direct/tests/instance/prompts.rs
+++ b/crates/direct/tests/instance/prompts.rs
@@ -114,9 +114,9 @@
         send_draft(&instances[from], [5_000, part_ranked([0, 1, 2]), 5_001]).await;
         // New prompts with the same first part have another home, and another endpoint is
         // next in their ranking.
-        let mut alike = parts_ranked([2, 1, 0]);
+        let mut parts = parts_ranked([2, 1, 0]);
         wait_until(async || {
-            let second = alike.next().expect("there are many");
+            let second = parts.next().expect("there are many");
             send_draft(&instances[1 - from], [5_000, second, 5_002]).await;
             last_source(&endpoints[2]) == Some(addresses[0].to_string())
         })
@@ -149,8 +149,8 @@
     let instance = TestInstance::start(&[limited.address, other.address]).await;
     wait_until_all_used(&instance, std::slice::from_ref(&other)).await;
     // A new part for each request, since a part that is requested twice is spread.
-    let mut alike = parts_ranked([0, 1, 2]);
-    let mut next = || [5_000, alike.next().expect("there are many"), 5_001];
+    let mut parts = parts_ranked([0, 1, 2]);
+    let mut next = || [5_000, parts.next().expect("there are many"), 5_001];
     let open = async |[first, second, own]: [u64; 3]| {
         let header = format!("x-prompt: {first},{second},{own}\r\n");
         instance
@@ -163,8 +163,10 @@
     limited.pause(true);
     let mut waiting = Vec::new();
     let connect_timeout = Duration::from_millis(100);
-    while let Ok(Ok(one)) = timeout(connect_timeout, TcpStream::connect(limited.address)).await {
-        waiting.push(one);
+    while let Ok(Ok(connection)) =
+        timeout(connect_timeout, TcpStream::connect(limited.address)).await
+    {
+        waiting.push(connection);
     }
     send_draft(&instance, next()).await;
     assert_eq!(other.received().len(), other_before + 1);
--- a/crates/direct/tests/restores/platform.rs
+++ b/crates/direct/tests/restores/platform.rs
@@ -127,7 +127,7 @@
 pub(crate) struct Server {
     pub(crate) standing: Standing,
     /// From when on its leaving or removal counts as acknowledged by the log.
-    pub(crate) left: Option<Moment>,
+    pub(crate) left_at: Option<Moment>,
     started_at: Moment,
     last_written: Option<Moment>,
     gone_at: Option<Moment>,
@@ -250,10 +250,10 @@
         self.era += 1;
         self.available_since = Some(now);
         self.rewrite_at = Some(rewrite_at);
-        let known = self.last_outage.saturating_sub(PROPAGATION_TIME);
+        let known_before = self.last_outage.saturating_sub(PROPAGATION_TIME);
         for server in self.servers.values_mut() {
             // A leaving that was lost before all had to know it must be written again.
-            server.left = server.left.filter(|left| *left < known);
+            server.left_at = server.left_at.filter(|left_at| *left_at < known_before);
             let since = if server.gone_at.is_some_and(|gone_at| gone_at <= now) {
                 Duration::ZERO
             } else {
@@ -297,7 +297,7 @@
         let name = format!("e{:02}", self.servers.len());
         let server = Server {
             standing: Standing::Live,
-            left: None,
+            left_at: None,
             started_at: now,
             last_written: None,
             gone_at: None,
@@ -321,7 +321,7 @@
         let at = rng.random_range(0..live.len());
         let (name, server) = live.into_iter().nth(at).expect("a server");
         server.standing = Standing::Leaving;
-        server.left = Some(counts_from);
+        server.left_at = Some(counts_from);
         let silently = rng.random_bool(0.4);
         server.gone_at = Some(if silently { now } else { now + LEAVING_TIME });
         let entry_value = (!silently).then(|| entry(name, server.started_at, Standing::Leaving));
@@ -342,7 +342,7 @@
         let counts_from = self.counts_from(now);
         for (name, server) in &mut self.servers {
             if write_server(&mut self.endpoints, now, name, server) {
-                server.left.get_or_insert(counts_from);
+                server.left_at.get_or_insert(counts_from);
             }
         }
     }
--- a/crates/direct/tests/restores/world.rs
+++ b/crates/direct/tests/restores/world.rs
@@ -422,7 +422,7 @@
             return Ok(());
         }
         for (name, server) in &self.platform.servers {
-            if server.left.is_some_and(|at| at <= bound) && instance.uses(name) {
+            if server.left_at.is_some_and(|at| at <= bound) && instance.uses(name) {
                 return violation(format!("uses {name}, although it has left"));
             }
         }
