--- a/crates/direct/tests/instance/prompts.rs
+++ b/crates/direct/tests/instance/prompts.rs
@@ -181,7 +181,7 @@
     assert_eq!(other.received().len(), other_before + 1);
 }
 
-/// Guards against an engine that is told to fetch from itself: it restarted under another
+/// Guards against an engine that is sent to itself as a source: it restarted under another
 /// name at the same address, and the log still lists the old name.
 #[tokio::test]
 async fn endpoint_is_not_its_own_source_under_another_name() {
--- a/crates/direct/tests/instance/restored.rs
+++ b/crates/direct/tests/instance/restored.rs
@@ -221,7 +221,7 @@
 }
 
 /// Guards against keys that stay valid because a log that lacks the version in force, and
-/// possibly a newer one, is taken to confirm it.
+/// possibly a newer one, is assumed to confirm it.
 #[tokio::test]
 async fn log_that_lacks_the_version_in_force_does_not_confirm_it() {
     let endpoint = Endpoint::start(ok_with_body("ok")).await;
