--- a/crates/bench/src/bundles.rs
+++ b/crates/bench/src/bundles.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 use godwitpost_bundle::fold::{Fold, Next};
-use godwitpost_bundle::key::Private;
+use godwitpost_bundle::key::PrivateKey;
 use godwitpost_bundle::record::{Change, Record};
 use godwitpost_bundle::root::Tree;
 use godwitpost_bundle::schema::{Bundle, Operator};
@@ -64,7 +64,7 @@
     let trusting = || Fold::new("kitakaze", [root_key().public()]);
     let adopt = median(|| {
         let snapshot = snapshot.clone();
-        timed(|| trusting().adopt(snapshot).expect("it is right"))
+        timed(|| trusting().apply_snapshot(snapshot).expect("it is right"))
     });
     let whole = median(|| {
         timed(|| {
@@ -77,7 +77,7 @@
     let mut changes = changes(&fold, count).into_iter();
     let one = median(|| {
         let bytes = changes.next().expect("there is one for each repeat");
-        let offset = fold.wanted();
+        let offset = fold.next_offset();
         timed(|| fold.apply(offset, Duration::from_secs(offset), &bytes))
     });
     let policy = fold.policy().expect("it is in force").clone();
@@ -115,7 +115,7 @@
         reached = count.min(reached + STRIDE);
         let bundle = bundle_of(reached, fold.version() + 1);
         let bytes = signed(&fold, &bundle);
-        let offset = fold.wanted();
+        let offset = fold.next_offset();
         let next = fold.apply(offset, Duration::from_secs(offset), &bytes);
         assert_eq!(next, Next::InForce(bundle.version));
     }
@@ -130,7 +130,7 @@
         .zip(1..)
         .map(|(_, concurrency)| {
             let bytes = change(&fold, count, concurrency);
-            let offset = fold.wanted();
+            let offset = fold.next_offset();
             fold.apply(offset, Duration::from_secs(offset), &bytes);
             bytes
         })
@@ -158,12 +158,12 @@
     Record::Change(change).encode().expect("it fits a record")
 }
 
-fn root_key() -> Private {
-    Private::from_seed(&[1; 32])
+fn root_key() -> PrivateKey {
+    PrivateKey::from_seed(&[1; 32])
 }
 
-fn operator_key() -> Private {
-    Private::from_seed(&[2; 32])
+fn operator_key() -> PrivateKey {
+    PrivateKey::from_seed(&[2; 32])
 }
 
 fn bundle_of(count: u32, version: u64) -> Bundle {
--- a/crates/bench/src/rolls/instance.rs
+++ b/crates/bench/src/rolls/instance.rs
@@ -75,25 +75,25 @@
     /// Returns whether its place on the stream can be held against a reader
     /// of every record.
     pub const fn placed(&self) -> bool {
-        !self.fold.gapped() && self.skipped == 0
+        !self.fold.has_gap() && self.skipped == 0
     }
 
     pub fn read(&mut self, stream: &Stream, most: usize, weakness: Weakness) {
         if !self.awake() || !stream.up() {
             return;
         }
-        let wanted = self.fold.wanted() + self.skipped;
+        let wanted = self.fold.next_offset() + self.skipped;
         for (offset, time, bytes) in stream.read(wanted, most) {
             if weakness == Weakness::IgnoresGaps && self.fold.version() > 0 {
-                self.skipped = self.skipped.max(offset - self.fold.wanted());
+                self.skipped = self.skipped.max(offset - self.fold.next_offset());
             }
             self.fold.apply(offset - self.skipped, time, bytes);
         }
-        let end = self.fold.wanted() + self.skipped >= stream.next();
-        self.ready.read(&self.fold, end);
+        let end = self.fold.next_offset() + self.skipped >= stream.next();
+        self.ready.record_read(&self.fold, end);
         self.careless |= match weakness {
             Weakness::ServesEarly => true,
-            Weakness::ReadyOnEmpty => end && !self.fold.gapped(),
+            Weakness::ReadyOnEmpty => end && !self.fold.has_gap(),
             _ => false,
         };
     }
@@ -105,18 +105,18 @@
         }
         let update = peer.fold.update(self.fold.version());
         let taken = match (update, snapshot) {
-            (Some(update), _) if handed == Handed::Update => self.fold.advance(&update),
+            (Some(update), _) if handed == Handed::Update => self.fold.apply_update(&update),
             (Some(mut update), _) if handed == Handed::BrokenUpdate => {
                 if let Some(last) = update.changes.last_mut() {
                     last.0.truncate(100);
                 }
-                self.fold.advance(&update)
+                self.fold.apply_update(&update)
             }
-            (_, Some(snapshot)) => self.fold.adopt(snapshot),
+            (_, Some(snapshot)) => self.fold.apply_snapshot(snapshot),
             (_, None) => return,
         };
         if taken.is_ok() {
-            self.ready.heard(&self.fold);
+            self.ready.record_peer(&self.fold);
         }
     }
 
@@ -126,7 +126,7 @@
             now,
             retention,
             anchor: self.fold.anchor().filter(|_| self.ready.get()),
-            next: self.fold.wanted(),
+            next: self.fold.next_offset(),
             tried: self.tried,
             rank,
         };
--- a/crates/bench/src/rolls/judge.rs
+++ b/crates/bench/src/rolls/judge.rs
@@ -107,20 +107,20 @@
 
     pub fn instance(&mut self, index: usize, instance: &Instance) {
         let fold = &instance.fold;
-        self.tally.gaps += u32::from(fold.gapped());
+        self.tally.gaps += u32::from(fold.has_gap());
         let version = fold.version();
         let held = (version > 0).then(|| root(fold));
         if held != self.roots.get(&version).copied() {
             self.tally.disagreements += 1;
         }
-        if instance.placed() && Some(version) != self.version_at(fold.wanted()) {
+        if instance.placed() && Some(version) != self.version_at(fold.next_offset()) {
             self.tally.disagreements += 1;
         }
         if let Some(version) = instance.version() {
             self.serves(index, version);
         }
-        let end = fold.wanted() + 1 >= self.versions.len() as u64;
-        if !self.harsh && end && fold.gapped() && self.reader.version() > 0 {
+        let end = fold.next_offset() + 1 >= self.versions.len() as u64;
+        if !self.harsh && end && fold.has_gap() && self.reader.version() > 0 {
             self.tally.stranded += 1;
         }
     }
--- a/crates/bench/src/rolls/operators.rs
+++ b/crates/bench/src/rolls/operators.rs
@@ -1,7 +1,7 @@
 //! Two operators who roll on what they believe to be in force.
 
 use godwitpost_bundle::fold::Fold;
-use godwitpost_bundle::key::Private;
+use godwitpost_bundle::key::PrivateKey;
 use godwitpost_bundle::record::{Change, Record};
 use godwitpost_bundle::root::Tree;
 use godwitpost_bundle::schema::{Bundle, Operator};
@@ -35,8 +35,8 @@
     bundle: Bundle,
 }
 
-fn key(name: &str) -> Private {
-    Private::from_seed(&[name.as_bytes()[0]; 32])
+fn key(name: &str) -> PrivateKey {
+    PrivateKey::from_seed(&[name.as_bytes()[0]; 32])
 }
 
 /// Returns a fold with nothing in force that trusts the root key.
--- a/crates/bundle/src/blob.rs
+++ b/crates/bundle/src/blob.rs
@@ -75,31 +75,33 @@
 
 impl<'de> Deserialize<'de> for Blob {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_byte_buf(Bytes).map(Self)
+        deserializer.deserialize_byte_buf(BytesVisitor).map(Self)
     }
 }
 
 impl<'de> Deserialize<'de> for Digest {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        fixed(deserializer).map(Self)
+        deserialize_array(deserializer).map(Self)
     }
 }
 
 impl<'de> Deserialize<'de> for Signature {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        fixed(deserializer).map(Self)
+        deserialize_array(deserializer).map(Self)
     }
 }
 
-fn fixed<'de, D: Deserializer<'de>, const N: usize>(deserializer: D) -> Result<[u8; N], D::Error> {
-    let bytes = deserializer.deserialize_byte_buf(Bytes)?;
+fn deserialize_array<'de, D: Deserializer<'de>, const N: usize>(
+    deserializer: D,
+) -> Result<[u8; N], D::Error> {
+    let bytes = deserializer.deserialize_byte_buf(BytesVisitor)?;
     <[u8; N]>::try_from(bytes.as_slice())
         .map_err(|_wrong_length| de::Error::invalid_length(bytes.len(), &"a fixed-length digest"))
 }
 
-struct Bytes;
+struct BytesVisitor;
 
-impl Visitor<'_> for Bytes {
+impl Visitor<'_> for BytesVisitor {
     type Value = Vec<u8>;
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/crates/bundle/src/check.rs
+++ b/crates/bundle/src/check.rs
@@ -18,7 +18,7 @@
 use crate::schema::{Bundle, Class, Kind, Model, Operator, Route, Service, Workspace};
 
 /// Names go into headers, metrics' labels and log lines.
-const NAME_LENGTH: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 
 /// Returns every mistake of the bundle.
 #[must_use]
@@ -26,10 +26,10 @@
     let mut found = Vec::new();
     version(bundle, &mut found);
     operators(&bundle.operators, &mut found);
-    named("classes", &bundle.classes, &mut found);
-    named("services", &bundle.services, &mut found);
-    named("models", &bundle.models, &mut found);
-    named("workspaces", &bundle.workspaces, &mut found);
+    check_names("classes", &bundle.classes, &mut found);
+    check_names("services", &bundle.services, &mut found);
+    check_names("models", &bundle.models, &mut found);
+    check_names("workspaces", &bundle.workspaces, &mut found);
     for (name, value) in &bundle.classes {
         class(&format!("classes.{name}"), value, &mut found);
     }
@@ -68,8 +68,8 @@
     found: &mut Vec<Mistake>,
 ) {
     let path = format!("workspaces.{name}");
-    positive(&path, "weight", workspace.weight, found);
-    positive(&path, "rate", workspace.rate, found);
+    check_positive(&path, "weight", workspace.weight, found);
+    check_positive(&path, "rate", workspace.rate, found);
     if workspace.concurrency == 0 {
         found.push(Mistake::new(
             format!("{path}.concurrency"),
@@ -79,7 +79,11 @@
     }
     for service in &workspace.services {
         if !known(service) {
-            found.push(unknown(&format!("{path}.services"), "service", service));
+            found.push(unknown_reference(
+                &format!("{path}.services"),
+                "service",
+                service,
+            ));
         }
     }
 }
@@ -87,12 +91,12 @@
 /// Checks one name.
 pub fn name(path: &str, name: &str, found: &mut Vec<Mistake>) {
     let allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-    let fits = !name.is_empty() && name.len() <= NAME_LENGTH && name.chars().all(allowed);
+    let fits = !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.chars().all(allowed);
     if !fits {
         found.push(Mistake::new(
             path,
             format!("the name {name:?} is not allowed"),
-            format!("use 1 to {NAME_LENGTH} letters, digits, '-', '_' and '.'"),
+            format!("use 1 to {MAX_NAME_BYTES} letters, digits, '-', '_' and '.'"),
         ));
     }
 }
@@ -112,7 +116,7 @@
 }
 
 fn operators(operators: &BTreeMap<String, Operator>, found: &mut Vec<Mistake>) {
-    named("operators", operators, found);
+    check_names("operators", operators, found);
     if operators.is_empty() {
         found.push(Mistake::new(
             "operators",
@@ -131,7 +135,7 @@
     }
 }
 
-fn named<T>(section: &str, map: &BTreeMap<String, T>, found: &mut Vec<Mistake>) {
+fn check_names<T>(section: &str, map: &BTreeMap<String, T>, found: &mut Vec<Mistake>) {
     let mut ids = BTreeMap::new();
     for key in map.keys() {
         let path = format!("{section}.{key}");
@@ -147,7 +151,7 @@
 }
 
 fn class(path: &str, class: &Class, found: &mut Vec<Mistake>) {
-    positive(path, "weight", class.weight, found);
+    check_positive(path, "weight", class.weight, found);
     if class.deadline.is_zero() {
         found.push(Mistake::new(
             format!("{path}.deadline"),
@@ -189,7 +193,7 @@
 ) {
     let path = format!("{path}.service");
     match services.get(&model.service) {
-        None => found.push(unknown(&path, "service", &model.service)),
+        None => found.push(unknown_reference(&path, "service", &model.service)),
         Some(service) if service.kind == Kind::Plain => found.push(Mistake::new(
             path,
             format!(
@@ -212,14 +216,18 @@
         ));
     }
     if !bundle.services.contains_key(&route.service) {
-        found.push(unknown(
+        found.push(unknown_reference(
             &format!("{path}.service"),
             "service",
             &route.service,
         ));
     }
     if !bundle.classes.contains_key(&route.class) {
-        found.push(unknown(&format!("{path}.class"), "class", &route.class));
+        found.push(unknown_reference(
+            &format!("{path}.class"),
+            "class",
+            &route.class,
+        ));
     }
     for method in &route.methods {
         if method.is_empty() || !method.chars().all(|c| c.is_ascii_uppercase()) {
@@ -250,7 +258,7 @@
     one.path.trim_end_matches('/') == other.path.trim_end_matches('/') && methods
 }
 
-fn positive(path: &str, key: &str, value: f64, found: &mut Vec<Mistake>) {
+fn check_positive(path: &str, key: &str, value: f64, found: &mut Vec<Mistake>) {
     if !(value.is_finite() && value > 0.0) {
         found.push(Mistake::new(
             format!("{path}.{key}"),
@@ -260,7 +268,7 @@
     }
 }
 
-fn unknown(path: &str, what: &str, name: &str) -> Mistake {
+fn unknown_reference(path: &str, what: &str, name: &str) -> Mistake {
     Mistake::new(
         path,
         format!("names the unknown {what} {name:?}"),
--- a/crates/bundle/src/check/tests.rs
+++ b/crates/bundle/src/check/tests.rs
@@ -1,6 +1,6 @@
 use crate::check;
 use crate::source;
-use crate::source::tests::WHOLE;
+use crate::source::tests::FULL_BUNDLE;
 
 fn found(yaml: &str) -> Vec<String> {
     let error = source::read(yaml).expect_err("the bundle has mistakes");
@@ -9,7 +9,7 @@
 
 #[test]
 fn nobody_to_sign_the_next_version_is_refused() {
-    let yaml = WHOLE.replace(
+    let yaml = FULL_BUNDLE.replace(
         "  asahikawa: { key: \"11qYAYKxCrfVS/7TyWQHOg7hcvPapiMlrwIaaPcHURo=\" }",
         "  {}",
     );
@@ -26,7 +26,7 @@
 // is of small order, so whoever sees the bundle could sign the next one.
 #[test]
 fn a_weak_key_is_refused() {
-    let yaml = WHOLE.replace(
+    let yaml = FULL_BUNDLE.replace(
         "11qYAYKxCrfVS/7TyWQHOg7hcvPapiMlrwIaaPcHURo=",
         "AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=",
     );
@@ -41,7 +41,7 @@
 
 #[test]
 fn two_routes_on_one_path_must_differ_in_methods() {
-    let same = WHOLE.replace("path: /orders,", "path: /v1/chat/completions/,");
+    let same = FULL_BUNDLE.replace("path: /orders,", "path: /v1/chat/completions/,");
     assert_eq!(
         found(&same),
         [
@@ -59,7 +59,7 @@
 #[test]
 fn names_fit_headers_and_labels() {
     assert_eq!(
-        found(&WHOLE.replace("  otaru:", "  \"otaru shop\":")).len(),
+        found(&FULL_BUNDLE.replace("  otaru:", "  \"otaru shop\":")).len(),
         1
     );
 }
@@ -68,7 +68,7 @@
 // of another version; ranges are checked there too.
 #[test]
 fn ranges_are_checked_without_the_source() {
-    let mut bundle = source::read(WHOLE).expect("it is right");
+    let mut bundle = source::read(FULL_BUNDLE).expect("it is right");
     bundle
         .services
         .get_mut("drafting")
--- a/crates/bundle/src/entry/tests.rs
+++ b/crates/bundle/src/entry/tests.rs
@@ -1,11 +1,11 @@
 use crate::blob::Blob;
 use crate::entry::{self, Error};
 use crate::source;
-use crate::source::tests::WHOLE;
+use crate::source::tests::FULL_BUNDLE;
 
 #[test]
 fn a_bundle_survives_its_entries() {
-    let bundle = source::read(WHOLE).expect("it is right");
+    let bundle = source::read(FULL_BUNDLE).expect("it is right");
     let entries = entry::split(&bundle);
     assert!(entries.contains_key("workspace/otaru"));
     assert_eq!(entry::join(2, &entries), Ok(bundle));
@@ -13,7 +13,7 @@
 
 #[test]
 fn unknown_ill_formed_and_missing_entries_are_refused() {
-    let bundle = source::read(WHOLE).expect("it is right");
+    let bundle = source::read(FULL_BUNDLE).expect("it is right");
     let mut entries = entry::split(&bundle);
     entries.insert("quota/otaru".to_owned(), Blob(vec![1]));
     let unknown = Error::UnknownKind("quota/otaru".to_owned());
--- a/crates/bundle/src/fold.rs
+++ b/crates/bundle/src/fold.rs
@@ -38,11 +38,11 @@
 use crate::statement::Statement;
 use assembly::Assembly;
 use gap::Gap;
-use held::Held;
+use held::ActiveBundle;
 use times::Times;
 
 /// Changes kept for peers that are behind and to know duplicates by.
-const ACCEPTED: usize = 64;
+const MAX_RETAINED_CHANGES: usize = 64;
 
 /// What came of a record or of a peer's word.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -63,16 +63,16 @@
 pub struct Fold {
     fleet: String,
     roots: Vec<Digest>,
-    held: Option<Held>,
+    active: Option<ActiveBundle>,
     next: Offset,
     gap: Option<Gap>,
     assembly: Assembly,
     times: Times,
-    accepted: VecDeque<Accepted>,
+    accepted: VecDeque<AcceptedChange>,
 }
 
 #[derive(Clone, Debug)]
-struct Accepted {
+struct AcceptedChange {
     statement: Statement,
     // Encoded, as a peer would be sent it.
     change: Blob,
@@ -86,7 +86,7 @@
         Self {
             fleet: fleet.into(),
             roots: roots.into_iter().collect(),
-            held: None,
+            active: None,
             next: 0,
             gap: None,
             assembly: Assembly::default(),
@@ -98,8 +98,8 @@
     /// Returns the version in force; 0 for none.
     #[must_use]
     pub const fn version(&self) -> Version {
-        match &self.held {
-            Some(held) => held.statement.version,
+        match &self.active {
+            Some(active) => active.statement.version,
             None => 0,
         }
     }
@@ -107,24 +107,24 @@
     /// Returns the policy in force.
     #[must_use]
     pub fn policy(&self) -> Option<&Policy> {
-        self.held.as_ref().map(|held| &held.policy)
+        self.active.as_ref().map(|active| &active.policy)
     }
 
     /// Returns the signed statement in force.
     #[must_use]
     pub fn statement(&self) -> Option<&Statement> {
-        self.held.as_ref().map(|held| &held.statement)
+        self.active.as_ref().map(|active| &active.statement)
     }
 
     /// Returns the entries in force.
     #[must_use]
     pub fn tree(&self) -> Option<&Tree> {
-        self.held.as_ref().map(|held| &held.tree)
+        self.active.as_ref().map(|active| &active.tree)
     }
 
     /// Returns the offset to read the stream from.
     #[must_use]
-    pub fn wanted(&self) -> Offset {
+    pub fn next_offset(&self) -> Offset {
         self.gap.as_ref().map_or(self.next, |gap| gap.read)
     }
 
@@ -132,7 +132,7 @@
     ///
     /// Changes are not folded meanwhile; a peer's snapshot helps.
     #[must_use]
-    pub const fn gapped(&self) -> bool {
+    pub const fn has_gap(&self) -> bool {
         self.gap.is_some()
     }
 
@@ -140,36 +140,36 @@
     /// while this instance cannot speak for the stream.
     #[must_use]
     pub fn anchor(&self) -> Option<Anchor> {
-        let held = self.held.as_ref().filter(|_| self.gap.is_none())?;
-        Some(held.anchor)
+        let active = self.active.as_ref().filter(|_| self.gap.is_none())?;
+        Some(active.anchor)
     }
 
     /// Takes the next record of the stream.
     pub fn apply(&mut self, offset: Offset, time: Moment, bytes: &[u8]) -> Next {
         // No log gets to the last number, and there would be no next.
-        if offset < self.wanted() || offset == Offset::MAX {
+        if offset < self.next_offset() || offset == Offset::MAX {
             return Next::Ignored;
         }
-        if offset > self.wanted() {
+        if offset > self.next_offset() {
             self.gap = Some(Gap::new(offset));
             self.assembly = Assembly::default();
         }
-        self.times.note(offset, time);
+        self.times.record(offset, time);
         match &mut self.gap {
             Some(gap) => gap.read = offset + 1,
             None => self.next = offset + 1,
         }
         match Record::decode(bytes) {
             Err(error) => Next::Refused(Refusal::Record(error)),
-            Ok(Record::Change(change)) => self.change_read(offset, change, bytes),
+            Ok(Record::Change(change)) => self.apply_or_buffer(offset, change, bytes),
             Ok(Record::Checkpoint(part)) => match self.assembly.add(offset, &part) {
-                Some(whole) => self.checkpoint(&whole),
+                Some(whole) => self.apply_checkpoint(&whole),
                 None => Next::Ignored,
             },
         }
     }
 
-    fn same_fleet(&self, statement: &Statement) -> Result<(), Refusal> {
+    fn check_fleet(&self, statement: &Statement) -> Result<(), Refusal> {
         if statement.fleet == self.fleet {
             return Ok(());
         }
@@ -179,44 +179,45 @@
         })
     }
 
-    fn change_read(&mut self, offset: Offset, change: Change, bytes: &[u8]) -> Next {
+    fn apply_or_buffer(&mut self, offset: Offset, change: Change, bytes: &[u8]) -> Next {
         if let Some(gap) = &mut self.gap {
-            gap.keep(offset, bytes.to_vec());
+            gap.buffer(offset, bytes.to_vec());
             return Next::Waiting;
         }
         // Without a checkpoint a reader needs every record since the first.
         // If its time is forgotten it counts as old, and a checkpoint is due.
-        let since = self.times.at(0).unwrap_or_default();
-        self.change(change, bytes, Anchor { from: 0, since })
+        let since = self.times.time_of(0).unwrap_or_default();
+        self.apply_change(change, bytes, Anchor { from: 0, since })
     }
 
     // The anchor is for the first version alone; later ones keep theirs.
-    fn change(&mut self, change: Change, bytes: &[u8], anchor: Anchor) -> Next {
-        if let Err(next) = self.judge(&change) {
+    fn apply_change(&mut self, change: Change, bytes: &[u8], anchor: Anchor) -> Next {
+        if let Err(next) = self.check_change(&change) {
             return next;
         }
         let statement = change.statement.clone();
-        let taken = match &mut self.held {
-            Some(held) => held.step(change),
-            None => Held::first(change, anchor).map(|held| self.held = Some(held)),
+        let taken = match &mut self.active {
+            Some(active) => active.apply_change(change),
+            None => ActiveBundle::from_first_change(change, anchor)
+                .map(|active| self.active = Some(active)),
         };
         if let Err(refusal) = taken {
             return Next::Refused(refusal);
         }
         let version = statement.version;
-        self.remember(statement, bytes);
+        self.retain_change(statement, bytes);
         Next::InForce(version)
     }
 
-    fn judge(&self, change: &Change) -> Result<(), Next> {
+    fn check_change(&self, change: &Change) -> Result<(), Next> {
         let statement = &change.statement;
-        self.same_fleet(statement).map_err(Next::Refused)?;
-        let known = |accepted: &Accepted| accepted.statement == *statement;
+        self.check_fleet(statement).map_err(Next::Refused)?;
+        let known = |accepted: &AcceptedChange| accepted.statement == *statement;
         if self.statement() == Some(statement) || self.accepted.iter().any(known) {
             return Err(Next::Ignored);
         }
-        self.follows(statement).map_err(Next::Refused)?;
-        if self.signers().signed(statement, &change.signature) {
+        self.check_sequence(statement).map_err(Next::Refused)?;
+        if self.signers().verify(statement, &change.signature) {
             Ok(())
         } else {
             let operator = statement.operator.clone();
@@ -224,11 +225,11 @@
         }
     }
 
-    fn follows(&self, statement: &Statement) -> Result<(), Refusal> {
+    fn check_sequence(&self, statement: &Statement) -> Result<(), Refusal> {
         let current = self.version();
         let found = statement.version;
         if found <= current {
-            return Err(match self.winner(found) {
+            return Err(match self.signer_of(found) {
                 Some(winner) => Refusal::Lost {
                     version: found,
                     winner,
@@ -247,7 +248,7 @@
         }
     }
 
-    fn winner(&self, version: Version) -> Option<String> {
+    fn signer_of(&self, version: Version) -> Option<String> {
         let accepted = self.accepted.iter().map(|accepted| &accepted.statement);
         accepted
             .chain(self.statement())
@@ -256,23 +257,24 @@
     }
 
     fn signers(&self) -> Signers<'_> {
-        match &self.held {
-            Some(held) => Signers::Operators(&held.operators),
+        match &self.active {
+            Some(active) => Signers::Operators(&active.operators),
             None => Signers::Roots(&self.roots),
         }
     }
 
-    fn remember(&mut self, statement: Statement, bytes: &[u8]) {
-        if self.accepted.len() == ACCEPTED {
+    fn retain_change(&mut self, statement: Statement, bytes: &[u8]) {
+        if self.accepted.len() == MAX_RETAINED_CHANGES {
             self.accepted.pop_front();
         }
         let change = Blob(bytes.to_vec());
-        self.accepted.push_back(Accepted { statement, change });
+        self.accepted
+            .push_back(AcceptedChange { statement, change });
     }
 
-    fn anchored(&mut self, anchor: Anchor) {
-        if let Some(held) = &mut self.held {
-            held.anchor = held.anchor.max(anchor);
+    fn raise_anchor(&mut self, anchor: Anchor) {
+        if let Some(active) = &mut self.active {
+            active.anchor = active.anchor.max(anchor);
         }
     }
 }
--- a/crates/bundle/src/fold/assembly.rs
+++ b/crates/bundle/src/fold/assembly.rs
@@ -9,19 +9,19 @@
 
 /// Checkpoints in progress at once: a few instances may write at the same
 /// moment, and a writer that died leaves one unfinished.
-const OPEN: usize = 4;
+const MAX_OPEN_CHECKPOINTS: usize = 4;
 
 /// Parts of one checkpoint: 4 MiB, several times what 8,900 workspaces need.
-const PARTS: u32 = 16;
+const MAX_CHECKPOINT_PARTS: u32 = 16;
 
 /// Checkpoints in progress.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Assembly {
-    open: VecDeque<Open>,
+    open: VecDeque<PartialCheckpoint>,
 }
 
 #[derive(Clone, Debug)]
-struct Open {
+struct PartialCheckpoint {
     whole: Digest,
     first: Offset,
     next: u32,
@@ -30,7 +30,7 @@
 
 /// A whole checkpoint.
 #[derive(Debug)]
-pub(super) struct Whole {
+pub(super) struct Checkpoint {
     /// The offset of its first part.
     pub first: Offset,
     /// Its bytes, whose digest was checked.
@@ -42,8 +42,8 @@
     ///
     /// A part appended twice after a lost answer is skipped. A part out of
     /// order ends the attempt; its writer begins again.
-    pub fn add(&mut self, offset: Offset, part: &Part) -> Option<Whole> {
-        if part.count > PARTS || part.index >= part.count {
+    pub fn add(&mut self, offset: Offset, part: &Part) -> Option<Checkpoint> {
+        if part.count > MAX_CHECKPOINT_PARTS || part.index >= part.count {
             return None;
         }
         if part.index == 0 {
@@ -64,7 +64,7 @@
         }
         let open = self.open.remove(at)?;
         let intact = Digest::of(&open.bytes) == open.whole;
-        intact.then_some(Whole {
+        intact.then_some(Checkpoint {
             first: open.first,
             bytes: open.bytes,
         })
@@ -74,10 +74,10 @@
         if self.open.iter().any(|open| open.whole == part.whole) {
             return;
         }
-        if self.open.len() == OPEN {
+        if self.open.len() == MAX_OPEN_CHECKPOINTS {
             self.open.pop_front();
         }
-        self.open.push_back(Open {
+        self.open.push_back(PartialCheckpoint {
             whole: part.whole,
             first: offset,
             next: 0,
--- a/crates/bundle/src/fold/gap.rs
+++ b/crates/bundle/src/fold/gap.rs
@@ -11,14 +11,14 @@
 use godwitpost_types::id::Offset;
 
 use crate::blob::Blob;
-use crate::record::Kept;
+use crate::record::BufferedChange;
 
 /// Records kept; twice what makes a checkpoint due, so the checkpoint that a
 /// healthy fleet appends always covers the first record kept.
-pub(super) const RECORDS: usize = 4_096;
+pub(super) const MAX_BUFFERED_RECORDS: usize = 4_096;
 
 /// Bytes kept: a sixteenth of the 64 MB that control may use.
-const BYTES: usize = 4 * 1024 * 1024;
+const MAX_BUFFERED_BYTES: usize = 4 * 1024 * 1024;
 
 /// What was read after a gap.
 #[derive(Clone, Debug)]
@@ -27,7 +27,7 @@
     pub first: Offset,
     /// The next offset to read.
     pub read: Offset,
-    records: VecDeque<Kept>,
+    records: VecDeque<BufferedChange>,
     bytes: usize,
 }
 
@@ -46,11 +46,11 @@
     ///
     /// Dropping widens the gap, which is safe: a checkpoint must then cover
     /// the dropped record too.
-    pub fn keep(&mut self, offset: Offset, bytes: Vec<u8>) {
+    pub fn buffer(&mut self, offset: Offset, bytes: Vec<u8>) {
         self.bytes += bytes.len();
         let bytes = Blob(bytes);
-        self.records.push_back(Kept { offset, bytes });
-        while self.records.len() > RECORDS || self.bytes > BYTES {
+        self.records.push_back(BufferedChange { offset, bytes });
+        while self.records.len() > MAX_BUFFERED_RECORDS || self.bytes > MAX_BUFFERED_BYTES {
             let Some(dropped) = self.records.pop_front() else {
                 return;
             };
@@ -60,7 +60,7 @@
     }
 
     /// Returns the changes from `next` on, if nothing is missing there.
-    pub fn fill(&self, next: Offset) -> Option<Vec<Kept>> {
+    pub fn changes_from(&self, next: Offset) -> Option<Vec<BufferedChange>> {
         (next >= self.first).then(|| {
             let records = self.records.iter();
             records
--- a/crates/bundle/src/fold/held.rs
+++ b/crates/bundle/src/fold/held.rs
@@ -19,7 +19,7 @@
 
 /// A bundle in force.
 #[derive(Clone, Debug)]
-pub(super) struct Held {
+pub(super) struct ActiveBundle {
     pub statement: Statement,
     pub signature: Signature,
     pub tree: Tree,
@@ -29,11 +29,11 @@
     pub anchor: Anchor,
 }
 
-impl Held {
+impl ActiveBundle {
     /// Returns the first version, which a root key signs.
-    pub fn first(change: Change, anchor: Anchor) -> Result<Self, Refusal> {
+    pub fn from_first_change(change: Change, anchor: Anchor) -> Result<Self, Refusal> {
         let tree = Tree::new(change.delta.puts);
-        let (bundle, operators) = whole(&change.statement, &tree)?;
+        let (bundle, operators) = join_and_check(&change.statement, &tree)?;
         let link = Link {
             statement: change.statement.clone(),
             signature: change.signature,
@@ -52,7 +52,7 @@
 
     /// Returns what a snapshot holds, once its proof is checked against those
     /// who may sign after `version`.
-    pub fn adopted(
+    pub fn from_snapshot(
         snapshot: Snapshot,
         signers: Signers<'_>,
         version: u64,
@@ -63,11 +63,11 @@
             lineage,
             ..
         } = snapshot;
-        if !lineage::leads(signers, version, &lineage, &statement, &signature) {
+        if !lineage::verify_chain(signers, version, &lineage, &statement, &signature) {
             return Err(Refusal::Signature(statement.operator));
         }
         let tree = Tree::new(snapshot.entries);
-        let (bundle, operators) = whole(&statement, &tree)?;
+        let (bundle, operators) = join_and_check(&statement, &tree)?;
         Ok(Self {
             statement,
             signature,
@@ -82,13 +82,13 @@
     /// Takes the next version, or leaves all as it was.
     ///
     /// The caller has checked version, parent and signature.
-    pub fn step(&mut self, change: Change) -> Result<(), Refusal> {
+    pub fn apply_change(&mut self, change: Change) -> Result<(), Refusal> {
         let small = only_workspaces(&change.delta);
         let undo = self.tree.apply(change.delta.clone());
         let taken = if small {
-            self.amend(&change)
+            self.apply_workspaces(&change)
         } else {
-            self.replace(&change)
+            self.apply_full(&change)
         };
         if taken.is_err() {
             self.tree.apply(undo);
@@ -102,9 +102,9 @@
 
     // Most changes are of one workspace among thousands. Checking and
     // resolving just those keeps a change at the cost of its own size.
-    fn amend(&mut self, change: &Change) -> Result<(), Refusal> {
+    fn apply_workspaces(&mut self, change: &Change) -> Result<(), Refusal> {
         let statement = &change.statement;
-        digests(statement, self.tree.root(), &self.operators)?;
+        check_digests(statement, self.tree.root(), &self.operators)?;
         let mut found = Vec::new();
         let mut resolved = Vec::new();
         for (name, blob) in &change.delta.puts {
@@ -115,7 +115,7 @@
             check::workspace(bare, &workspace, known, &mut found);
             let other = self.policy.workspaces.get(&id::from_name(bare));
             if other.is_some_and(|other| other.name != bare) {
-                return self.replace(change);
+                return self.apply_full(change);
             }
             resolved.push(resolve::workspace(bare, &workspace));
         }
@@ -133,8 +133,8 @@
         Ok(())
     }
 
-    fn replace(&mut self, change: &Change) -> Result<(), Refusal> {
-        let (bundle, operators) = whole(&change.statement, &self.tree)?;
+    fn apply_full(&mut self, change: &Change) -> Result<(), Refusal> {
+        let (bundle, operators) = join_and_check(&change.statement, &self.tree)?;
         self.policy = resolve::bundle(&bundle);
         if operators != self.operators {
             self.lineage.push(Link {
@@ -152,10 +152,10 @@
     delta.names().all(|name| name.starts_with(WORKSPACE))
 }
 
-fn whole(statement: &Statement, tree: &Tree) -> Result<(Bundle, Operators), Refusal> {
+fn join_and_check(statement: &Statement, tree: &Tree) -> Result<(Bundle, Operators), Refusal> {
     let bundle = entry::join(statement.version, tree.entries()).map_err(Refusal::Entry)?;
     let operators = Operators::of(&bundle);
-    digests(statement, tree.root(), &operators)?;
+    check_digests(statement, tree.root(), &operators)?;
     let mut mistakes = check::bundle(&bundle);
     if bundle.fleet.name != statement.fleet {
         mistakes.push(crate::mistake::Mistake::new(
@@ -174,7 +174,11 @@
     }
 }
 
-fn digests(statement: &Statement, root: Digest, operators: &Operators) -> Result<(), Refusal> {
+fn check_digests(
+    statement: &Statement,
+    root: Digest,
+    operators: &Operators,
+) -> Result<(), Refusal> {
     let matches = statement.root == root && statement.operators == operators.digest();
     if matches { Ok(()) } else { Err(Refusal::Root) }
 }
--- a/crates/bundle/src/fold/peer.rs
+++ b/crates/bundle/src/fold/peer.rs
@@ -2,8 +2,8 @@
 
 use godwitpost_types::id::{Offset, Version};
 
-use super::assembly::Whole;
-use super::held::Held;
+use super::assembly::Checkpoint;
+use super::held::ActiveBundle;
 use super::{Fold, Next, Refusal};
 use crate::record::{Change, Record};
 use crate::snapshot::{Anchor, Snapshot, Update};
@@ -13,14 +13,14 @@
     /// Returns what is in force with its proof.
     #[must_use]
     pub fn snapshot(&self) -> Option<Snapshot> {
-        let held = self.held.as_ref()?;
+        let active = self.active.as_ref()?;
         Some(Snapshot {
             next: self.next,
-            anchor: held.anchor,
-            statement: held.statement.clone(),
-            signature: held.signature,
-            lineage: held.lineage.clone(),
-            entries: held.tree.entries().clone(),
+            anchor: active.anchor,
+            statement: active.statement.clone(),
+            signature: active.signature,
+            lineage: active.lineage.clone(),
+            entries: active.tree.entries().clone(),
         })
     }
 
@@ -29,19 +29,19 @@
     /// # Errors
     ///
     /// Returns why it is not believed; what is in force here stays.
-    pub fn adopt(&mut self, snapshot: Snapshot) -> Result<Next, Refusal> {
-        self.same_fleet(&snapshot.statement)?;
+    pub fn apply_snapshot(&mut self, snapshot: Snapshot) -> Result<Next, Refusal> {
+        self.check_fleet(&snapshot.statement)?;
         if snapshot.next <= self.next {
             return Ok(Next::Ignored);
         }
         let before = self.version();
         let (next, anchor) = (snapshot.next, snapshot.anchor);
         if snapshot.version() > before {
-            self.replace(snapshot)?;
+            self.replace_bundle(snapshot)?;
         } else if self.statement() != Some(&snapshot.statement) {
             return Err(Refusal::Contradiction);
         }
-        self.forward(next, anchor);
+        self.advance_to(next, anchor);
         Ok(self.outcome(before))
     }
 
@@ -49,14 +49,14 @@
     /// kept, and a whole snapshot is needed.
     #[must_use]
     pub fn update(&self, version: Version) -> Option<Update> {
-        let held = self.held.as_ref()?;
+        let active = self.active.as_ref()?;
         let behind = usize::try_from(self.version().checked_sub(version)?).ok()?;
         let skipped = self.accepted.len().checked_sub(behind)?;
         let changes = self.accepted.iter().skip(skipped);
         Some(Update {
             next: self.next,
-            anchor: held.anchor,
-            statement: held.statement.digest(),
+            anchor: active.anchor,
+            statement: active.statement.digest(),
             changes: changes.map(|accepted| accepted.change.clone()).collect(),
         })
     }
@@ -68,32 +68,32 @@
     /// # Errors
     ///
     /// Returns why a change is not believed; what is in force here stays.
-    pub fn advance(&mut self, update: &Update) -> Result<Next, Refusal> {
+    pub fn apply_update(&mut self, update: &Update) -> Result<Next, Refusal> {
         if update.next <= self.next {
             return Ok(Next::Ignored);
         }
         let before = self.version();
-        let changes = self.news(update)?;
+        let changes = self.new_changes(update)?;
         // All or nothing: with some of the changes in force, their place on
         // the stream would be unknown, and folding on from the old place
         // could take a version that came too early for the fleet. A single
         // change that is refused leaves all as it was.
-        let saved = (changes.len() > 1).then(|| (self.held.clone(), self.accepted.clone()));
+        let saved = (changes.len() > 1).then(|| (self.active.clone(), self.accepted.clone()));
         for (change, bytes) in changes {
-            if let Next::Refused(refusal) = self.change(change, bytes, update.anchor) {
-                if let Some((held, accepted)) = saved {
-                    self.held = held;
+            if let Next::Refused(refusal) = self.apply_change(change, bytes, update.anchor) {
+                if let Some((active, accepted)) = saved {
+                    self.active = active;
                     self.accepted = accepted;
                 }
                 return Err(refusal);
             }
         }
-        self.forward(update.next, update.anchor);
+        self.advance_to(update.next, update.anchor);
         Ok(self.outcome(before))
     }
 
     // The changes of an update that are not in force here, with their bytes.
-    fn news<'a>(&self, update: &'a Update) -> Result<Vec<(Change, &'a [u8])>, Refusal> {
+    fn new_changes<'a>(&self, update: &'a Update) -> Result<Vec<(Change, &'a [u8])>, Refusal> {
         let mut changes = Vec::new();
         for bytes in &update.changes {
             match Record::decode(&bytes.0).map_err(Refusal::Record)? {
@@ -121,9 +121,9 @@
         }
     }
 
-    fn replace(&mut self, snapshot: Snapshot) -> Result<(), Refusal> {
-        let held = Held::adopted(snapshot, self.signers(), self.version())?;
-        self.held = Some(held);
+    fn replace_bundle(&mut self, snapshot: Snapshot) -> Result<(), Refusal> {
+        let active = ActiveBundle::from_snapshot(snapshot, self.signers(), self.version())?;
+        self.active = Some(active);
         // What was kept no longer leads to what is in force.
         self.accepted.clear();
         Ok(())
@@ -131,22 +131,22 @@
 
     // Everything before `next` is folded in. If that covers the gap, the
     // changes kept after it are folded too.
-    fn forward(&mut self, next: Offset, anchor: Anchor) {
-        self.anchored(anchor);
+    fn advance_to(&mut self, next: Offset, anchor: Anchor) {
+        self.raise_anchor(anchor);
         self.next = self.next.max(next);
-        let Some(kept) = self.gap.as_ref().and_then(|gap| gap.fill(next)) else {
+        let Some(kept) = self.gap.as_ref().and_then(|gap| gap.changes_from(next)) else {
             return;
         };
         let read = self.gap.take().map_or(next, |gap| gap.read);
         self.next = self.next.max(read);
         for record in kept {
             if let Ok(Record::Change(change)) = Record::decode(&record.bytes.0) {
-                self.change(change, &record.bytes.0, anchor);
+                self.apply_change(change, &record.bytes.0, anchor);
             }
         }
     }
 
-    pub(super) fn checkpoint(&mut self, whole: &Whole) -> Next {
+    pub(super) fn apply_checkpoint(&mut self, whole: &Checkpoint) -> Next {
         let snapshot = match Snapshot::decode(&whole.bytes) {
             Ok(snapshot) => snapshot,
             Err(error) => return Next::Refused(Refusal::Snapshot(error)),
@@ -155,14 +155,14 @@
             return Next::Refused(Refusal::Future);
         }
         // A checkpoint is as old as the first record that it does not cover.
-        let anchor = self.times.at(snapshot.next).map(|since| Anchor {
+        let anchor = self.times.time_of(snapshot.next).map(|since| Anchor {
             from: snapshot.next,
             since,
         });
         match &self.gap {
             None => {
                 if let Some(anchor) = anchor {
-                    self.anchored(anchor);
+                    self.raise_anchor(anchor);
                 }
                 Next::Ignored
             }
@@ -170,7 +170,7 @@
             Some(_) => {
                 let anchor = anchor.unwrap_or(snapshot.anchor);
                 let snapshot = Snapshot { anchor, ..snapshot };
-                self.adopt(snapshot).unwrap_or_else(Next::Refused)
+                self.apply_snapshot(snapshot).unwrap_or_else(Next::Refused)
             }
         }
     }
--- a/crates/bundle/src/fold/tests.rs
+++ b/crates/bundle/src/fold/tests.rs
@@ -9,12 +9,12 @@
 
 use crate::blob::Digest;
 use crate::fold::{Fold, Next};
-use crate::key::Private;
+use crate::key::PrivateKey;
 use crate::record::{self, Change, Record};
 use crate::root::Tree;
 use crate::schema::{Bundle, Operator, Workspace};
 use crate::source;
-use crate::source::tests::WHOLE;
+use crate::source::tests::FULL_BUNDLE;
 
 /// A stream and the fold of all of it.
 pub(crate) struct Stream {
@@ -23,13 +23,13 @@
     reader: Fold,
 }
 
-pub(crate) fn root_key() -> Private {
-    Private::from_seed(&[1; 32])
+pub(crate) fn root_key() -> PrivateKey {
+    PrivateKey::from_seed(&[1; 32])
 }
 
 /// Operators of every test bundle.
-pub(crate) fn operator_key(name: &str) -> Private {
-    Private::from_seed(&[name.as_bytes()[0]; 32])
+pub(crate) fn operator_key(name: &str) -> PrivateKey {
+    PrivateKey::from_seed(&[name.as_bytes()[0]; 32])
 }
 
 pub(crate) fn new_fold() -> Fold {
@@ -38,7 +38,7 @@
 
 /// Returns the test bundle of a version; `concurrency` is what varies.
 pub(crate) fn bundle(version: u64, concurrency: u32) -> Bundle {
-    let mut bundle = source::read(WHOLE).expect("it is right");
+    let mut bundle = source::read(FULL_BUNDLE).expect("it is right");
     bundle.version = version;
     bundle.operators.clear();
     for name in ["asahikawa", "kushiro"] {
--- a/crates/bundle/src/fold/tests/gaps.rs
+++ b/crates/bundle/src/fold/tests/gaps.rs
@@ -18,13 +18,13 @@
         let before = fold.version();
         assert_eq!(stream.read(3, fold), Next::Waiting);
         assert_eq!(fold.version(), before);
-        assert!(fold.gapped());
+        assert!(fold.has_gap());
     }
     let snapshot = stream.fold().snapshot().expect("it is in force");
     for fold in [&mut slept, &mut fresh] {
-        assert_eq!(fold.adopt(snapshot.clone()), Ok(Next::InForce(3)));
+        assert_eq!(fold.apply_snapshot(snapshot.clone()), Ok(Next::InForce(3)));
         assert_eq!(root(fold), root(stream.fold()));
-        assert!(!fold.gapped());
+        assert!(!fold.has_gap());
     }
 }
 
@@ -42,7 +42,7 @@
     stream.read(3, &mut fresh);
     assert_eq!(fresh.version(), 5);
     assert_eq!(root(&fresh), root(stream.fold()));
-    assert!(!fresh.gapped());
+    assert!(!fresh.has_gap());
 }
 
 // An instance is paused with a checkpoint of version 2 in hand, and appends
@@ -59,10 +59,10 @@
     assert_eq!(stream.fold().version(), 4);
     let mut fresh = new_fold();
     stream.read(3, &mut fresh);
-    assert_eq!((fresh.version(), fresh.gapped()), (0, true));
+    assert_eq!((fresh.version(), fresh.has_gap()), (0, true));
     stream.checkpoint(&stream.fold().clone());
     stream.read(5, &mut fresh);
-    assert_eq!((fresh.version(), fresh.gapped()), (4, false));
+    assert_eq!((fresh.version(), fresh.has_gap()), (4, false));
 }
 
 // A stale checkpoint must not count as the renewal of the bundle either, or
@@ -102,7 +102,7 @@
     }
     let mut fresh = new_fold();
     stream.read(4, &mut fresh);
-    assert_eq!((fresh.version(), fresh.gapped()), (4, false));
+    assert_eq!((fresh.version(), fresh.has_gap()), (4, false));
 }
 
 #[test]
@@ -119,7 +119,7 @@
     }
     let mut fresh = new_fold();
     stream.read(2, &mut fresh);
-    assert_eq!((fresh.version(), fresh.gapped()), (0, true));
+    assert_eq!((fresh.version(), fresh.has_gap()), (0, true));
 }
 
 #[test]
--- a/crates/bundle/src/fold/tests/order.rs
+++ b/crates/bundle/src/fold/tests/order.rs
@@ -178,7 +178,7 @@
     stream.roll(3);
     let mut restarted = new_fold();
     let snapshot = stream.fold().snapshot().expect("it is in force");
-    assert_eq!(restarted.adopt(snapshot), Ok(Next::InForce(3)));
+    assert_eq!(restarted.apply_snapshot(snapshot), Ok(Next::InForce(3)));
     assert_eq!(restarted.policy(), stream.fold().policy());
     assert_eq!(root(&restarted), root(stream.fold()));
 }
--- a/crates/bundle/src/fold/tests/peers.rs
+++ b/crates/bundle/src/fold/tests/peers.rs
@@ -19,9 +19,9 @@
     stream.roll(3);
     stream.roll(4);
     let mut fold = stream.fold().clone();
-    assert_eq!(fold.adopt(snapshot(&old)), Ok(Next::Ignored));
+    assert_eq!(fold.apply_snapshot(snapshot(&old)), Ok(Next::Ignored));
     let update = old.update(1).expect("it is kept");
-    assert_eq!(fold.advance(&update), Ok(Next::Ignored));
+    assert_eq!(fold.apply_update(&update), Ok(Next::Ignored));
     assert_eq!(fold.version(), 4);
 }
 
@@ -36,13 +36,13 @@
     let mut by_update = behind.clone();
     let update = stream.fold().update(2).expect("it is kept");
     assert_eq!(update.changes.len(), 2);
-    assert_eq!(by_update.advance(&update), Ok(Next::InForce(4)));
+    assert_eq!(by_update.apply_update(&update), Ok(Next::InForce(4)));
     let mut by_snapshot = behind;
-    let taken = by_snapshot.adopt(snapshot(stream.fold()));
+    let taken = by_snapshot.apply_snapshot(snapshot(stream.fold()));
     assert_eq!(taken, Ok(Next::InForce(4)));
     stream.roll(5);
     for fold in [&mut by_update, &mut by_snapshot] {
-        assert_eq!(fold.wanted(), 4);
+        assert_eq!(fold.next_offset(), 4);
         assert_eq!(stream.read(0, fold), Next::InForce(5));
         assert_eq!(root(fold), root(stream.fold()));
     }
@@ -80,9 +80,9 @@
     change.signature = signature::sign(&change.statement, &operator_key("zenibako"));
     resigned.changes[1] = entry::encode(&Record::Change(change));
     let mut fold = behind.clone();
-    assert!(matches!(fold.advance(&cut), Err(Refusal::Record(_))));
+    assert!(matches!(fold.apply_update(&cut), Err(Refusal::Record(_))));
     assert!(matches!(
-        fold.advance(&resigned),
+        fold.apply_update(&resigned),
         Err(Refusal::Signature(_))
     ));
     assert_eq!(fold.version(), 2);
@@ -127,7 +127,7 @@
     };
     let mut fold = stream.fold().clone();
     let refused = Refusal::Signature("kushiro".to_owned());
-    assert_eq!(fold.adopt(forged), Err(refused));
+    assert_eq!(fold.apply_snapshot(forged), Err(refused));
     assert_eq!(fold.version(), 2);
 }
 
@@ -148,22 +148,31 @@
     assert_eq!(stream.append(&change), Next::InForce(3));
     let good = snapshot(stream.fold());
     assert_eq!(good.lineage.len(), 2);
-    assert_eq!(new_fold().adopt(good.clone()), Ok(Next::InForce(3)));
+    assert_eq!(
+        new_fold().apply_snapshot(good.clone()),
+        Ok(Next::InForce(3))
+    );
 
     let mut cut = good.clone();
     cut.lineage.remove(1);
-    assert!(matches!(new_fold().adopt(cut), Err(Refusal::Signature(_))));
+    assert!(matches!(
+        new_fold().apply_snapshot(cut),
+        Err(Refusal::Signature(_))
+    ));
     let mut changed = good.clone();
     changed.entries.remove("workspace/otaru");
-    assert_eq!(new_fold().adopt(changed), Err(Refusal::Root));
+    assert_eq!(new_fold().apply_snapshot(changed), Err(Refusal::Root));
     let mut resigned = good.clone();
     resigned.signature = signature::sign(&resigned.statement, &operator_key("kushiro"));
     assert!(matches!(
-        new_fold().adopt(resigned),
+        new_fold().apply_snapshot(resigned),
         Err(Refusal::Signature(_))
     ));
     let mut strangers = Fold::new("kitakaze", [operator_key("zenibako").public()]);
-    assert!(matches!(strangers.adopt(good), Err(Refusal::Signature(_))));
+    assert!(matches!(
+        strangers.apply_snapshot(good),
+        Err(Refusal::Signature(_))
+    ));
 }
 
 // Two logs were mixed up, and a peer holds another version 3. Neither side
@@ -177,10 +186,10 @@
     other.append(&change);
     other.append(&change);
     let mut fold = stream.fold().clone();
-    let taken = fold.adopt(snapshot(other.fold()));
+    let taken = fold.apply_snapshot(snapshot(other.fold()));
     assert_eq!(taken, Err(Refusal::Contradiction));
     let update = other.fold().update(2).expect("it is kept");
-    assert_eq!(fold.advance(&update), Err(Refusal::Contradiction));
+    assert_eq!(fold.apply_update(&update), Err(Refusal::Contradiction));
     assert_eq!(root(&fold), root(stream.fold()));
 }
 
--- a/crates/bundle/src/fold/tests/schedules.rs
+++ b/crates/bundle/src/fold/tests/schedules.rs
@@ -110,7 +110,7 @@
 
     fn read(&mut self, reader: usize, most: usize) {
         let reader = &mut self.readers[reader];
-        let from = to_usize(reader.wanted()).max(self.first);
+        let from = to_usize(reader.next_offset()).max(self.first);
         let records = self.stream.records.iter().enumerate().skip(from);
         for (offset, bytes) in records.take(most) {
             let offset = offset as u64;
@@ -122,8 +122,8 @@
         let peer = self.readers[other].clone();
         let reader = &mut self.readers[one];
         match (peer.update(reader.version()), peer.snapshot()) {
-            (Some(update), _) if !whole => drop(reader.advance(&update)),
-            (_, Some(snapshot)) => drop(reader.adopt(snapshot)),
+            (Some(update), _) if !whole => drop(reader.apply_update(&update)),
+            (_, Some(snapshot)) => drop(reader.apply_snapshot(snapshot)),
             (_, None) => {}
         }
     }
@@ -158,8 +158,8 @@
                 let version = reader.version();
                 let known = world.states.iter().find(|state| state.version() == version);
                 prop_assert_eq!(known.map(root), Some(root(reader)));
-                if !reader.gapped() {
-                    let there = &world.states[to_usize(reader.wanted())];
+                if !reader.has_gap() {
+                    let there = &world.states[to_usize(reader.next_offset())];
                     prop_assert_eq!(there.version(), version);
                     prop_assert_eq!(there.policy(), reader.policy());
                 }
--- a/crates/bundle/src/fold/times.rs
+++ b/crates/bundle/src/fold/times.rs
@@ -16,20 +16,20 @@
 
 impl Times {
     /// Notes the time of the next offset; after a hole it begins anew.
-    pub fn note(&mut self, offset: Offset, time: Moment) {
+    pub fn record(&mut self, offset: Offset, time: Moment) {
         if offset != self.first + self.times.len() as u64 {
             self.times.clear();
             self.first = offset;
         }
         self.times.push_back(time);
-        if self.times.len() > gap::RECORDS {
+        if self.times.len() > gap::MAX_BUFFERED_RECORDS {
             self.times.pop_front();
             self.first += 1;
         }
     }
 
     /// Returns the time of an offset, if it is among the latest.
-    pub fn at(&self, offset: Offset) -> Option<Moment> {
+    pub fn time_of(&self, offset: Offset) -> Option<Moment> {
         let index = usize::try_from(offset.checked_sub(self.first)?).ok()?;
         self.times.get(index).copied()
     }
--- a/crates/bundle/src/key.rs
+++ b/crates/bundle/src/key.rs
@@ -9,9 +9,9 @@
 
 /// A private key; its `Debug` form shows the public half alone.
 #[derive(Clone)]
-pub struct Private(pub(crate) SigningKey);
+pub struct PrivateKey(pub(crate) SigningKey);
 
-impl Private {
+impl PrivateKey {
     /// Draws a new key.
     pub fn generate(rng: &mut impl CryptoRng) -> Self {
         Self(SigningKey::generate(rng))
@@ -36,7 +36,7 @@
     }
 }
 
-impl fmt::Debug for Private {
+impl fmt::Debug for PrivateKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Private(redacted, public {})", self.public())
     }
--- a/crates/bundle/src/lineage.rs
+++ b/crates/bundle/src/lineage.rs
@@ -61,15 +61,15 @@
 impl Signers<'_> {
     /// Returns whether one of them signed the statement.
     #[must_use]
-    pub fn signed(&self, statement: &Statement, signature: &Signature) -> bool {
+    pub fn verify(&self, statement: &Statement, signature: &Signature) -> bool {
         match self {
             Self::Roots(keys) => keys
                 .iter()
-                .any(|key| signature::holds(statement, signature, *key)),
+                .any(|key| signature::verify(statement, signature, *key)),
             Self::Operators(operators) => operators
                 .0
                 .get(&statement.operator)
-                .is_some_and(|key| signature::holds(statement, signature, *key)),
+                .is_some_and(|key| signature::verify(statement, signature, *key)),
         }
     }
 }
@@ -79,7 +79,7 @@
 ///
 /// Links up to `version` are what the caller has checked before.
 #[must_use]
-pub fn leads(
+pub fn verify_chain(
     signers: Signers<'_>,
     version: u64,
     links: &[Link],
@@ -89,10 +89,10 @@
     let mut signers = signers;
     let mut latest = version;
     for link in links.iter().filter(|link| link.statement.version > version) {
-        let rises = link.statement.version > latest;
-        let binds = link.operators.digest() == link.statement.operators;
-        let signed = signers.signed(&link.statement, &link.signature);
-        if !(rises && binds && signed) {
+        let is_newer = link.statement.version > latest;
+        let operators_match = link.operators.digest() == link.statement.operators;
+        let signed = signers.verify(&link.statement, &link.signature);
+        if !(is_newer && operators_match && signed) {
             return false;
         }
         latest = link.statement.version;
@@ -103,7 +103,7 @@
         Some(last) => {
             statement.version > latest
                 && statement.operators == last.statement.operators
-                && signers.signed(statement, signature)
+                && signers.verify(statement, signature)
         }
         None => false,
     }
--- a/crates/bundle/src/ready.rs
+++ b/crates/bundle/src/ready.rs
@@ -18,14 +18,14 @@
 impl Ready {
     /// Notes that records were applied, and whether they reach the end of the
     /// stream: the log's answer had fewer than were asked for.
-    pub const fn read(&mut self, fold: &Fold, to_the_end: bool) {
-        let found = to_the_end && fold.version() > 0 && !fold.gapped();
-        self.0 = self.0 || found;
+    pub const fn record_read(&mut self, fold: &Fold, to_the_end: bool) {
+        let caught_up = to_the_end && fold.version() > 0 && !fold.has_gap();
+        self.0 = self.0 || caught_up;
     }
 
     /// Notes that a snapshot or update of a peer that serves was taken, or
     /// was not ahead of what is held here.
-    pub const fn heard(&mut self, fold: &Fold) {
+    pub const fn record_peer(&mut self, fold: &Fold) {
         self.0 = self.0 || fold.version() > 0;
     }
 
--- a/crates/bundle/src/record.rs
+++ b/crates/bundle/src/record.rs
@@ -10,7 +10,7 @@
 use crate::blob::{Blob, Digest, Signature};
 use crate::delta::Delta;
 use crate::entry;
-use crate::key::Private;
+use crate::key::PrivateKey;
 use crate::root::Tree;
 use crate::schema::Bundle;
 use crate::signature;
@@ -22,10 +22,10 @@
 
 /// The most bytes of one record; larger snapshots are split. The log takes
 /// single records of this size in a round trip without holding up others.
-pub const RECORD_BYTES: usize = 256 * 1024;
+pub const MAX_RECORD_BYTES: usize = 256 * 1024;
 
 /// Room for the frame around a part's bytes.
-const FRAME_BYTES: usize = 256;
+const PART_OVERHEAD_BYTES: usize = 256;
 
 /// One record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -74,7 +74,7 @@
 impl Change {
     /// Returns the signed change from the entries in force to `bundle`.
     #[must_use]
-    pub fn sign(parent: Option<&Tree>, bundle: &Bundle, operator: &str, key: &Private) -> Self {
+    pub fn sign(parent: Option<&Tree>, bundle: &Bundle, operator: &str, key: &PrivateKey) -> Self {
         let empty = Tree::new(entry::Entries::new());
         let entries = entry::split(bundle);
         let delta = Delta::between(parent.unwrap_or(&empty).entries(), &entries);
@@ -94,11 +94,11 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error::TooLarge`] for more than [`RECORD_BYTES`].
+    /// Returns [`Error::TooLarge`] for more than [`MAX_RECORD_BYTES`].
     pub fn encode(&self) -> Result<Vec<u8>, Error> {
         let bytes = entry::encode(self).0;
-        if bytes.len() > RECORD_BYTES {
-            return Err(Error::TooLarge(bytes.len(), RECORD_BYTES));
+        if bytes.len() > MAX_RECORD_BYTES {
+            return Err(Error::TooLarge(bytes.len(), MAX_RECORD_BYTES));
         }
         Ok(bytes)
     }
@@ -108,10 +108,10 @@
     /// # Errors
     ///
     /// Returns [`Error::IllFormed`] for bytes that are none, and
-    /// [`Error::TooLarge`] for more than [`RECORD_BYTES`].
+    /// [`Error::TooLarge`] for more than [`MAX_RECORD_BYTES`].
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
-        if bytes.len() > RECORD_BYTES {
-            return Err(Error::TooLarge(bytes.len(), RECORD_BYTES));
+        if bytes.len() > MAX_RECORD_BYTES {
+            return Err(Error::TooLarge(bytes.len(), MAX_RECORD_BYTES));
         }
         rmp_serde::from_slice(bytes).map_err(|_cause| Error::IllFormed)
     }
@@ -122,7 +122,7 @@
 pub fn checkpoint(snapshot: &Snapshot) -> Vec<Record> {
     let bytes = snapshot.encode();
     let whole = Digest::of(&bytes);
-    let chunks = bytes.chunks(RECORD_BYTES - FRAME_BYTES);
+    let chunks = bytes.chunks(MAX_RECORD_BYTES - PART_OVERHEAD_BYTES);
     let count = u32::try_from(chunks.len()).unwrap_or(u32::MAX);
     (0..)
         .zip(chunks)
@@ -139,7 +139,7 @@
 
 /// A record as the log handed it out.
 #[derive(Clone, Debug)]
-pub struct Kept {
+pub struct BufferedChange {
     /// Its offset.
     pub offset: Offset,
     /// Its change, still encoded.
--- a/crates/bundle/src/record/tests.rs
+++ b/crates/bundle/src/record/tests.rs
@@ -1,12 +1,12 @@
 use crate::fold::tests::Stream;
-use crate::record::{self, Error, RECORD_BYTES, Record};
+use crate::record::{self, Error, MAX_RECORD_BYTES, Record};
 
 #[test]
 fn bytes_that_are_no_record_are_refused() {
     assert_eq!(Record::decode(b"hello"), Err(Error::IllFormed));
     assert_eq!(Record::decode(&[]), Err(Error::IllFormed));
-    let large = vec![0; RECORD_BYTES + 1];
-    let error = Error::TooLarge(RECORD_BYTES + 1, RECORD_BYTES);
+    let large = vec![0; MAX_RECORD_BYTES + 1];
+    let error = Error::TooLarge(MAX_RECORD_BYTES + 1, MAX_RECORD_BYTES);
     assert_eq!(Record::decode(&large), Err(error));
 }
 
--- a/crates/bundle/src/renew.rs
+++ b/crates/bundle/src/renew.rs
@@ -17,25 +17,25 @@
 
 /// Checkpoints are due at a third of the retention, which leaves two thirds
 /// for outages of the log and for writers that fail.
-const DUE: u32 = 3;
+const DUE_RETENTION_DIVISOR: u32 = 3;
 
 /// The wait between two ranks, as a part of the retention. The last rank
 /// goes at a third and eight twenty-fourths: two thirds of the retention.
-const STEP: u32 = 24;
+const RANK_DELAY_RETENTION_DIVISOR: u32 = 24;
 
 /// Ranks that wait for each other; beyond them one is as good as another.
-const RANKS: u32 = 8;
+const MAX_DELAYED_RANK: u32 = 8;
 
 /// Records after a checkpoint that make the next one due however young it
 /// is. Half of what a reader keeps while it waits for a checkpoint, so that
 /// a fresh reader always keeps enough; at 3,400 changes a day two a day.
-const RECORDS: u64 = 2_048;
+const MAX_RECORDS_SINCE_CHECKPOINT: u64 = 2_048;
 
 /// Further records for each rank.
-const RECORDS_STEP: u64 = 128;
+const EXTRA_RECORDS_PER_RANK: u64 = 128;
 
 /// How often one instance tries again while no checkpoint shows.
-const RETRY: Duration = Duration::from_secs(30);
+const RETRY_DELAY: Duration = Duration::from_secs(30);
 
 /// What an instance knows when it asks.
 #[derive(Clone, Copy, Debug)]
@@ -68,13 +68,15 @@
 #[must_use]
 pub fn decide(view: &View) -> Next {
     let Some(anchor) = view.anchor else {
-        return Next::Wait(view.now + RETRY);
+        return Next::Wait(view.now + RETRY_DELAY);
     };
-    let rank = view.rank.min(RANKS);
+    let rank = view.rank.min(MAX_DELAYED_RANK);
     let due = due(anchor, view.retention, rank);
     let records = view.next.saturating_sub(anchor.from);
-    let many = records >= RECORDS + RECORDS_STEP * u64::from(rank);
-    let retry = view.tried.map_or(Duration::ZERO, |tried| tried + RETRY);
+    let many = records >= MAX_RECORDS_SINCE_CHECKPOINT + EXTRA_RECORDS_PER_RANK * u64::from(rank);
+    let retry = view
+        .tried
+        .map_or(Duration::ZERO, |tried| tried + RETRY_DELAY);
     if view.now < retry {
         Next::Wait(retry)
     } else if many || view.now >= due {
@@ -86,6 +88,6 @@
 
 fn due(anchor: Anchor, retention: Duration, rank: u32) -> Moment {
     // The time comes from a peer, so it may be any.
-    let wait = retention / DUE + retention / STEP * rank;
+    let wait = retention / DUE_RETENTION_DIVISOR + retention / RANK_DELAY_RETENTION_DIVISOR * rank;
     anchor.since.saturating_add(wait)
 }
--- a/crates/bundle/src/resolve/tests.rs
+++ b/crates/bundle/src/resolve/tests.rs
@@ -2,11 +2,11 @@
 
 use crate::resolve;
 use crate::source;
-use crate::source::tests::WHOLE;
+use crate::source::tests::FULL_BUNDLE;
 
 #[test]
 fn names_become_ids_and_cross_references_hold() {
-    let policy = resolve::bundle(&source::read(WHOLE).expect("it is right"));
+    let policy = resolve::bundle(&source::read(FULL_BUNDLE).expect("it is right"));
     assert_eq!(policy.version, 2);
     let route = policy.route("POST", "/orders/7").expect("it is routed");
     assert_eq!(policy.services[&route.service].name, "ordering");
--- a/crates/bundle/src/root.rs
+++ b/crates/bundle/src/root.rs
@@ -41,12 +41,14 @@
     pub fn new(entries: Entries) -> Self {
         let mut buckets = vec![Bucket::default(); BUCKETS];
         for (name, blob) in &entries {
-            buckets[place(name)].leaves.insert(leaf(name, blob));
+            buckets[bucket_index(name)]
+                .leaves
+                .insert(leaf_digest(name, blob));
         }
         for bucket in &mut buckets {
             bucket.digest = bucket_digest(&bucket.leaves);
         }
-        let root = top(&buckets);
+        let root = root_digest(&buckets);
         Self {
             entries,
             buckets,
@@ -69,17 +71,17 @@
     /// Applies a change and returns the one that takes it back.
     pub fn apply(&mut self, delta: Delta) -> Delta {
         let mut undo = Delta::default();
-        let mut touched = BTreeSet::new();
+        let mut changed = BTreeSet::new();
         for name in delta.removes {
             if let Some(old) = self.entries.remove(&name) {
-                touched.insert(self.drop_leaf(&name, &old));
+                changed.insert(self.drop_leaf(&name, &old));
                 undo.puts.insert(name, old);
             }
         }
         for (name, blob) in delta.puts {
-            let index = place(&name);
-            self.buckets[index].leaves.insert(leaf(&name, &blob));
-            touched.insert(index);
+            let index = bucket_index(&name);
+            self.buckets[index].leaves.insert(leaf_digest(&name, &blob));
+            changed.insert(index);
             match self.entries.insert(name.clone(), blob) {
                 Some(old) if self.entries[&name] != old => {
                     self.drop_leaf(&name, &old);
@@ -92,17 +94,17 @@
                 }
             }
         }
-        for index in touched {
+        for index in changed {
             let bucket = &mut self.buckets[index];
             bucket.digest = bucket_digest(&bucket.leaves);
         }
-        self.root = top(&self.buckets);
+        self.root = root_digest(&self.buckets);
         undo
     }
 
     fn drop_leaf(&mut self, name: &str, blob: &Blob) -> usize {
-        let index = place(name);
-        self.buckets[index].leaves.remove(&leaf(name, blob));
+        let index = bucket_index(name);
+        self.buckets[index].leaves.remove(&leaf_digest(name, blob));
         index
     }
 }
@@ -112,7 +114,7 @@
 pub fn of(entries: &Entries) -> Digest {
     let mut leaves = vec![BTreeSet::new(); BUCKETS];
     for (name, blob) in entries {
-        leaves[place(name)].insert(leaf(name, blob));
+        leaves[bucket_index(name)].insert(leaf_digest(name, blob));
     }
     let mut hasher = Hasher::new();
     for leaves in &leaves {
@@ -121,13 +123,13 @@
     Digest(*hasher.finalize().as_bytes())
 }
 
-fn place(name: &str) -> usize {
+fn bucket_index(name: &str) -> usize {
     usize::from(blake3::hash(name.as_bytes()).as_bytes()[0])
 }
 
 // The name's length goes first, so that no two pairs of name and bytes give
 // the same input.
-fn leaf(name: &str, blob: &Blob) -> Digest {
+fn leaf_digest(name: &str, blob: &Blob) -> Digest {
     let mut hasher = Hasher::new();
     hasher.update(&(name.len() as u64).to_le_bytes());
     hasher.update(name.as_bytes());
@@ -146,7 +148,7 @@
     Digest(*hasher.finalize().as_bytes())
 }
 
-fn top(buckets: &[Bucket]) -> Digest {
+fn root_digest(buckets: &[Bucket]) -> Digest {
     let mut hasher = Hasher::new();
     for bucket in buckets {
         hasher.update(&bucket.digest.0);
--- a/crates/bundle/src/signature.rs
+++ b/crates/bundle/src/signature.rs
@@ -3,12 +3,12 @@
 use ed25519_dalek::{Signer, VerifyingKey};
 
 use crate::blob::{Digest, Signature};
-use crate::key::Private;
+use crate::key::PrivateKey;
 use crate::statement::Statement;
 
 /// Signs a statement.
 #[must_use]
-pub fn sign(statement: &Statement, key: &Private) -> Signature {
+pub fn sign(statement: &Statement, key: &PrivateKey) -> Signature {
     Signature(key.0.sign(&statement.message()).to_bytes())
 }
 
@@ -17,7 +17,7 @@
 /// The strict check refuses weak keys and second forms of a signature, so
 /// that two instances never differ about one.
 #[must_use]
-pub fn holds(statement: &Statement, signature: &Signature, key: Digest) -> bool {
+pub fn verify(statement: &Statement, signature: &Signature, key: Digest) -> bool {
     let signature = ed25519_dalek::Signature::from_bytes(&signature.0);
     VerifyingKey::from_bytes(&key.0)
         .is_ok_and(|key| key.verify_strict(&statement.message(), &signature).is_ok())
--- a/crates/bundle/src/source.rs
+++ b/crates/bundle/src/source.rs
@@ -23,14 +23,14 @@
 
 /// The window of a bundle that states none: well above a caller's resends,
 /// which come within minutes, and well below the log's retention.
-const CLAIM_WINDOW: Duration = Duration::from_mins(15);
+const DEFAULT_CLAIM_WINDOW: Duration = Duration::from_mins(15);
 
 /// The top of ranges that only guard against slips of the keyboard.
-const MOST: f64 = 1e9;
+const MAX_RATE: f64 = 1e9;
 
 /// Weights are ratios; six orders of magnitude are more than fairness can
 /// tell apart.
-const WEIGHT: (f64, f64) = (0.001, 1000.0);
+const WEIGHT_RANGE: (f64, f64) = (0.001, 1000.0);
 
 /// Reads a bundle and checks it whole.
 ///
@@ -83,7 +83,7 @@
 fn fleet(map: &mut Map, notes: &mut Notes) -> Fleet {
     Fleet {
         name: map.text("fleet", "write the fleet's name", notes),
-        claim_window: map.duration("claim_window", Some(CLAIM_WINDOW), notes),
+        claim_window: map.duration("claim_window", Some(DEFAULT_CLAIM_WINDOW), notes),
     }
 }
 
@@ -129,7 +129,7 @@
     let priority = map.integer("priority", None, (0, u32::from(u8::MAX)), notes);
     Class {
         priority: u8::try_from(priority).unwrap_or(u8::MAX),
-        weight: map.number("weight", Some(1.0), WEIGHT, notes),
+        weight: map.number("weight", Some(1.0), WEIGHT_RANGE, notes),
         deadline: map.duration("deadline", None, notes),
         queue: map.flag("queue", true, notes),
     }
@@ -168,8 +168,8 @@
 
 fn workspace(map: &mut Map, notes: &mut Notes) -> Workspace {
     Workspace {
-        weight: map.number("weight", Some(1.0), WEIGHT, notes),
-        rate: map.number("rate", None, (0.001, MOST), notes),
+        weight: map.number("weight", Some(1.0), WEIGHT_RANGE, notes),
+        rate: map.number("rate", None, (0.001, MAX_RATE), notes),
         concurrency: map.integer("concurrency", None, (1, 1_000_000_000), notes),
         services: map.texts("services", "write a list of service names", notes),
     }
--- a/crates/bundle/src/source/node.rs
+++ b/crates/bundle/src/source/node.rs
@@ -53,13 +53,13 @@
 
 impl<'de> Deserialize<'de> for Node {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_any(Tree)
+        deserializer.deserialize_any(NodeVisitor)
     }
 }
 
-struct Tree;
+struct NodeVisitor;
 
-impl<'de> Visitor<'de> for Tree {
+impl<'de> Visitor<'de> for NodeVisitor {
     type Value = Node;
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/crates/bundle/src/source/tests.rs
+++ b/crates/bundle/src/source/tests.rs
@@ -4,7 +4,7 @@
 use crate::schema::Kind;
 
 /// A bundle with every section.
-pub(crate) const WHOLE: &str = r#"
+pub(crate) const FULL_BUNDLE: &str = r#"
 fleet: kitakaze
 version: 2
 claim_window: 10m
@@ -31,7 +31,7 @@
 
 #[test]
 fn defaults_are_filled_in() {
-    let bundle = read(WHOLE).expect("it is right");
+    let bundle = read(FULL_BUNDLE).expect("it is right");
     assert_eq!(bundle.version, 2);
     assert_eq!(bundle.fleet.claim_window, Duration::from_mins(10));
     assert!(bundle.classes["draft"].queue);
@@ -45,7 +45,7 @@
 // times over. All mistakes of shape have to come at once, with their lines.
 #[test]
 fn every_mistake_of_shape_is_told_at_once() {
-    let yaml = WHOLE
+    let yaml = FULL_BUNDLE
         .replace("rate: 50", "rate: fast")
         .replace("slots: 64", "slots: 0, colour: red")
         .replace("deadline: 60s", "deadline: 60")
@@ -67,7 +67,7 @@
 
 #[test]
 fn every_broken_reference_is_told_at_once() {
-    let yaml = WHOLE
+    let yaml = FULL_BUNDLE
         .replace("[drafting, ordering]", "[drafting, booking]")
         .replace("class: order,", "class: orders,")
         .replace("service: drafting, weights", "service: ordering, weights");
@@ -109,13 +109,13 @@
         )
         .expect("a string takes all");
     }
-    let bundle = read(&WHOLE.replace("workspaces:\n", &workspaces)).expect("it is right");
+    let bundle = read(&FULL_BUNDLE.replace("workspaces:\n", &workspaces)).expect("it is right");
     assert_eq!(bundle.workspaces.len(), 8_901);
 }
 
 #[test]
 fn what_is_written_reads_the_same() {
-    let mut bundle = read(WHOLE).expect("it is right");
+    let mut bundle = read(FULL_BUNDLE).expect("it is right");
     let draft = bundle.classes.get_mut("draft").expect("it is there");
     draft.deadline = Duration::from_millis(1_500);
     assert_eq!(read(&write(&bundle)), Ok(bundle));
--- a/crates/bundle/src/statement.rs
+++ b/crates/bundle/src/statement.rs
@@ -9,7 +9,7 @@
 use crate::schema::Bundle;
 
 /// Parts signatures of statements from any other use of the same key.
-const DOMAIN: &[u8] = b"godwitpost bundle statement 1\0";
+const SIGNATURE_DOMAIN: &[u8] = b"godwitpost bundle statement 1\0";
 
 /// One version's claim on what the entries are after it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -49,7 +49,7 @@
     /// Returns the bytes that are signed.
     #[must_use]
     pub fn message(&self) -> Vec<u8> {
-        let mut message = DOMAIN.to_vec();
+        let mut message = SIGNATURE_DOMAIN.to_vec();
         message.extend(entry::encode(self).0);
         message
     }
--- a/crates/capacity/src/live/fleet.rs
+++ b/crates/capacity/src/live/fleet.rs
@@ -7,7 +7,7 @@
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
 use bytes::Bytes;
-use godwitpost_bundle::key::Private;
+use godwitpost_bundle::key::PrivateKey;
 use godwitpost_bundle::record::{Change, Record, STREAM};
 use godwitpost_bundle::source;
 use godwitpost_client::connect::{Connector, Settings as Connections};
@@ -37,7 +37,7 @@
     pub list: list::Running,
     /// The routers.
     pub routers: Vec<Running>,
-    key: Private,
+    key: PrivateKey,
 }
 
 impl Fleet {
@@ -53,7 +53,7 @@
             log: log.expect("a free port"),
             list: list.expect("a free port"),
             routers: Vec::new(),
-            key: Private::from_seed(&[3; 32]),
+            key: PrivateKey::from_seed(&[3; 32]),
         };
         // Nobody may read half of the list: who joins later is on probation.
         fleet.list.faults().change(|faults| faults.down = true);
--- a/crates/capacity/src/role/bundle.rs
+++ b/crates/capacity/src/role/bundle.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use godwitpost_bundle::fold::{Fold, Next};
-use godwitpost_bundle::key::Private;
+use godwitpost_bundle::key::PrivateKey;
 use godwitpost_bundle::record::{Change, Record};
 use godwitpost_bundle::schema::{Bundle, Class, Fleet, Kind, Operator, Service, Workspace};
 
@@ -48,7 +48,7 @@
         // One round more than is timed, and each version folds once.
         let records = records(workspaces, 7 * CALLS);
         let mut fold = folded(workspaces);
-        let mut offset = fold.wanted();
+        let mut offset = fold.next_offset();
         let took = meter::nanoseconds(CALLS, |_call| {
             let index = usize::try_from(offset - 1).expect("some hundred");
             let next = fold.apply(offset, Duration::from_secs(offset), &records[index]);
@@ -113,8 +113,8 @@
     }
 }
 
-fn key() -> Private {
-    Private::from_seed(&[7; 32])
+fn key() -> PrivateKey {
+    PrivateKey::from_seed(&[7; 32])
 }
 
 fn folded(workspaces: u32) -> Fold {
@@ -141,7 +141,7 @@
 fn records(workspaces: u32, count: u32) -> Vec<Vec<u8>> {
     let fold = folded(workspaces);
     let mut tree = fold.tree().expect("a version is in force").clone();
-    let start = fold.wanted();
+    let start = fold.next_offset();
     let mut records = vec![Vec::new(); usize::try_from(start - 1).expect("a few")];
     for index in 0..u64::from(count) {
         let mut next = bundle(workspaces, start + index + 1);
--- a/crates/demo/src/fleet/operator.rs
+++ b/crates/demo/src/fleet/operator.rs
@@ -6,7 +6,7 @@
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
 use bytes::Bytes;
-use godwitpost_bundle::key::Private;
+use godwitpost_bundle::key::PrivateKey;
 use godwitpost_bundle::record::{Change, Record, STREAM};
 use godwitpost_bundle::root::Tree;
 use godwitpost_bundle::{entry, source};
@@ -29,7 +29,7 @@
 /// Signs and rolls versions.
 #[derive(Debug)]
 pub(super) struct Operator {
-    key: Private,
+    key: PrivateKey,
     fleet: &'static str,
     log: Client,
     tree: Option<Tree>,
@@ -41,7 +41,7 @@
     pub(super) fn new(deployment: &Deployment, log: SocketAddr) -> Self {
         let connector = Connector::new(connect::Settings::default());
         Self {
-            key: Private::from_seed(&seed(deployment.operator)),
+            key: PrivateKey::from_seed(&seed(deployment.operator)),
             fleet: deployment.fleet,
             log: Client::new(connector, log, TIMEOUT),
             tree: None,
--- a/crates/operator/src/fleet.rs
+++ b/crates/operator/src/fleet.rs
@@ -76,7 +76,7 @@
     /// Returns an error if the log can't be read.
     pub async fn read(&mut self, mut see: impl FnMut(&Fold, &Read)) -> Result<(), read::Error> {
         loop {
-            let wanted = self.fold.wanted();
+            let wanted = self.fold.next_offset();
             let page = self.log.read(STREAM, wanted, PAGE, Duration::ZERO).await?;
             self.end = self.end.max(page.next);
             if page.records.is_empty() {
@@ -108,7 +108,7 @@
     /// even if no record follows them yet.
     #[must_use]
     pub fn lost(&self) -> bool {
-        self.fold.gapped() || self.fold.wanted() < self.end
+        self.fold.has_gap() || self.fold.next_offset() < self.end
     }
 
     /// Returns the end of the stream as last read.
--- a/crates/operator/src/keyfile.rs
+++ b/crates/operator/src/keyfile.rs
@@ -1,4 +1,4 @@
-//! Private keys in files that only their owner reads.
+//! PrivateKey keys in files that only their owner reads.
 
 use std::fs::{File, OpenOptions};
 use std::io::{Read, Write};
@@ -8,7 +8,7 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use godwitpost_bundle::blob::Digest;
-use godwitpost_bundle::key::Private;
+use godwitpost_bundle::key::PrivateKey;
 use rand::TryRng;
 use rand::rngs::SysRng;
 
@@ -26,12 +26,12 @@
 ///
 /// Returns an error if the file exists, since a key that is overwritten may
 /// be the only one that can sign, or if it can't be written.
-pub fn generate(path: &Path) -> Result<Private, Error> {
+pub fn generate(path: &Path) -> Result<PrivateKey, Error> {
     let mut seed = [0; 32];
     SysRng
         .try_fill_bytes(&mut seed)
         .map_err(|error| Error::Random(error.to_string()))?;
-    let key = Private::from_seed(&seed);
+    let key = PrivateKey::from_seed(&seed);
     let failed = |error| Error::File(path.to_owned(), error);
     // The mode is set as the file is made: with a chmod afterwards another
     // user could open it in between.
@@ -52,7 +52,7 @@
 ///
 /// Returns an error if the file can't be read, holds no key, or may be read
 /// by anybody but its owner.
-pub fn read(path: &Path) -> Result<Private, Error> {
+pub fn read(path: &Path) -> Result<PrivateKey, Error> {
     let failed = |error| Error::File(path.to_owned(), error);
     let mut file = File::open(path).map_err(failed)?;
     let mode = file.metadata().map_err(failed)?.permissions().mode() & 0o777;
@@ -62,7 +62,7 @@
     let mut text = String::new();
     file.read_to_string(&mut text).map_err(failed)?;
     let seed = digest(text.trim()).ok_or_else(|| Error::Key(path.to_owned()))?;
-    Ok(Private::from_seed(&seed.0))
+    Ok(PrivateKey::from_seed(&seed.0))
 }
 
 /// Returns a public key as settings and bundles write it.
--- a/crates/operator/src/plan.rs
+++ b/crates/operator/src/plan.rs
@@ -11,9 +11,9 @@
 use godwitpost_bundle::delta::Delta;
 use godwitpost_bundle::entry::{self, Entries, WORKSPACE};
 use godwitpost_bundle::fold::{Fold, Next};
-use godwitpost_bundle::key::Private;
+use godwitpost_bundle::key::PrivateKey;
 use godwitpost_bundle::lineage::{Link, Operators};
-use godwitpost_bundle::record::{self, Change, RECORD_BYTES, Record};
+use godwitpost_bundle::record::{self, Change, MAX_RECORD_BYTES, Record};
 use godwitpost_bundle::root::{self, Tree};
 use godwitpost_bundle::schema::Bundle;
 use godwitpost_bundle::signature;
@@ -24,7 +24,7 @@
 use crate::error::Error;
 
 /// Entries' bytes in one record of several; the rest is for their frames.
-const CHUNK_BYTES: usize = RECORD_BYTES / 2;
+const CHUNK_BYTES: usize = MAX_RECORD_BYTES / 2;
 
 /// One signed version, ready to append.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
     /// The operator's name in the bundle in force.
     pub operator: String,
     /// The private key.
-    pub key: Private,
+    pub key: PrivateKey,
 }
 
 /// Returns the signed records that lead from `fold` to `bundle`; none if it
@@ -117,7 +117,8 @@
         entries,
     };
     let mut fold = Fold::new(bundle.fleet.name.clone(), roots);
-    fold.adopt(snapshot.clone()).map_err(Error::Refused)?;
+    fold.apply_snapshot(snapshot.clone())
+        .map_err(Error::Refused)?;
     let parts = record::checkpoint(&snapshot);
     parts
         .iter()
@@ -132,7 +133,7 @@
 
 // What routers will say is known before anything is appended.
 fn rehearse(fold: &mut Fold, bytes: &[u8]) -> Result<(), Error> {
-    match fold.apply(fold.wanted(), Duration::ZERO, bytes) {
+    match fold.apply(fold.next_offset(), Duration::ZERO, bytes) {
         Next::Refused(refusal) => Err(Error::Refused(refusal)),
         Next::InForce(_) | Next::Ignored | Next::Waiting => Ok(()),
     }
--- a/crates/router/src/control/bundles.rs
+++ b/crates/router/src/control/bundles.rs
@@ -72,7 +72,8 @@
             let next = self.fold.apply(record.offset, record.time, &record.body);
             Self::log_fold_result(&next);
         }
-        self.ready.read(&self.fold, records.len() < PAGE_RECORDS);
+        self.ready
+            .record_read(&self.fold, records.len() < PAGE_RECORDS);
         self.publish();
     }
 
@@ -97,8 +98,8 @@
         self.fetching_bundle = false;
         let Some(bytes) = bytes else { return };
         let next = match rmp_serde::from_slice(&bytes) {
-            Ok(PeerBundle::Update(update)) => self.fold.advance(&update),
-            Ok(PeerBundle::Snapshot(snapshot)) => self.fold.adopt(*snapshot),
+            Ok(PeerBundle::Update(update)) => self.fold.apply_update(&update),
+            Ok(PeerBundle::Snapshot(snapshot)) => self.fold.apply_snapshot(*snapshot),
             Err(error) => {
                 log::warn!(error:% = error; "can't decode a bundle from a peer");
                 return;
@@ -107,7 +108,7 @@
         match next {
             Ok(next) => {
                 Self::log_fold_result(&next);
-                self.ready.heard(&self.fold);
+                self.ready.record_peer(&self.fold);
             }
             Err(refusal) => Self::log_fold_result(&Next::Refused(refusal)),
         }
--- a/crates/router/src/control/renew.rs
+++ b/crates/router/src/control/renew.rs
@@ -45,7 +45,7 @@
             now,
             retention: self.shared.settings.platform.retention,
             anchor: self.fold.anchor().filter(|_| self.ready.get()),
-            next: self.fold.wanted(),
+            next: self.fold.next_offset(),
             tried: self.last_renewal,
             rank: u32::try_from(before).unwrap_or(u32::MAX),
         }
--- a/crates/router/tests/router/faults.rs
+++ b/crates/router/tests/router/faults.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use godwitpost_bundle::key::Private;
+use godwitpost_bundle::key::PrivateKey;
 use godwitpost_router::Running;
 use godwitpost_standin::digest;
 use http_body_util::BodyExt as _;
@@ -134,7 +134,7 @@
 async fn router_that_starts_with_the_log_down_gets_the_bundle_from_a_peer() {
     let mut fleet = Fleet::start(SIZE).await;
     fleet.log.faults().change(|faults| faults.down = true);
-    fleet.add_router(3, &Private::from_seed(&[3; 32]));
+    fleet.add_router(3, &PrivateKey::from_seed(&[3; 32]));
     let late = fleet.routers[3].callers_address();
     wait_until("the late router is ready", async || {
         fleet.get(late, "/readyz").await.0 == 200
@@ -264,7 +264,7 @@
     .await;
     fleet.log.truncate("bundles", 1);
     fleet.routers.drain(..).for_each(Running::kill);
-    fleet.add_router(4, &Private::from_seed(&[3; 32]));
+    fleet.add_router(4, &PrivateKey::from_seed(&[3; 32]));
     let late = fleet.routers[0].callers_address();
     wait_until("a router without state is ready", async || {
         fleet.get(late, "/readyz").await.0 == 200
@@ -284,7 +284,7 @@
     // Leaves time to check the version between two pages.
     let slow = Duration::from_millis(200);
     fleet.log.faults().change(|faults| faults.slow = slow);
-    fleet.add_router(0, &Private::from_seed(&[3; 32]));
+    fleet.add_router(0, &PrivateKey::from_seed(&[3; 32]));
     let operators = fleet.routers[0].operators_address();
     wait_until("the last version is in force", async || {
         let (_, _, bundle) = fleet.get(operators, "/bundle").await;
@@ -340,7 +340,7 @@
 async fn router_is_not_ready_before_it_has_read_the_list() {
     let mut fleet = Fleet::start(SIZE).await;
     fleet.list.faults().change(|faults| faults.down = true);
-    fleet.add_router(9, &Private::from_seed(&[3; 32]));
+    fleet.add_router(9, &PrivateKey::from_seed(&[3; 32]));
     let late = fleet.routers.last().unwrap();
     let (callers, operators) = (late.callers_address(), late.operators_address());
     wait_until("the new router holds the bundle", async || {
--- a/crates/router/tests/router/fleet.rs
+++ b/crates/router/tests/router/fleet.rs
@@ -9,7 +9,7 @@
 use base64::engine::general_purpose::STANDARD;
 use bytes::Bytes;
 use godwitpost_bundle::entry;
-use godwitpost_bundle::key::Private;
+use godwitpost_bundle::key::PrivateKey;
 use godwitpost_bundle::record::{Change, Record, STREAM};
 use godwitpost_bundle::root::Tree;
 use godwitpost_bundle::schema::Bundle;
@@ -60,7 +60,7 @@
     /// Starts a fleet whose routers assume that the log retains records for
     /// `retention`.
     pub(crate) async fn start_with(size: Size, retention: Duration) -> Self {
-        let key = Private::from_seed(&[3; 32]);
+        let key = PrivateKey::from_seed(&[3; 32]);
         let log = log::start(any_port(), log::Faults::default())
             .await
             .unwrap();
@@ -119,7 +119,7 @@
         self.plains.push(plain);
     }
 
-    pub(crate) fn add_router(&mut self, n: usize, key: &Private) {
+    pub(crate) fn add_router(&mut self, n: usize, key: &PrivateKey) {
         let router = start(self.settings(n, key)).unwrap();
         let name = format!("router-{n}");
         let mut entry = list_entry(&name, Role::Router, n, router.peers_address());
@@ -128,7 +128,7 @@
         self.routers.push(router);
     }
 
-    fn settings(&self, n: usize, key: &Private) -> Settings {
+    fn settings(&self, n: usize, key: &PrivateKey) -> Settings {
         let root = STANDARD.encode(key.public().0);
         Settings::parse(&format!(
             "name: router-{n}
@@ -152,13 +152,13 @@
         .unwrap()
     }
 
-    fn publish_bundle(&self, key: &Private) {
+    fn publish_bundle(&self, key: &PrivateKey) {
         self.append(&Change::sign(None, &bundle(key), "asahikawa", key));
     }
 
     /// Publishes version 2, with other weights of the model.
     pub(crate) fn publish_weights(&self, weights: &str) {
-        let key = Private::from_seed(&[3; 32]);
+        let key = PrivateKey::from_seed(&[3; 32]);
         let mut second = bundle(&key);
         let first = Tree::new(entry::split(&second));
         second.version = 2;
@@ -169,7 +169,7 @@
 
     /// Publishes the version after `version`, which differs in its claim window.
     pub(crate) fn publish_version_after(&self, version: u64) {
-        let key = Private::from_seed(&[3; 32]);
+        let key = PrivateKey::from_seed(&[3; 32]);
         let at = |version: u64| {
             let mut bundle = bundle(&key);
             bundle.version = version;
@@ -238,7 +238,7 @@
     }
 }
 
-fn bundle(key: &Private) -> Bundle {
+fn bundle(key: &PrivateKey) -> Bundle {
     let public = STANDARD.encode(key.public().0);
     source::read(&include_str!("bundle.yaml").replace("<key>", &public)).unwrap()
 }
