--- a/crates/client/src/clock.rs
+++ b/crates/client/src/clock.rs
@@ -1,7 +1,8 @@
-//! Moments from the machine's clocks.
+//! A monotonic clock that returns [`Moment`]s.
 //!
-//! The system clock is read once; moments after that come from the monotonic
-//! clock, so a correction of the system clock never makes time go back.
+//! The system clock is read once at the start. Later moments are derived from
+//! the monotonic clock, so adjusting the system clock never makes time go
+//! backwards.
 
 use std::time::{Duration, SystemTime};
 
@@ -10,7 +11,7 @@
 use godwitpost_types::clock::Moment;
 use tokio::time::Instant;
 
-/// A clock that never goes back.
+/// A clock that never goes backwards.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Moment,
@@ -18,7 +19,7 @@
 }
 
 impl Clock {
-    /// Starts a clock at the system's present time.
+    /// Starts a clock at the current system time.
     ///
     /// A system clock before 1970 counts as 1970.
     #[must_use]
@@ -30,7 +31,7 @@
         )
     }
 
-    /// Starts a clock that says `start` now.
+    /// Starts a clock whose current time is `start`.
     #[must_use]
     pub fn start_at(start: Moment) -> Self {
         Self {
@@ -39,13 +40,13 @@
         }
     }
 
-    /// Returns the present moment.
+    /// Returns the current moment.
     #[must_use]
     pub fn now(&self) -> Moment {
         self.start + self.instant.elapsed()
     }
 
-    /// Returns the instant at which this clock will say `moment`.
+    /// Returns the instant at which this clock reaches `moment`.
     #[must_use]
     pub fn instant(&self, moment: Moment) -> Instant {
         self.instant + moment.saturating_sub(self.start)
@@ -54,13 +55,13 @@
 
 /// Returns the time since the machine booted, suspended time included.
 ///
-/// The monotonic clock of [`Clock`] stands still while a machine is suspended,
-/// and the system clock may jump either way. Whoever vouches for something for
-/// so many seconds, as a lease does, must count the time that it slept.
+/// The monotonic clock of [`Clock`] stops while the machine is suspended, and
+/// the system clock may jump in either direction. Validity periods such as
+/// leases must include the time spent suspended.
 #[must_use]
 pub fn boot_time() -> Moment {
     let time = clock_gettime(ClockId::Boottime);
-    // Neither is negative on a clock that starts at zero.
+    // Neither value is negative, because the clock starts at zero.
     let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
     let nanos = u32::try_from(time.tv_nsec).unwrap_or_default();
     Duration::new(seconds, nanos)
--- a/crates/client/src/connect.rs
+++ b/crates/client/src/connect.rs
@@ -1,24 +1,25 @@
 //! HTTP/1.1 connections to endpoints, peers and the platform, pooled.
 //!
-//! The pool is our own, over hyper's low-level client. hyper-util's pooled
-//! client is not used: when a pooled connection turns out to be closed it may
-//! send the request again by itself, and a caller of that client can't tell
-//! one attempt from two. At most once rests on knowing that, so the rules are:
+//! This module pools connections of hyper's low-level client. The pooled
+//! client of hyper-util may resend a request by itself when a pooled
+//! connection turns out to be closed, and its caller can't tell one attempt
+//! from two. At-most-once execution depends on that distinction, so these
+//! rules apply here:
 //!
-//! - A request is written to one connection at most. Nothing here repeats it.
-//! - Each failure says which it is: [`Error::NotSent`] only when no byte of
-//!   the request was handed to a socket, [`Error::Unknown`] otherwise. The
-//!   line is drawn by hyper: it gives an unsent request back, and it does so
-//!   only if it has not begun to serialize it.
-//! - A server may close an idle connection at any time. If that is seen before
-//!   the request is serialized, hyper gives it back and the next connection is
-//!   tried: no byte has left, so this is not a second attempt. If it is seen
-//!   later the fate is unknown, and the caller is told so.
-//! - A caller that drops the future of [`Connector::send`] must assume
-//!   unknown. [`Connector::send`] takes the time-out itself to be exact there.
+//! - A request is written to at most one connection and is never resent.
+//! - [`Error::NotSent`] is returned only if no byte of the request was handed
+//!   to a socket; any other failure is [`Error::Unknown`]. hyper returns an
+//!   unsent request only if it has not started to serialize it.
+//! - A server may close an idle connection at any time. If the close is
+//!   noticed before the request is serialized, hyper returns the request and
+//!   the next connection is tried. No byte has left, so this is not a second
+//!   attempt. If the close is noticed later, the outcome is unknown.
+//! - A caller that drops the future of [`Connector::send`] must assume that
+//!   the outcome is unknown. [`Connector::send`] therefore applies the time-out
+//!   itself, so that the error stays exact.
 //!
-//! A response body that is dropped before its end closes the connection at
-//! once, which is how an endpoint learns that the caller went away.
+//! Dropping a response body before its end closes the connection at once. The
+//! endpoint learns from this that the caller has disconnected.
 
 mod meter;
 mod pool;
@@ -44,31 +45,31 @@
 use self::pool::{Connection, Pool};
 pub use self::received::ResponseBody;
 
-/// Probes without an answer after which a peer counts as gone: a single lost
-/// packet must not cut a stream.
+/// Number of unanswered keep-alive probes after which a peer counts as gone.
+/// More than one, so that a single lost packet does not end a stream.
 const KEEPALIVE_PROBES: u32 = 3;
 
-/// An error of a body or a connection below this module.
+/// An error of a body or an underlying connection.
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
 /// The body of a request, streamed or whole.
 pub type Body = UnsyncBoxBody<Bytes, BoxError>;
 
-/// Why a request has no response.
+/// The reason a request got no response.
 #[derive(Debug, displaydoc::Display)]
 pub enum Error {
     /// not sent: {cause}; it may be sent elsewhere
     NotSent {
-        /// Why.
+        /// The reason.
         cause: Cause,
-        /// The request with its body untouched, to be sent elsewhere; `None`
-        /// if the connection swallowed it unsent.
+        /// The request with its body unread, so that it can be sent elsewhere.
+        /// `None` if the connection dropped it without sending it.
         request: Option<Box<Request<Body>>>,
     },
-    /// fate unknown: {0}; repeat only what may run twice
+    /// outcome unknown: {0}; repeat the request only if it may run twice
     Unknown(Cause),
 }
 
-/// What went wrong with a connection.
+/// The cause of a failed request.
 #[derive(Debug, displaydoc::Display)]
 pub enum Cause {
     /// cannot connect ({0}); check that the address is up
@@ -81,7 +82,7 @@
     Connection(Failure),
 }
 
-/// How a connection failed, with what lies below.
+/// A connection error that is displayed with its source.
 #[derive(Debug)]
 pub struct Failure(hyper::Error);
 
@@ -89,7 +90,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.0)?;
         match self.0.source() {
-            // hyper's own text names its part only: "connection error".
+            // hyper's text does not include the source: "connection error".
             Some(source) => write!(f, ": {source}"),
             None => Ok(()),
         }
@@ -106,8 +107,8 @@
 impl std::error::Error for Cause {}
 
 impl Cause {
-    /// Returns whether the other machine gave no sign of life: no connection
-    /// came about, or nothing that was sent was confirmed.
+    /// Returns whether the other machine was unreachable: no connection was
+    /// established, or sent data was never acknowledged.
     #[must_use]
     pub fn is_unreachable(&self) -> bool {
         match self {
@@ -118,8 +119,8 @@
     }
 }
 
-/// Returns whether a connection ended since the other machine confirmed
-/// nothing that was sent.
+/// Returns whether a connection ended because the other machine did not
+/// acknowledge sent data in time.
 #[must_use]
 pub fn is_ack_timeout(error: &hyper::Error) -> bool {
     error
@@ -144,7 +145,7 @@
 }
 
 impl Connector {
-    /// Makes a connector with an empty pool.
+    /// Creates a connector with an empty pool.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Self {
@@ -153,26 +154,26 @@
         }
     }
 
-    /// Returns the bytes that its connections have cost so far, both ways:
-    /// payload as counted, and the TCP and IP headers of its packets and
-    /// their acknowledgements as estimated from reads, writes and opens.
+    /// Returns the bytes transferred on its connections so far in both
+    /// directions: the counted payload, and the TCP and IP headers of packets
+    /// and acknowledgements as estimated from reads, writes and opens.
     #[must_use]
     pub fn wire_bytes(&self) -> u64 {
         self.transferred.bytes()
     }
 
-    /// Sends a request to an address and returns the response's head.
+    /// Sends a request to an address and returns the head of the response.
     ///
-    /// The request's URI is in origin form (`/path?query`). A missing `Host`
-    /// is set to the address. `wait` bounds the time until the response's
-    /// head; the body that follows has no time-out here.
+    /// The URI must be in origin form (`/path?query`). A missing `Host` header
+    /// is set to the address. `wait` limits the time until the response head
+    /// arrives; the body has no time-out here.
     ///
-    /// Must run within a tokio runtime, which then drives the connection.
+    /// Must be called within a tokio runtime, which drives the connection.
     ///
     /// # Errors
     ///
-    /// [`Error::NotSent`] if no byte of the request can have left, else
-    /// [`Error::Unknown`].
+    /// Returns [`Error::NotSent`] if no byte of the request can have left, and
+    /// [`Error::Unknown`] otherwise.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -183,15 +184,15 @@
             .await
     }
 
-    /// Sends a request over a connection opened for it; else as
+    /// Sends a request over a new connection; otherwise works like
     /// [`Connector::send`].
     ///
-    /// This is for requests that may run at most once. A server that closes
-    /// its idle connections, as one that is leaving does, may do so in the
-    /// very moment at which a request is written to one; the request's fate is
-    /// then unknown though nobody ever saw it. A new connection is accepted,
-    /// or the request is certainly not sent. It costs a round trip; afterwards
-    /// the connection goes to the pool like any other.
+    /// Intended for requests that may run at most once. A server that closes
+    /// its idle connections, for example during shutdown, may do so just as a
+    /// request is written to one. The outcome is then unknown although the
+    /// server never saw the request. With a new connection, either the server
+    /// accepts it or the request is certainly not sent. This costs a round
+    /// trip. Afterwards the connection is returned to the pool.
     ///
     /// # Errors
     ///
@@ -206,12 +207,13 @@
             .await
     }
 
-    /// Sends a request over a connection that was idle for less than `max_idle`,
-    /// or over one opened for it; else as [`Connector::send`].
+    /// Sends a request over a connection that was idle for less than
+    /// `max_idle`, or over a new one; otherwise works like [`Connector::send`].
     ///
-    /// It lies between the two: a server that forgets idle connections sooner
-    /// than it says does so with those that rested, and a busy connection
-    /// saves the round trip.
+    /// This is a compromise between [`Connector::send`] and
+    /// [`Connector::send_on_new`]: a server that drops idle connections sooner
+    /// than it announces drops those that were idle, and reusing a busy
+    /// connection saves the round trip.
     ///
     /// # Errors
     ///
@@ -235,8 +237,9 @@
             };
             match self.exchange(connection, request, deadline).await {
                 // A pooled connection was closed before the request was
-                // serialized: no byte has left, so the next one is tried. A
-                // fresh one that does this has a broken server behind it.
+                // serialized. No byte has left, so the next connection is
+                // tried. If a new connection fails this way, the server is
+                // broken.
                 Err(Error::NotSent {
                     request: Some(unsent),
                     ..
@@ -246,15 +249,16 @@
         }
     }
 
-    /// Returns how many connections to an address are idle in the pool.
+    /// Returns the number of idle connections to an address in the pool.
     #[must_use]
     pub fn idle_count(&self, address: SocketAddr) -> usize {
         self.pool.idle_count(address)
     }
 
-    /// Closes the idle connections to an address, as when its machine was
-    /// found dark: what is written to one of them has an unknown fate, while a
-    /// new connection that can't be opened proves that nothing was sent.
+    /// Closes the idle connections to an address, for example after its machine
+    /// was found unreachable. A request written to one of them would have an
+    /// unknown outcome, while a failure to open a new connection proves that
+    /// nothing was sent.
     pub fn close_idle(&self, address: SocketAddr) {
         self.pool.close_idle(address);
     }
@@ -274,8 +278,8 @@
         deadline: Instant,
     ) -> Result<Response<ResponseBody>, Error> {
         let sent = connection.sender.try_send_request(request);
-        // On a time-out the connection is dropped and closed: a late answer
-        // then has no reader and can't reach another request.
+        // On a time-out the connection is dropped and closed, so a late
+        // response can't be taken for that of another request.
         let Ok(result) = timeout_at(deadline, sent).await else {
             return Err(Error::Unknown(Cause::ResponseTimeout));
         };
@@ -315,11 +319,13 @@
     request.headers_mut().insert(HOST, host);
 }
 
-/// Has the system notice a peer whose machine is gone.
+/// Enables TCP keep-alive, so that the system detects a peer whose machine is
+/// gone.
 ///
-/// A machine that loses power or network closes nothing: without probes a
-/// stream from it stays silent for ever, as a long prefill does. A live machine
-/// answers probes however busy its process is, so this never cuts a slow one.
+/// A machine that loses power or network closes no connections. Without probes
+/// a stream from it would stay silent forever and look like a long prefill. The
+/// kernel of a live machine answers probes however busy its process is, so this
+/// never ends a slow stream.
 fn enable_keepalive(stream: &TcpStream, dead_after: Duration) -> std::io::Result<()> {
     let interval = (dead_after / (KEEPALIVE_PROBES + 1)).max(Duration::from_secs(1));
     let keepalive = TcpKeepalive::new()
@@ -336,7 +342,8 @@
 ) -> Result<Connection, Cause> {
     let stream = TcpStream::connect(address).await.map_err(Cause::Connect)?;
     transferred.record_open();
-    // Small frames of a token stream must not wait for an acknowledgement.
+    // Small frames of a token stream must not be delayed until the previous
+    // one is acknowledged.
     stream.set_nodelay(true).map_err(Cause::Connect)?;
     enable_keepalive(&stream, settings.dead_after).map_err(Cause::Connect)?;
     if settings.ack_timeout.is_some() {
--- a/crates/client/src/connect/meter.rs
+++ b/crates/client/src/connect/meter.rs
@@ -1,7 +1,7 @@
-//! Counts what connections cost on the wire.
+//! Counts the bytes that connections transfer.
 //!
-//! The control budget is in bytes with all headers, so it has to be counted
-//! below HTTP, where the bytes pass, and not summed up from bodies.
+//! The budget for control traffic includes all headers, so bytes are counted
+//! below HTTP, on the TCP stream, instead of summing up bodies.
 
 use std::io::{IoSlice, Result};
 use std::pin::Pin;
@@ -12,18 +12,20 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// IPv4 and TCP headers with the time stamp option: 20, 20 and 12 bytes.
+/// Bytes of the IPv4 header (20), the TCP header (20) and the time stamp
+/// option (12).
 const PACKET_HEADER_BYTES: u64 = 52;
 
-/// Headers of a read or write: its packet and the acknowledgement of it. A
-/// large one takes several packets, at 4% of their bytes; what is counted here
-/// is small.
+/// Header bytes of a read or write: one packet and its acknowledgement. A large
+/// transfer takes several packets, whose headers add 4% to their bytes; the
+/// transfers counted here are small.
 const TRANSFER_OVERHEAD_BYTES: u64 = 2 * PACKET_HEADER_BYTES;
 
-/// Opening and closing a connection: three packets and four.
+/// Header bytes of opening (three packets) and closing (four packets) a
+/// connection.
 const CONNECTION_OVERHEAD_BYTES: u64 = 7 * PACKET_HEADER_BYTES;
 
-/// The bytes of a connector's connections.
+/// Counts the bytes that the connections of a connector transfer.
 #[derive(Clone, Debug, Default)]
 pub(super) struct TransferCounter {
     bytes: Arc<AtomicU64>,
@@ -47,7 +49,7 @@
     }
 }
 
-/// A TCP stream that counts what passes.
+/// A TCP stream that counts the bytes read and written.
 #[derive(Debug)]
 pub(super) struct MeteredStream {
     stream: TcpStream,
--- a/crates/client/src/connect/pool.rs
+++ b/crates/client/src/connect/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections, kept for the next request to the same address.
+//! A pool of idle connections, reused for later requests to the same address.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,46 +14,48 @@
 /// Limits of a [`super::Connector`].
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Connections to one address that stay open without a request.
+    /// Maximum number of idle connections to one address.
     pub max_idle_per_address: usize,
-    /// Connections to all addresses together that stay open without a request.
+    /// Maximum number of idle connections to all addresses together.
     pub max_idle: usize,
-    /// How long a connection may stay open without a request. Less than the
-    /// time after which servers close idle connections, so that few requests
-    /// meet a connection that is being closed.
+    /// How long a connection may stay idle. It should be shorter than the time
+    /// after which servers close idle connections, so that few requests are
+    /// sent on a connection that is being closed.
     pub idle_timeout: Duration,
-    /// How long opening a connection may take.
+    /// How long opening a connection may take at most.
     pub connect_timeout: Duration,
-    /// How long after its last sign a machine counts as gone, in seconds of
-    /// four at least. It bounds how long a stream from it stays silent.
+    /// How long after its last packet a machine counts as gone, in whole
+    /// seconds and at least four. This limits how long a stream from a machine
+    /// that is gone stays silent.
     pub dead_after: Duration,
-    /// How long what was sent may stay without the other machine's word that
-    /// it arrived; `None` leaves it to the system, which waits for minutes.
+    /// How long sent data may stay unacknowledged by the other machine. `None`
+    /// uses the default of the system, which is minutes.
     ///
-    /// A machine that is dark takes requests on open connections and says
-    /// nothing. A live one, however busy, confirms within a round trip.
+    /// Requests can still be written to open connections to an unreachable
+    /// machine, without any response. The kernel of a live machine acknowledges
+    /// them within a round trip, however busy the machine is.
     pub ack_timeout: Option<Duration>,
-    /// Bytes buffered for one connection in each direction; also the limit of
-    /// a response's head. hyper allows no less than 8 KiB.
+    /// Bytes buffered per connection and direction, which is also the maximum
+    /// size of a response head. hyper requires at least 8 KiB.
     pub buffer_bytes: usize,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            // A router of six in front of ten runners with 16 slots each has
-            // about 27 requests on each of them.
+            // One of six routers in front of ten runners with 16 slots each
+            // has about 27 requests on each runner.
             max_idle_per_address: 32,
-            // At 53 requests a second and instance 212 connections at most were
-            // used in the last 4 s. One takes about 22 KB; see the design
-            // note on the log's client.
+            // At 53 requests per second and instance, at most 212 connections
+            // were used within 4 s. Each takes about 22 KB; see the design
+            // note on the log client.
             max_idle: 512,
-            // Common servers close after 5 s to 75 s.
+            // Common servers close idle connections after 5 s to 75 s.
             idle_timeout: Duration::from_secs(4),
-            // Two zones are 1.5 ms apart; a SYN that was lost is sent again
-            // after 1 s.
+            // The round trip between two zones takes 1.5 ms, and a lost SYN is
+            // retransmitted after 1 s.
             connect_timeout: Duration::from_millis(1500),
-            // Twice what a switch takes to converge on another path.
+            // Twice the time that a switch takes to converge on another path.
             dead_after: Duration::from_secs(8),
             ack_timeout: None,
             buffer_bytes: 64 * 1024,
@@ -66,14 +68,15 @@
 pub(super) struct Connection {
     pub(super) address: SocketAddr,
     pub(super) sender: SendRequest<Body>,
-    // How long the server keeps it open without a request, if it says so.
+    // How long the server keeps it open while idle, if announced.
     server_idle_timeout: Option<Duration>,
     driver: AbortHandle,
 }
 
-/// The part of the server's own time-out after which a connection is no longer
-/// used. The server counts from its last byte, and a request has to arrive
-/// before it closes: half leaves the network and a stalled process the rest.
+/// The server's idle time-out is divided by this to get the time after which a
+/// connection is no longer used. The server counts from its last byte, and a
+/// request has to arrive before it closes the connection, so the other half is
+/// left for network delay and a stalled process.
 const SERVER_TIMEOUT_DIVISOR: u32 = 2;
 
 impl Connection {
@@ -86,12 +89,12 @@
         }
     }
 
-    /// Notes how long the server keeps the connection open without a request.
+    /// Sets how long the server keeps the connection open while idle.
     pub(super) const fn set_server_idle_timeout(&mut self, time: Duration) {
         self.server_idle_timeout = Some(time);
     }
 
-    // How long it may stay idle and still be used.
+    // Returns how long it may stay idle and still be reused.
     fn idle_timeout(&self, settings: &Settings) -> Duration {
         self.server_idle_timeout
             .map_or(settings.idle_timeout, |server_idle_timeout| {
@@ -103,9 +106,9 @@
 }
 
 impl Drop for Connection {
-    // Without this hyper would read a response nobody wants until the other
-    // side ends it, and an engine would go on generating for a caller that
-    // has gone.
+    // Without this, hyper would read an unwanted response until the server
+    // ends it, and an engine would keep generating for a caller that has
+    // disconnected.
     fn drop(&mut self) {
         self.driver.abort();
     }
@@ -120,7 +123,7 @@
 #[derive(Debug, Default)]
 struct State {
     idle: BTreeMap<SocketAddr, Vec<Idle>>,
-    // Idle connections to all addresses.
+    // Number of idle connections to all addresses.
     count: usize,
     last_sweep: Option<Instant>,
 }
@@ -144,8 +147,8 @@
         &self.settings
     }
 
-    /// Takes the connection to an address that was used last, if one is open
-    /// that was idle for less than `max_idle`.
+    /// Removes and returns the most recently used open connection to an address
+    /// if it was idle for less than `max_idle`.
     pub(super) fn take_recent(
         &self,
         address: SocketAddr,
@@ -154,7 +157,7 @@
         let state = &mut *self.lock();
         let idle = state.idle.get_mut(&address)?;
         let connection = loop {
-            // Those below it rested for longer.
+            // The connections below it were idle for longer.
             let Some(last) = idle.pop_if(|last| last.since.elapsed() < max_idle) else {
                 break None;
             };
@@ -170,16 +173,16 @@
         connection
     }
 
-    /// Keeps a connection whose exchange is over, once hyper is ready for the
-    /// next one.
+    /// Returns a connection to the pool after its exchange, as soon as hyper is
+    /// ready for the next one.
     pub(super) fn release(&self, mut connection: Connection) {
         if connection.sender.is_ready() {
             return self.insert_idle(connection);
         }
         let pool = self.clone();
         tokio::spawn(async move {
-            // A server may end its response before the request's body was
-            // sent; the time-out keeps such a connection from staying.
+            // A server may end its response before the request body was sent.
+            // The time-out closes such a connection eventually.
             let ready =
                 tokio::time::timeout(pool.settings.idle_timeout, connection.sender.ready()).await;
             if matches!(ready, Ok(Ok(()))) {
@@ -214,8 +217,9 @@
         }
     }
 
-    // Addresses of endpoints that left are never asked for again, so nothing
-    // but this closes their connections on our side.
+    // Closes expired connections. No more requests are sent to the addresses of
+    // removed endpoints, so their connections would otherwise stay open on this
+    // side.
     fn close_expired(&self, state: &mut State, now: Instant) {
         let due = state
             .last_sweep
@@ -235,7 +239,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        // No code that holds the lock can panic half-way through a change.
+        // No code can panic in the middle of an update while holding the lock.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/client/src/connect/received.rs
+++ b/crates/client/src/connect/received.rs
@@ -1,4 +1,4 @@
-//! The body of a response, which returns its connection when it ends.
+//! The body of a response, which returns its connection to the pool at its end.
 
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
@@ -14,8 +14,9 @@
 
 /// The body of a response.
 ///
-/// Its end returns the connection to the pool. Dropping it before closes the
-/// connection, so the rest of the body can never be taken for another answer.
+/// Reading it to the end returns the connection to the pool. Dropping it before
+/// closes the connection, so the rest of the body is never taken for the
+/// response to another request.
 #[derive(Debug)]
 pub struct ResponseBody {
     body: Incoming,
@@ -43,17 +44,18 @@
         received
     }
 
-    /// Returns whether the server says where the body ends.
+    /// Returns whether the end of the body is marked by a length or by chunks.
     ///
-    /// A body without a length and without chunks ends with its connection, as
-    /// in HTTP/1.0. Such a body that was cut off can't be told from a whole
-    /// one, so whoever relays it must not vouch for its end.
+    /// Any other body ends with its connection, as in HTTP/1.0. A truncated body
+    /// of that kind can't be distinguished from a complete one, so code that
+    /// relays it must not present it as complete.
     #[must_use]
     pub const fn is_framed(&self) -> bool {
         self.framed
     }
 
-    /// Boxes it as the body of another message, such as the caller's response.
+    /// Boxes it as the body of another message, such as the response to the
+    /// caller.
     #[must_use]
     pub fn boxed(self) -> super::Body {
         BodyExt::map_err(self, Into::into).boxed_unsync()
@@ -68,8 +70,8 @@
     }
 }
 
-// The time-out that the server names, in whole seconds: RFC 2068, section
-// 19.7.1.1, and common practice since.
+// Returns the time-out that the server announces in whole seconds. It is
+// defined in RFC 2068, section 19.7.1.1, and still in common use.
 fn parse_keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let parameter = value
@@ -78,7 +80,8 @@
     parameter.trim().parse().ok().map(Duration::from_secs)
 }
 
-// Chunks frame a body only as the last coding, RFC 9112, section 6.3.
+// Returns whether `chunked` is the last coding. Only then does it delimit the
+// body (RFC 9112, section 6.3).
 fn is_chunked(headers: &HeaderMap) -> bool {
     headers
         .get_all(TRANSFER_ENCODING)
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,9 +1,8 @@
 //! Clients of the platform and the timer service.
 //!
-//! Everything here is an adapter: it moves bytes and measures time, and
-//! decides nothing about requests. The one promise that the rest of the fleet
-//! builds on is in [`connect`]: a failed request says truthfully whether any
-//! of its bytes can have left this process.
+//! This crate does I/O and timekeeping and makes no routing decisions. The
+//! other crates rely on one guarantee of [`connect`]: the error of a failed
+//! request states whether any of its bytes can have left this process.
 
 pub mod clock;
 pub mod connect;
--- a/crates/client/src/list.rs
+++ b/crates/client/src/list.rs
@@ -1,7 +1,7 @@
-//! The client of the platform's list of live and leaving instances.
+//! A client of the platform's list of live and leaving instances.
 //!
-//! The list lags; what it says is evidence, not truth. An entry that can't be
-//! read is left out and named, so one bad entry never hides the others.
+//! The list lags behind the actual state, so its entries may be out of date. An
+//! invalid entry is skipped and reported by name, so it never hides the others.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -21,11 +21,10 @@
 
 pub use watch::Watch;
 
-/// Bytes of a list that are read at most. 4,000 entries of 300 bytes take
-/// 1.2 MB.
+/// Maximum size of a list. 4,000 entries of 300 bytes take 1.2 MB.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// Makes calls to the instance list.
+/// A client of the instance list.
 #[derive(Clone, Debug)]
 pub struct Client {
     connector: Connector,
@@ -33,35 +32,35 @@
     timeout: Duration,
 }
 
-/// The list as one call answered it.
+/// The instance list as of one response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Listing {
-    /// Routers of the fleet.
+    /// The routers of the fleet.
     pub instances: Vec<Instance>,
-    /// Back ends.
+    /// The back ends.
     pub endpoints: Vec<Endpoint>,
-    /// Entries left out, each as its name and what is wrong with it.
+    /// Invalid entries that were skipped, each as its name and the error.
     pub refused: Vec<String>,
 }
 
-/// One entry in the list's own form.
+/// One entry as serialized by the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// Its name.
     pub name: String,
-    /// Its life on that name; a restart has a greater one.
+    /// Its incarnation under that name; greater after each restart.
     pub incarnation: Incarnation,
-    /// What it is.
+    /// Its role.
     pub role: Role,
-    /// Whether it may get new work.
+    /// Whether it may receive new requests.
     pub standing: Standing,
     /// Its availability zone.
     pub zone: String,
     /// The region of that zone.
     pub region: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// Where a router listens for operators.
+    /// The address on which a router listens for operators.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub operators_address: Option<SocketAddr>,
     /// The service of an endpoint.
@@ -72,7 +71,7 @@
     pub models: BTreeSet<String>,
 }
 
-/// What an entry of the list is.
+/// The role of a list entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
@@ -82,20 +81,20 @@
     Endpoint,
 }
 
-/// Why there is no list.
+/// The reason for which the list can't be fetched.
 #[derive(Debug, displaydoc::Display)]
 pub enum Error {
     /// cannot reach the instance list: {0}
     Connect(connect::Error),
     /// the instance list answered {0}; try again after a pause
     Status(StatusCode),
-    /// unreadable instance list ({0}); try again after a pause
+    /// invalid instance list ({0}); try again after a pause
     InvalidResponse(connect::BoxError),
 }
 
 impl std::error::Error for Error {}
 
-/// What the list answers: everything, or what changed after a revision.
+/// A response of the list: all entries, or the changes after a revision.
 #[derive(Debug, Deserialize)]
 struct ListResponse {
     #[serde(default)]
@@ -109,7 +108,7 @@
 }
 
 impl Client {
-    /// Makes a client of the list at an address, with a time-out for a call.
+    /// Creates a client of the list at an address. `timeout` limits each call.
     #[must_use]
     pub const fn new(connector: Connector, address: SocketAddr, timeout: Duration) -> Self {
         Self {
@@ -123,7 +122,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error`] if the list can't be reached or read as a whole.
+    /// Returns [`Error`] if the list can't be reached or parsed as a whole.
     pub async fn fetch(&self) -> Result<Listing, Error> {
         let response = self.get("/v1/instances", self.timeout).await?;
         let instances = response.instances.unwrap_or_default();
@@ -207,8 +206,8 @@
     })
 }
 
-// Lists may name models as engines report them, with their weights, which
-// pass from version to version while the model stays the same.
+// Entries may name models as engines report them, with the version of the
+// weights appended. The version changes while the model stays the same.
 fn model_id(model: &str) -> id::ModelId {
     id::from_name(model.split_once('@').map_or(model, |(name, _)| name))
 }
--- a/crates/client/src/list/watch.rs
+++ b/crates/client/src/list/watch.rs
@@ -1,10 +1,10 @@
-//! Follows the list by its changes.
+//! Follows changes of the list by long polling.
 //!
-//! At 320 routers and 3,300 runners the whole list has about 700 KB. Reading
-//! it each second would cost a hundred times the control budget, and reading
-//! it seldom would show changes late. So the first answer is the whole list
-//! and each later one only what changed after its revision; the call waits at
-//! the list until something did.
+//! With 320 routers and 3,300 runners the whole list has about 700 KB. Fetching
+//! it each second would cost a hundred times the budget for control traffic, and
+//! fetching it less often would delay changes. Therefore the first response is
+//! the whole list, and each later one has only the changes after its revision.
+//! The list delays its response until there is a change.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 
 use super::{Client, Error, ListResponse, Listing, parse_entries};
 
-/// The list as followed so far.
+/// Follows the list and holds its current entries.
 #[derive(Debug)]
 pub struct Watch {
     client: Client,
@@ -22,7 +22,7 @@
 }
 
 impl Watch {
-    /// Returns a watch that begins with the whole list.
+    /// Returns a watch that starts by fetching the whole list.
     #[must_use]
     pub const fn new(client: Client) -> Self {
         Self {
@@ -34,13 +34,13 @@
 
     /// Returns the list when it has changed, or unchanged after `wait`.
     ///
-    /// A list that knows no revisions answers with everything at once; the
-    /// caller has to pause between calls then, as [`Watch::waits`] says.
+    /// A list without revisions responds with all entries at once. The caller has
+    /// to pause between calls then; see [`Watch::is_long_polling`].
     ///
     /// # Errors
     ///
-    /// [`Error`] if the list can't be reached or read. The next call goes on
-    /// from the last response.
+    /// Returns [`Error`] if the list can't be reached or parsed. The next call
+    /// continues from the last valid response.
     pub async fn next(&mut self, wait: Duration) -> Result<Listing, Error> {
         let path = match self.revision {
             None => "/v1/instances".to_owned(),
@@ -55,7 +55,8 @@
         Ok(parse_entries(self.entries.values()))
     }
 
-    /// Returns whether the list itself waits for changes.
+    /// Returns whether the list supports revisions, so that it delays responses
+    /// until there are changes.
     #[must_use]
     pub const fn is_long_polling(&self) -> bool {
         self.revision.is_some()
@@ -74,7 +75,7 @@
         }
     }
 
-    // An entry without a name is kept too, to be named as refused.
+    // An entry without a name is retained too, so that it is reported as invalid.
     fn insert_entries(&mut self, values: Vec<Value>) {
         for value in values {
             let name = value["name"].as_str().unwrap_or_default().to_owned();
--- a/crates/client/src/log.rs
+++ b/crates/client/src/log.rs
@@ -1,9 +1,9 @@
-//! The client of the platform's append-only log service.
+//! A client of the platform's append-only log service.
 //!
-//! [`Client`] makes single calls and reports what is known of their effect.
-//! [`writer::Writer`] sees an append through refusals, outages and lost
-//! answers, within a budget of appends. [`follower::Follower`] reads a stream
-//! as it grows and says when records were lost to it.
+//! [`Client`] makes single calls and reports whether they may have taken effect.
+//! [`writer::Writer`] retries an append through rejections, outages and lost
+//! responses, within a rate limit. [`follower::Follower`] reads a stream as it
+//! grows and reports when records expired before they were read.
 
 pub mod append;
 pub mod backoff;
@@ -25,11 +25,11 @@
 use crate::connect::{self, Connector};
 use crate::text;
 
-/// Bytes of an answer that are read at most. A page is asked for by number of
-/// records, and the largest record is a whole bundle of a few megabytes.
+/// Maximum size of a response. A page is limited by its number of records, and
+/// the largest record is a whole bundle of a few megabytes.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// Makes calls to the log service.
+/// A client of the log service.
 #[derive(Clone, Debug)]
 pub struct Client {
     connector: Connector,
@@ -37,12 +37,12 @@
     timeout: Duration,
 }
 
-/// Where an append ended up.
+/// The position of an appended record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Appended {
     /// The record's offset in its stream.
     pub offset: Offset,
-    /// When the log took it, on the log's clock.
+    /// When the log accepted it, on the log's clock.
     pub time: Moment,
 }
 
@@ -51,16 +51,16 @@
 pub struct Record {
     /// Its offset in the stream.
     pub offset: Offset,
-    /// When the log took it, on the log's clock.
+    /// When the log accepted it, on the log's clock.
     pub time: Moment,
-    /// Its bytes.
+    /// Its content.
     pub body: Bytes,
 }
 
-/// Some consecutive records of a stream.
+/// Consecutive records of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Page {
-    /// The oldest offset that the log still keeps.
+    /// The oldest offset that the log still retains.
     pub first: Offset,
     /// The offset to read from next.
     pub next: Offset,
@@ -69,9 +69,9 @@
 }
 
 impl Client {
-    /// Makes a client of the log at an address.
+    /// Creates a client of the log at an address.
     ///
-    /// `timeout` bounds a call, on top of what a long poll asks to wait.
+    /// `timeout` limits each call, in addition to the wait of a long poll.
     #[must_use]
     pub const fn new(connector: Connector, address: SocketAddr, timeout: Duration) -> Self {
         Self {
@@ -85,8 +85,8 @@
     ///
     /// # Errors
     ///
-    /// [`append::Error`], whose `may_have_taken_effect` tells a refusal from
-    /// an answer that was lost.
+    /// Returns [`append::Error`], whose `may_have_taken_effect` distinguishes a
+    /// rejection from a lost response.
     pub async fn append(&self, stream: &str, body: Bytes) -> Result<Appended, append::Error> {
         let request = Request::builder()
             .method(Method::POST)
@@ -114,14 +114,15 @@
         })
     }
 
-    /// Reads up to `limit` records of a stream from an offset on.
+    /// Reads up to `limit` records of a stream, starting at an offset.
     ///
-    /// With a `wait` the log answers as soon as a record at `from` exists, or
+    /// With a `wait`, the log responds as soon as a record at `from` exists, or
     /// with an empty page after that time.
     ///
     /// # Errors
     ///
-    /// [`read::Error`] if the log is down or answers nonsense.
+    /// Returns [`read::Error`] if the log is unavailable or its response is
+    /// invalid.
     pub async fn read(
         &self,
         stream: &str,
--- a/crates/client/src/log/append.rs
+++ b/crates/client/src/log/append.rs
@@ -1,34 +1,34 @@
-//! Why an append failed, and whether it may have taken effect.
+//! Errors of an append, and whether it may have taken effect.
 
 use http::StatusCode;
 
 use crate::connect;
 
-/// Why an append has no offset.
+/// The reason for which an append failed.
 #[derive(Debug, displaydoc::Display)]
 pub enum Error {
-    /// the stream's name is no part of a path ({0}); use letters and digits
+    /// the name of the stream is not valid in a path ({0}); use letters and digits
     Stream(http::Error),
     /// not appended: {0}; the append may be tried again
     NotSent(connect::Error),
-    /// not appended: over the log's rate; try again more slowly
+    /// not appended: the log's rate limit was exceeded; retry more slowly
     RateLimited,
-    /// not appended: the log is down; try again after a pause
+    /// not appended: the log is unavailable; try again after a pause
     Unavailable,
-    /// not appended: the log answered {0}; check the stream and the record
+    /// not appended: the log responded {0}; check the stream and the record
     Rejected(StatusCode),
-    /// fate unknown: {0}; read the stream back before another append
+    /// outcome unknown: {0}; read the stream back before another append
     ResponseLost(connect::Error),
-    /// fate unknown: the log answered {0}; read the stream back
+    /// outcome unknown: the log responded {0}; read the stream back
     UnexpectedStatus(StatusCode),
-    /// fate unknown: unreadable answer ({0}); read the stream back
+    /// outcome unknown: invalid response ({0}); read the stream back
     InvalidResponse(connect::BoxError),
 }
 
 impl std::error::Error for Error {}
 
 impl Error {
-    /// Returns whether the record may be on the log, or may yet appear there.
+    /// Returns whether the record may be in the log, or may still appear there.
     #[must_use]
     pub const fn may_have_taken_effect(&self) -> bool {
         match self {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Returns whether another try of the same record must fail as well.
+    /// Returns whether retrying the same record would fail as well.
     #[must_use]
     pub const fn is_permanent(&self) -> bool {
         matches!(self, Self::Stream(_) | Self::Rejected(_))
@@ -56,9 +56,9 @@
     }
 }
 
-// Only the answers that PLATFORM.md defines as refusals, and those by which a
-// server says that it didn't take the request, count as no effect. A 500 or a
-// 504 may come from something between us and the log after the append.
+// Only statuses that PLATFORM.md defines as rejections, and those that mean
+// that the server did not accept the request, count as no effect. A 500 or 504
+// may come from an intermediary after the append took effect.
 pub(super) fn from_status(status: StatusCode) -> Error {
     match status {
         StatusCode::TOO_MANY_REQUESTS => Error::RateLimited,
--- a/crates/client/src/log/backoff.rs
+++ b/crates/client/src/log/backoff.rs
@@ -1,8 +1,8 @@
-//! Pauses between tries, which grow and are spread at random.
+//! Exponential backoff with random jitter.
 //!
-//! After an outage of the log every instance of the fleet tries again. Pauses
-//! drawn from the whole interval spread them; doubling keeps the sum of tries
-//! during an outage small.
+//! After an outage of the log every instance of the fleet retries. Drawing each
+//! pause from the whole interval spreads the retries, and doubling the interval
+//! limits their number during an outage.
 
 #[cfg(test)]
 mod tests;
@@ -11,7 +11,7 @@
 
 use rand::{Rng, RngExt as _};
 
-/// The growing pauses of one caller.
+/// The backoff of one caller.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     min: Duration,
@@ -20,7 +20,7 @@
 }
 
 impl Backoff {
-    /// Makes pauses between `least` and `most`.
+    /// Creates a backoff with pauses between `min` and `max`.
     #[must_use]
     pub const fn new(min: Duration, max: Duration) -> Self {
         Self {
@@ -30,10 +30,10 @@
         }
     }
 
-    /// Draws the pause after one more failure.
+    /// Draws the pause after another failure.
     ///
-    /// It lies between the least pause and twice that for each failure in a
-    /// row, and never above the most.
+    /// It is at least the minimum. Its upper limit is the minimum doubled for
+    /// each consecutive failure, but never more than the maximum.
     pub fn next_pause(&mut self, random: &mut impl Rng) -> Duration {
         self.failures = self.failures.saturating_add(1);
         let doubled = 2_u32.saturating_pow(self.failures);
@@ -42,7 +42,7 @@
         self.min + spread.mul_f64(random.random::<f64>())
     }
 
-    /// Starts over after a success.
+    /// Restarts from the minimum after a success.
     pub const fn reset(&mut self) {
         self.failures = 0;
     }
--- a/crates/client/src/log/backoff/tests.rs
+++ b/crates/client/src/log/backoff/tests.rs
@@ -8,11 +8,11 @@
 const MIN_PAUSE: Duration = Duration::from_millis(50);
 const MAX_PAUSE: Duration = Duration::from_secs(5);
 
-// The log is down for minutes and comes back. If all 320 instances paused
-// alike, it would get 320 appends in the same instant, go over its rate, and
-// they would all come back together again.
+// Guards against a retry storm after an outage of the log. If all 320 instances
+// paused for equally long, the log would get 320 appends at once, exceed its
+// rate limit, and get them all at once again.
 #[test]
-fn a_fleet_after_an_outage_is_spread() {
+fn retries_of_a_fleet_are_spread() {
     let mut tenths = [0; 50];
     for instance in 0..320 {
         let mut random = ChaCha8Rng::seed_from_u64(instance);
@@ -23,12 +23,12 @@
             .expect("ten pauses");
         tenths[usize::try_from(pause.as_millis() / 100).expect("a small number")] += 1;
     }
-    // Even shares would be 6.5 for each tenth of a second.
+    // An even distribution has 6.5 for each tenth of a second.
     assert!(tenths.iter().all(|&share| share <= 20), "{tenths:?}");
 }
 
 #[test]
-fn pauses_stay_in_bounds_and_start_over() {
+fn pauses_stay_in_bounds_and_reset() {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let mut backoff = Backoff::new(MIN_PAUSE, MAX_PAUSE);
     for _ in 0..100 {
--- a/crates/client/src/log/budget.rs
+++ b/crates/client/src/log/budget.rs
@@ -1,9 +1,9 @@
-//! The appends a second that one instance may spend.
+//! A rate limit on the appends of one instance.
 //!
-//! The log takes several hundred appends a second from the whole fleet. Each
-//! instance holds to its share by itself, so no agreement is needed and a
-//! fault on one can't starve the others. Turns are handed out in order, as
-//! moments on a grid, with a small burst.
+//! The log accepts several hundred appends per second from the whole fleet. Each
+//! instance limits itself to its share, so no coordination is needed and a fault
+//! on one can't starve the others. Slots are assigned in order at fixed
+//! intervals, with a small burst.
 
 #[cfg(test)]
 mod tests;
@@ -12,18 +12,18 @@
 
 use godwitpost_types::clock::Moment;
 
-/// A budget of appends.
+/// A rate limiter for appends.
 #[derive(Clone, Debug)]
 pub struct Budget {
     interval: Duration,
     max_advance: Duration,
-    // When the next turn falls due if nothing was saved up.
+    // When the next slot is due without a burst.
     next: Moment,
 }
 
 impl Budget {
-    /// Makes a budget of `rate` appends a second; `burst` of them may go at
-    /// once after a quiet time.
+    /// Creates a budget of `rate` appends per second. Up to `burst` of them may be
+    /// made at once after an idle period.
     ///
     /// # Panics
     ///
@@ -40,14 +40,14 @@
         }
     }
 
-    /// Takes the next turn if it comes by `deadline`, and returns its moment.
+    /// Reserves the next slot if it is due by `deadline`, and returns its moment.
     pub fn reserve(&mut self, now: Moment, deadline: Moment) -> Option<Moment> {
         let next = self.next.max(now);
-        let turn = next.saturating_sub(self.max_advance).max(now);
-        if turn > deadline {
+        let slot = next.saturating_sub(self.max_advance).max(now);
+        if slot > deadline {
             return None;
         }
         self.next = next + self.interval;
-        Some(turn)
+        Some(slot)
     }
 }
--- a/crates/client/src/log/budget/tests.rs
+++ b/crates/client/src/log/budget/tests.rs
@@ -12,31 +12,31 @@
         ..ProptestConfig::default()
     })]
 
-    // Whatever the order of calls, a second never has more turns than the
-    // rate and the burst allow: the log's 429 would hit other instances too.
+    // For any sequence of calls, no second has more slots than the rate and the
+    // burst allow. An excess would cause 429 responses for other instances too.
     #[test]
-    fn no_second_has_more_turns_than_rate_and_burst(
+    fn no_second_has_more_slots_than_rate_and_burst(
         gaps in prop::collection::vec(0_u64..400, 1..200),
         rate in 1_u32..50,
         burst in 1_u32..10,
     ) {
         let mut budget = Budget::new(f64::from(rate), burst);
         let mut now = Duration::from_secs(1000);
-        let mut turns = Vec::new();
+        let mut slots = Vec::new();
         for gap in gaps {
             now += Duration::from_millis(gap);
-            turns.extend(budget.reserve(now, now + Duration::from_secs(30)));
+            slots.extend(budget.reserve(now, now + Duration::from_secs(30)));
         }
-        for (index, turn) in turns.iter().enumerate() {
-            let end = *turn + Duration::from_secs(1);
-            let count = turns[index..].iter().take_while(|&&other| other < end).count();
+        for (index, slot) in slots.iter().enumerate() {
+            let end = *slot + Duration::from_secs(1);
+            let count = slots[index..].iter().take_while(|&&other| other < end).count();
             prop_assert!(count <= (rate + burst) as usize);
         }
     }
 }
 
 #[test]
-fn a_turn_past_the_deadline_is_not_taken() {
+fn a_slot_after_the_deadline_is_not_reserved() {
     let mut budget = Budget::new(1.0, 1);
     let now = Duration::from_secs(10);
     assert_eq!(budget.reserve(now, now), Some(now));
--- a/crates/client/src/log/follower.rs
+++ b/crates/client/src/log/follower.rs
@@ -12,17 +12,17 @@
 
 /// The shortest pause after a read that failed.
 const MIN_PAUSE: Duration = Duration::from_millis(100);
-/// The longest pause. Configuration is to be in force everywhere within 6 s,
-/// so a log that is back must be noticed well before that.
+/// The longest pause. A configuration has to be in force everywhere within 6 s,
+/// so a recovered log must be noticed well before that.
 const MAX_PAUSE: Duration = Duration::from_secs(2);
 
 /// Limits of a [`Follower`].
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Records read at once.
+    /// Maximum number of records per read.
     pub limit: usize,
-    /// How long a long poll waits for the next record. It must be shorter
-    /// than what the path to the log takes for idle.
+    /// How long a long poll waits for the next record. It must be shorter than
+    /// the idle time-out of any proxy on the path to the log.
     pub wait: Duration,
     /// The seed of the pauses; each instance has its own.
     pub seed: u64,
@@ -38,22 +38,22 @@
     }
 }
 
-/// What a follower met.
+/// The result of reading on.
 #[derive(Debug)]
 pub enum Event {
-    /// Records, without a gap between them or after the last event.
+    /// Records that directly follow each other and the last event.
     Records(Vec<Record>),
-    /// Records from `asked` up to before `first` have expired unread. What is
-    /// read next starts at `first`.
+    /// The records from `asked` up to but excluding `first` expired before they
+    /// were read. Reading continues at `first`.
     Gap {
-        /// The offset that was to be read.
+        /// The requested offset.
         asked: Offset,
-        /// The first offset that is still kept.
+        /// The first offset that is still retained.
         first: Offset,
     },
-    /// No record came within the long poll's wait: the reader is up to date.
+    /// No record arrived during the long poll; the reader is up to date.
     Idle,
-    /// The log can't be read; the next call waits before it tries again.
+    /// The read failed. The next call pauses before it retries.
     ReadFailed(read::Error),
 }
 
@@ -65,7 +65,7 @@
     settings: Settings,
     stream: String,
     next: Offset,
-    // Records read along with a gap that has to be reported first.
+    // Records of a page with a gap, which is reported first.
     pending: Vec<Record>,
     backoff: Backoff,
     random: StdRng,
@@ -73,7 +73,7 @@
 }
 
 impl Follower {
-    /// Makes a follower of a stream from an offset on.
+    /// Creates a follower of a stream, starting at an offset.
     #[must_use]
     pub fn new(
         client: Client,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Returns the offset that is read next.
+    /// Returns the offset of the next record.
     #[must_use]
     pub fn position(&self) -> Offset {
         self.pending
@@ -105,8 +105,7 @@
 
     /// Waits for the next event.
     ///
-    /// A future that is dropped loses no record: what it would have brought
-    /// is read again.
+    /// Dropping the future loses no records; they are read again by the next call.
     pub async fn next(&mut self) -> Event {
         if !self.pending.is_empty() {
             return Event::Records(std::mem::take(&mut self.pending));
--- a/crates/client/src/log/gate.rs
+++ b/crates/client/src/log/gate.rs
@@ -1,8 +1,8 @@
-//! Holds appends back while the log fails, but for one that tries.
+//! Holds back appends while the log fails, except for one that probes it.
 //!
-//! Without it each waiting record would try for itself: an outage under a
-//! thousand records would cost the log a thousand tries a pause from each
-//! instance, at the very moment at which it tries to come back.
+//! Otherwise each waiting record would be retried on its own. With a thousand
+//! waiting records, each instance would send the log a thousand requests per
+//! pause while the log tries to recover.
 
 #[cfg(test)]
 mod tests;
@@ -12,25 +12,26 @@
 
 use super::backoff::Backoff;
 
-/// Whether a call to the log may go now.
+/// Whether a call to the log may be made now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It may.
+    /// It may be made.
     Allowed,
-    /// It may ask again then, or when the log has worked for another.
+    /// It may try again at this moment, or as soon as another call succeeded.
     RetryAt(Moment),
 }
 
-/// The gate before one log.
+/// A circuit breaker for the calls to one log.
 #[derive(Clone, Debug)]
 pub struct Gate {
     backoff: Backoff,
-    // When the next try may go; `None` while the log works.
+    // When the next attempt may be made; `None` while the log works.
     next_attempt: Option<Moment>,
 }
 
 impl Gate {
-    /// Makes an open gate with the pauses between tries while it is closed.
+    /// Creates an open gate. `backoff` gives the pauses between attempts while it
+    /// is closed.
     #[must_use]
     pub const fn new(backoff: Backoff) -> Self {
         Self {
@@ -39,14 +40,14 @@
         }
     }
 
-    /// Returns whether the log works, as far as is known.
+    /// Returns whether the log works, as far as known.
     #[must_use]
     pub const fn is_open(&self) -> bool {
         self.next_attempt.is_none()
     }
 
-    /// Asks to make a call now. While the log fails, the one that may go
-    /// holds the others back for a pause.
+    /// Requests permission to make a call now. While the log fails, each permitted
+    /// call holds the others back for a pause.
     pub fn try_pass(&mut self, now: Moment, random: &mut impl Rng) -> Admission {
         match self.next_attempt {
             None => Admission::Allowed,
@@ -58,16 +59,17 @@
         }
     }
 
-    /// A call worked. Returns whether that opened the gate.
+    /// Records a successful call. Returns whether this opened the gate.
     pub const fn record_success(&mut self) -> bool {
         self.backoff.reset();
         self.next_attempt.take().is_some()
     }
 
-    /// A call failed: refused for load, not sent, or not answered.
+    /// Records a failed call: rejected because of load, not sent, or without a
+    /// response.
     pub fn record_failure(&mut self, now: Moment, random: &mut impl Rng) {
-        // The failure of a call that the gate let go while closed has its
-        // pause already.
+        // If the gate was closed already, the pause was set when the call was
+        // permitted.
         if self.next_attempt.is_none() {
             self.next_attempt = Some(now + self.backoff.next_pause(random));
         }
--- a/crates/client/src/log/gate/tests.rs
+++ b/crates/client/src/log/gate/tests.rs
@@ -10,11 +10,11 @@
 const OUTAGE: u32 = 120;
 const STEP: Duration = Duration::from_millis(10);
 
-// The log is down for two minutes under 320 instances that each have many
-// records waiting. If all of them tried alike, the log would meet thousands of
-// tries a second when it comes back, go over its rate and look down again.
+// The log is down for two minutes while 320 instances each have many waiting
+// records. If every record were retried, the log would get thousands of requests
+// per second when it recovers, exceed its rate limit and appear down again.
 #[test]
-fn an_outage_costs_the_log_few_tries_and_ends_soon() {
+fn an_outage_causes_few_attempts_and_a_prompt_recovery() {
     let mut gates: Vec<_> = (0..INSTANCES)
         .map(|seed| {
             let pauses = Backoff::new(Duration::from_millis(50), Duration::from_secs(5));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn while_closed_one_goes_and_the_others_wait() {
+fn a_closed_gate_admits_one_call_per_pause() {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let pause = Duration::from_millis(100);
     let mut gate = Gate::new(Backoff::new(pause, pause));
--- a/crates/client/src/log/read.rs
+++ b/crates/client/src/log/read.rs
@@ -1,4 +1,4 @@
-//! Pages of a stream as the log answers them, checked before use.
+//! Parses and validates pages of a stream.
 
 #[cfg(test)]
 mod tests;
@@ -15,22 +15,22 @@
 use super::{Page, Record};
 use crate::connect;
 
-/// Why a read has no page.
+/// The reason for which a read failed.
 #[derive(Debug, displaydoc::Display)]
 pub enum Error {
-    /// the stream's name is no part of a path ({0}); use letters and digits
+    /// the name of the stream is not valid in a path ({0}); use letters and digits
     Stream(http::Error),
     /// cannot reach the log: {0}
     Connect(connect::Error),
-    /// the log answered {0}; try again after a pause
+    /// the log responded {0}; try again after a pause
     Status(StatusCode),
-    /// unreadable answer ({0}); try again after a pause
+    /// invalid response ({0}); try again after a pause
     InvalidResponse(connect::BoxError),
-    /// the log answered offset {found} where {expected} was due; report it
+    /// the log returned offset {found} where {expected} was expected; report it
     UnexpectedOffset {
-        /// The offset that a gapless page has next.
+        /// The next offset of a page without gaps.
         expected: Offset,
-        /// The offset that it had.
+        /// The offset in the response.
         found: Offset,
     },
 }
@@ -51,8 +51,8 @@
     body: String,
 }
 
-/// Parses a page; offsets must run without a gap from `from` or, if that has
-/// expired, from the first record kept.
+/// Parses a page. Its offsets must be consecutive and start at `from` or, if
+/// that has expired, at the first retained record.
 pub(super) fn parse(body: &[u8], from: Offset) -> Result<Page, Error> {
     let response: ReadResponse =
         serde_json::from_slice(body).map_err(|error| Error::InvalidResponse(error.into()))?;
--- a/crates/client/src/log/read/tests.rs
+++ b/crates/client/src/log/read/tests.rs
@@ -19,9 +19,9 @@
         ..ProptestConfig::default()
     })]
 
-    // A page with a hole, a repeat or records out of order would have a fold
-    // skip a winner or count a record twice. Whatever the log answers, a page
-    // that is taken runs without a gap from where it had to begin.
+    // A page with a gap, a duplicate or reordered records would make a reader
+    // skip a winning claim or count a record twice. Whatever the log responds, an
+    // accepted page has consecutive offsets from the expected start.
     #[test]
     fn an_accepted_page_has_no_gap(
         from in 0_u64..6,
--- a/crates/client/src/log/writer.rs
+++ b/crates/client/src/log/writer.rs
@@ -1,16 +1,16 @@
-//! Sees appends through refusals, outages and lost answers.
+//! Retries appends through rejections, outages and lost responses.
 //!
-//! Each record must hold a unique id of its own, so that two records of equal
-//! bytes are the same record. That makes two things possible: an append whose
-//! answer was lost is settled by reading the stream back and comparing bytes,
-//! and one that is not found there is appended again, for if the first took
-//! effect late after all, every reader's fold treats the second as the same.
+//! Each record must contain a unique id, so that records with equal bytes are
+//! the same record. After a lost response, the writer reads the stream back and
+//! compares bytes to find out whether the append took effect. A record that is
+//! not found is appended again. If the first append takes effect late after all,
+//! every reader treats the second record as a duplicate.
 //!
-//! While the log fails, one record at a time tries for all of them.
+//! While the log fails, only one record at a time is retried.
 //!
-//! Memory is bounded by refusal: what is accepted is never dropped, and what
-//! would exceed the bound is refused at once as not appended, the newest
-//! first, because its caller has waited least and can still do something else.
+//! Memory is bounded: accepted records are never dropped, and a record that
+//! would exceed the bound is rejected at once as not appended. The newest record
+//! is rejected because its caller has waited least and can still react.
 
 mod attempt;
 mod error;
@@ -27,7 +27,7 @@
 use rand::rngs::StdRng;
 use tokio::sync::Notify;
 
-use self::attempt::{Attempt, ReadBack, Step};
+use self::attempt::{Attempt, SearchResult, Step};
 pub use self::error::Error;
 use self::place::Reservation;
 use super::backoff::Backoff;
@@ -36,23 +36,23 @@
 use super::{Appended, Client, read};
 use crate::timer::Timer;
 
-/// Records asked for in one read.
+/// Maximum number of records per read when reading back.
 const READ_BACK_PAGE_RECORDS: usize = 1000;
 
 /// Limits of a [`Writer`].
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Appends a second; several hundred shared by the fleet's instances.
+    /// Appends per second. The instances of the fleet share several hundred.
     pub rate: f64,
-    /// Appends that may go at once after a quiet time.
+    /// Appends that may be made at once after an idle period.
     pub burst: u32,
-    /// Records that wait or are under way at most.
+    /// Maximum number of records that wait or are being appended.
     pub max_records: usize,
-    /// Bytes of these records at most.
+    /// Maximum size of these records together.
     pub max_bytes: usize,
-    /// The shortest pause between tries.
+    /// The shortest pause between attempts.
     pub min_pause: Duration,
-    /// The longest pause between tries.
+    /// The longest pause between attempts.
     pub max_pause: Duration,
     /// The seed of the pauses; each instance has its own.
     pub seed: u64,
@@ -61,8 +61,8 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            // Six instances together stay under a hundred of the several
-            // hundred that the log takes.
+            // Six instances together stay below a hundred of the several
+            // hundred appends per second that the log accepts.
             rate: 15.0,
             burst: 15,
             max_records: 1024,
@@ -74,14 +74,14 @@
     }
 }
 
-/// Appends to the log within a budget; its clones share it.
+/// Appends to the log within a budget. Clones share the budget.
 #[derive(Clone, Debug)]
 pub struct Writer {
     client: Client,
     timer: Timer,
     settings: Arc<Settings>,
     state: Arc<Mutex<State>>,
-    // Wakes those that the gate holds back when the log has worked again.
+    // Wakes the appends held back by the gate once the log works again.
     gate_opened: Arc<Notify>,
 }
 
@@ -92,12 +92,12 @@
     random: StdRng,
     records: usize,
     bytes: usize,
-    // By stream, an offset below which no record of a later append can be.
+    // By stream, an offset below which no record of a later append can be found.
     read_up_to: BTreeMap<String, Offset>,
 }
 
 impl Writer {
-    /// Makes a writer.
+    /// Creates a writer.
     ///
     /// # Panics
     ///
@@ -121,16 +121,16 @@
         }
     }
 
-    /// Appends a record that holds its own unique id.
+    /// Appends a record that contains a unique id.
     ///
-    /// Tries until `deadline`, and a little longer for a call that is under
-    /// way then. The offset is that of a record with these bytes; after a
-    /// lost answer it need not be the first of them.
+    /// Retries until `deadline`; a call in progress then may take a little
+    /// longer. The returned offset is that of a record with these bytes. After a
+    /// lost response it need not be the first of them.
     ///
     /// # Errors
     ///
-    /// [`Error`]; only [`Error::Unknown`] leaves open whether the record is on
-    /// the log.
+    /// Returns [`Error`]. Only after [`Error::Unknown`] it is unknown whether the
+    /// record is in the log.
     pub async fn append(
         &self,
         stream: &str,
@@ -155,8 +155,8 @@
         }
     }
 
-    /// Tells the writer that a stream has been read up to `next`, so that
-    /// reading back after a lost answer need not start at the stream's start.
+    /// Records that a stream has been read up to `next`, so that reading back
+    /// after a lost response need not start at the beginning of the stream.
     pub fn record_read_up_to(&self, stream: &str, next: Offset) {
         let mut state = self.lock();
         let offset = state.read_up_to.entry(stream.to_owned()).or_default();
@@ -204,7 +204,8 @@
         attempt.record_read_back(now, found.ok(), &mut self.lock().random)
     }
 
-    /// Waits for a turn within the budget at an open gate.
+    /// Waits for a slot in the budget while the gate is open. Returns false if none
+    /// is due by the deadline.
     async fn wait_for_slot(&self, deadline: Moment) -> bool {
         loop {
             if !self.wait_for_gate(deadline).await {
@@ -217,8 +218,8 @@
             if slot <= now {
                 return true;
             }
-            // The log may fail before the turn has come; the turn is lost
-            // then, which costs nothing while there is an outage.
+            // The log may fail before the slot is due. The slot is then lost,
+            // which does not matter during an outage.
             self.timer.sleep_until(slot).await;
             if self.lock().gate.is_open() {
                 return true;
@@ -226,10 +227,11 @@
         }
     }
 
-    /// Waits until the gate lets a call go; false if that is too late.
+    /// Waits until the gate permits a call. Returns false if that would be after
+    /// the deadline.
     async fn wait_for_gate(&self, deadline: Moment) -> bool {
         loop {
-            // Made before the gate is asked, so that no opening is missed.
+            // Created before checking the gate, so that no opening is missed.
             let gate_opened = self.gate_opened.notified();
             let now = self.timer.now();
             let admission = {
@@ -261,13 +263,14 @@
         state.gate.record_failure(now, &mut state.random);
     }
 
-    /// Looks for a record of these bytes from an offset to the stream's end.
+    /// Searches for a record with these bytes from an offset to the end of the
+    /// stream.
     async fn find_record(
         &self,
         stream: &str,
         body: &Bytes,
         from: Offset,
-    ) -> Result<ReadBack, read::Error> {
+    ) -> Result<SearchResult, read::Error> {
         let mut next = from;
         loop {
             let page = self
@@ -275,20 +278,20 @@
                 .read(stream, next, READ_BACK_PAGE_RECORDS, Duration::ZERO)
                 .await?;
             if let Some(record) = page.records.iter().find(|record| record.body == *body) {
-                return Ok(ReadBack::Found(Appended {
+                return Ok(SearchResult::Found(Appended {
                     offset: record.offset,
                     time: record.time,
                 }));
             }
             if page.records.is_empty() {
-                return Ok(ReadBack::Missing);
+                return Ok(SearchResult::Missing);
             }
             next = page.next;
         }
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        // No code that holds the lock can panic half-way through a change.
+        // No code can panic in the middle of an update while holding the lock.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/client/src/log/writer/attempt.rs
+++ b/crates/client/src/log/writer/attempt.rs
@@ -1,4 +1,4 @@
-//! What to do next about one append, without I/O.
+//! Decides on the next step of an append, without I/O.
 
 #[cfg(test)]
 mod tests;
@@ -10,35 +10,36 @@
 use crate::log::backoff::Backoff;
 use crate::log::{Appended, append};
 
-/// What the writer does next.
+/// The next step of the writer.
 #[derive(Debug)]
 pub(super) enum Step {
     /// Append the record at a moment.
     Append(Moment),
-    /// Look for the record in the stream.
+    /// Search for the record in the stream.
     ReadBack,
-    /// Report where the record is.
+    /// Return the position of the record.
     Done(Appended),
     /// Give up.
     Failed(Error),
 }
 
-/// What reading back brought.
+/// The result of reading the stream back.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum ReadBack {
-    /// The record is on the log.
+pub(super) enum SearchResult {
+    /// The record is in the log.
     Found(Appended),
-    /// It isn't, though it may still come.
+    /// It is not in the log, but may still appear there.
     Missing,
 }
 
-/// One append until it is settled.
+/// The state of one append until its outcome is final.
 #[derive(Debug)]
 pub(super) struct Attempt {
     deadline: Moment,
     pauses: Backoff,
-    // The last failure, and one that left the append's fate open. Once there
-    // was such a one no later refusal makes the append certain not to be.
+    // The last rejection, and the last failure that left the outcome unknown.
+    // After a failure of the second kind, a later rejection does not prove that
+    // the record was not appended.
     last_rejection: Option<append::Error>,
     unknown_outcome: Option<append::Error>,
 }
@@ -57,7 +58,7 @@
         self.deadline
     }
 
-    /// An append failed.
+    /// Records a failed append.
     pub(super) fn record_failure(&mut self, now: Moment, error: append::Error) -> Step {
         if error.may_have_taken_effect() {
             self.unknown_outcome = Some(error);
@@ -71,19 +72,19 @@
         Step::Append(now)
     }
 
-    /// The stream was read back, or could not be.
+    /// Records the result of reading back, or `None` if that failed.
     ///
-    /// A record that isn't there is appended again after a pause, in which a
-    /// late effect may still show.
+    /// A missing record is appended again after a pause, during which the first
+    /// append may still take effect.
     pub(super) fn record_read_back(
         &mut self,
         now: Moment,
-        found: Option<ReadBack>,
+        found: Option<SearchResult>,
         random: &mut impl Rng,
     ) -> Step {
         match found {
-            Some(ReadBack::Found(appended)) => Step::Done(appended),
-            Some(ReadBack::Missing) => {
+            Some(SearchResult::Found(appended)) => Step::Done(appended),
+            Some(SearchResult::Missing) => {
                 let at = now + self.pauses.next_pause(random);
                 if at > self.deadline {
                     return self.give_up();
@@ -95,7 +96,7 @@
         }
     }
 
-    /// No turn comes before the deadline.
+    /// Gives up because no slot is due before the deadline.
     pub(super) fn give_up_waiting(&mut self) -> Step {
         self.give_up()
     }
--- a/crates/client/src/log/writer/attempt/tests.rs
+++ b/crates/client/src/log/writer/attempt/tests.rs
@@ -4,7 +4,7 @@
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 
-use super::{Attempt, ReadBack, Step};
+use super::{Attempt, SearchResult, Step};
 use crate::log::append::Error as Append;
 use crate::log::backoff::Backoff;
 use crate::log::writer::Error;
@@ -22,18 +22,18 @@
     Append::UnexpectedStatus(StatusCode::GATEWAY_TIMEOUT)
 }
 
-// An append's answer is lost, the read-back doesn't show the record, and then
-// the log refuses everything until the deadline. The last word was "refused",
-// yet the first append may still take effect: saying "not appended" would let
-// the caller of an order go elsewhere while its claim wins.
+// The response of an append is lost, reading back does not find the record, and
+// the log rejects everything until the deadline. The first append may still take
+// effect, so reporting "not appended" because of the last rejection would let the
+// caller of an order send it elsewhere while its claim wins.
 #[test]
-fn a_later_refusal_does_not_settle_a_lost_answer() {
+fn a_later_rejection_does_not_decide_a_lost_response() {
     let (mut attempt, mut random) = attempt();
     assert!(matches!(
         attempt.record_failure(START, lost()),
         Step::ReadBack
     ));
-    let next = attempt.record_read_back(START, Some(ReadBack::Missing), &mut random);
+    let next = attempt.record_read_back(START, Some(SearchResult::Missing), &mut random);
     assert!(matches!(next, Step::Append(at) if at > START));
     assert!(matches!(
         attempt.record_failure(DEADLINE, Append::Unavailable),
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn refusals_alone_are_a_certain_no() {
+fn only_rejections_mean_not_appended() {
     let (mut attempt, _) = attempt();
     assert!(matches!(
         attempt.record_failure(START, Append::Unavailable),
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_read_back_that_fails_is_repeated_before_another_append() {
+fn a_failed_read_back_is_repeated_before_another_append() {
     let (mut attempt, mut random) = attempt();
     attempt.record_failure(START, lost());
     assert!(matches!(
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_record_that_the_log_rejects_is_not_tried_again() {
+fn a_permanently_rejected_record_is_not_retried() {
     let (mut attempt, _) = attempt();
     let refused = Append::Rejected(StatusCode::PAYLOAD_TOO_LARGE);
     let next = attempt.record_failure(START, refused);
--- a/crates/client/src/log/writer/place.rs
+++ b/crates/client/src/log/writer/place.rs
@@ -1,8 +1,8 @@
-//! The bounds on the records that a writer holds.
+//! Limits the records that a writer holds.
 
 use super::{Error, Writer};
 
-/// A record's place within the writer's bounds, free again when dropped.
+/// Reserves space for a record within the writer's limits until dropped.
 pub(super) struct Reservation {
     writer: Writer,
     bytes: usize,
--- a/crates/client/src/timer.rs
+++ b/crates/client/src/timer.rs
@@ -1,13 +1,13 @@
-//! The timer service that parts subscribe to.
+//! A timer service that components subscribe to.
 //!
-//! Parts never sleep by themselves: they subscribe to a period or a moment and
-//! get the [`Moment`] at which they are due. A program runs [`Timer::drive`]
-//! on the runtime's clock; a test calls [`Timer::advance`] instead, so a part
-//! behaves the same with either. The order of what is due lives in [`wheel`],
-//! which knows no clock.
+//! Components never sleep by themselves. They subscribe to a period or a moment
+//! and receive the [`Moment`] at which they are due. A program runs
+//! [`Timer::drive`] on the clock of the runtime; a test calls
+//! [`Timer::advance`] instead, and components behave the same with both. The
+//! schedule itself is kept in [`wheel`], which reads no clock.
 //!
-//! A subscriber that is slower than its period gets one tick for all it
-//! missed: a queue of old ticks would only make it later still.
+//! A subscriber that is slower than its period gets a single tick for all
+//! missed ones, because a queue of old ticks would delay it further.
 
 pub mod wheel;
 
@@ -20,7 +20,7 @@
 use self::wheel::{Key, Schedule, Wheel};
 use crate::clock::Clock;
 
-/// A shared timer; its clones are one timer.
+/// A shared timer. Clones refer to the same timer.
 #[derive(Clone, Debug, Default)]
 pub struct Timer {
     shared: Arc<Shared>,
@@ -29,34 +29,35 @@
 #[derive(Debug, Default)]
 struct Shared {
     wheel: Mutex<Wheel<watch::Sender<Moment>>>,
-    // Wakes the driver when something earlier was subscribed.
+    // Wakes the driver after a new subscription, which may be due first.
     changed: Notify,
-    // The driver's clock. A wheel moves only when something is due, so
-    // between two ticks it may be far behind.
+    // The driver's clock. The wheel only advances when something is due, so
+    // its time may be far behind between two ticks.
     clock: OnceLock<Clock>,
 }
 
 impl Shared {
     fn lock(&self) -> MutexGuard<'_, Wheel<watch::Sender<Moment>>> {
-        // No code that holds the lock can panic half-way through a change.
+        // No code can panic in the middle of an update while holding the lock.
         self.wheel.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// What a part holds to be told when it is due.
+/// A subscription to a period or a moment.
 ///
 /// Dropping it ends the subscription.
 #[derive(Debug)]
 pub struct Subscription {
     ticks: watch::Receiver<Moment>,
     key: Key,
-    // Weak, so that a subscription doesn't keep a timer that is gone.
+    // Weak, so that a subscription doesn't keep a dropped timer alive.
     shared: Weak<Shared>,
 }
 
 impl Drop for Subscription {
-    // Parts that wait for "this or a time-out" drop far more subscriptions
-    // than fire; left in the wheel they would pile up until due.
+    // Components that wait for an event or a time-out drop far more
+    // subscriptions than fire. Left in the wheel, these would accumulate until
+    // they are due.
     fn drop(&mut self) {
         if let Some(shared) = self.shared.upgrade() {
             shared.lock().remove(self.key);
@@ -65,10 +66,10 @@
 }
 
 impl Subscription {
-    /// Waits until due and returns the moment at which that was noticed.
+    /// Waits for the next tick and returns the timer's moment at that tick.
     ///
-    /// Returns `None` when no tick can come any more: the one moment has
-    /// passed, or the timer is gone.
+    /// Returns `None` if no more ticks can come because the only moment has
+    /// passed or the timer was dropped.
     pub async fn next(&mut self) -> Option<Moment> {
         self.ticks.changed().await.ok()?;
         Some(*self.ticks.borrow_and_update())
@@ -76,7 +77,8 @@
 }
 
 impl Timer {
-    /// Makes a timer at a moment, to be driven by one of the two drivers.
+    /// Creates a timer at a moment. It advances with [`Timer::drive`] or
+    /// [`Timer::advance`].
     #[must_use]
     pub fn new(now: Moment) -> Self {
         Self {
@@ -88,7 +90,8 @@
         }
     }
 
-    /// Returns the present moment: the driver's, or the last advance's.
+    /// Returns the current moment of the driver's clock or, without a driver,
+    /// of the last advance.
     #[must_use]
     pub fn now(&self) -> Moment {
         match self.shared.clock.get() {
@@ -97,40 +100,41 @@
         }
     }
 
-    /// Waits until a moment has come.
+    /// Waits until a moment is reached.
     pub async fn sleep_until(&self, moment: Moment) {
         if moment > self.now() {
-            // `None` would mean that the timer is gone, yet it is held here.
+            // Never `None`: `self` keeps the timer alive.
             let _tick = self.at(moment).next().await;
         }
     }
 
-    /// Subscribes to every `period` from now on.
+    /// Subscribes to a tick every `period` from now on.
     ///
     /// # Panics
     ///
-    /// Panics if the period is zero, which would be due without end.
+    /// Panics if the period is zero, which would be due all the time.
     #[must_use]
     pub fn every(&self, period: Duration) -> Subscription {
         assert!(!period.is_zero(), "a period must be longer than zero");
         self.subscribe(Schedule::Every(period))
     }
 
-    /// Subscribes to one moment; one that has passed is due at once.
+    /// Subscribes to a single moment. A moment in the past is due at once.
     #[must_use]
     pub fn at(&self, moment: Moment) -> Subscription {
         self.subscribe(Schedule::At(moment))
     }
 
-    /// Moves time on and wakes who is due. Tests drive the timer by this.
+    /// Advances the time and wakes the subscribers that are due. Used directly by
+    /// tests.
     pub fn advance(&self, now: Moment) {
         let mut wheel = self.shared.lock();
         wheel.advance(now, |sender| sender.send(now).is_ok());
     }
 
-    /// Drives the timer by the runtime's clock; it never returns.
+    /// Drives the timer by the clock of the runtime. Never returns.
     ///
-    /// A second driver changes nothing but the time at which ticks come.
+    /// A second driver only affects when ticks are delivered.
     pub async fn drive(self, clock: Clock) {
         let clock = *self.shared.clock.get_or_init(|| clock);
         loop {
@@ -161,7 +165,7 @@
         }
     }
 
-    /// Returns how many subscriptions wait to be due.
+    /// Returns the number of subscriptions that are not yet due.
     #[must_use]
     pub fn subscriptions(&self) -> usize {
         self.shared.lock().len()
--- a/crates/client/src/timer/wheel.rs
+++ b/crates/client/src/timer/wheel.rs
@@ -1,30 +1,30 @@
-//! What is due when, without a clock.
+//! A schedule of timer entries that is independent of any clock.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use godwitpost_types::clock::Moment;
 
-/// When something is due.
+/// When an entry is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Schedule {
-    /// Again and again, this far apart.
+    /// Repeatedly, with this period.
     Every(Duration),
     /// Once.
     At(Moment),
 }
 
-/// Entries in the order in which they are due.
+/// Entries ordered by the moment at which they are due.
 #[derive(Debug)]
 pub struct Wheel<T> {
     now: Moment,
     last_key: Key,
     due: BTreeMap<(Moment, Key), (Schedule, T)>,
-    // When each entry is due next, to find it by its key.
+    // When each entry is due next, to look up entries by key.
     due_by_key: BTreeMap<Key, Moment>,
 }
 
-/// Names an entry of a wheel.
+/// Identifies an entry of a wheel.
 pub type Key = u64;
 
 impl<T> Default for Wheel<T> {
@@ -34,7 +34,7 @@
 }
 
 impl<T> Wheel<T> {
-    /// Makes an empty wheel at a moment.
+    /// Creates an empty wheel at a moment.
     #[must_use]
     pub const fn new(now: Moment) -> Self {
         Self {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Adds an entry and returns its key; its first period starts at `now`.
+    /// Adds an entry and returns its key. Its first period starts at `now`.
     pub fn insert(&mut self, now: Moment, schedule: Schedule, entry: T) -> Key {
         let at = match schedule {
             Schedule::Every(period) => now + period,
@@ -56,26 +56,26 @@
         self.last_key
     }
 
-    /// Removes an entry; one that is gone already changes nothing.
+    /// Removes an entry. Does nothing if it was removed already.
     pub fn remove(&mut self, key: Key) {
         if let Some(at) = self.due_by_key.remove(&key) {
             self.due.remove(&(at, key));
         }
     }
 
-    /// Returns how many entries are due some time.
+    /// Returns the number of entries.
     #[must_use]
     pub fn len(&self) -> usize {
         self.due.len()
     }
 
-    /// Returns whether nothing is due ever.
+    /// Returns whether there are no entries.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.due.is_empty()
     }
 
-    /// Returns the moment to which it was moved last.
+    /// Returns the moment to which the wheel was last advanced.
     #[must_use]
     pub const fn now(&self) -> Moment {
         self.now
@@ -87,11 +87,11 @@
         self.due.keys().next().map(|&(at, _)| at)
     }
 
-    /// Moves to a moment and calls `fire` for each entry due by then, in
-    /// order. An entry for which it returns false is removed.
+    /// Advances to a moment and calls `fire` for each entry due by then, in
+    /// order. An entry for which `fire` returns false is removed.
     ///
-    /// A periodic entry fires once, however many periods have passed. A
-    /// moment before the wheel's own leaves the wheel where it is.
+    /// A periodic entry fires once, however many periods have passed. A moment
+    /// before the current one of the wheel does not move it back.
     pub fn advance(&mut self, now: Moment, mut fire: impl FnMut(&T) -> bool) {
         self.now = self.now.max(now);
         let after = self.due.split_off(&(self.now, u64::MAX));
@@ -113,8 +113,8 @@
     }
 }
 
-// The first moment after `now` on the grid of `period` from `at`: a late
-// driver doesn't shift the grid, and missed periods are skipped.
+// Returns the first moment after `now` that is a multiple of `period` after
+// `at`. A late driver does not shift the periods, and missed ones are skipped.
 fn next_period(at: Moment, period: Duration, now: Moment) -> Moment {
     let next = at + period;
     if next > now {
--- a/crates/client/src/weights.rs
+++ b/crates/client/src/weights.rs
@@ -1,6 +1,6 @@
-//! The client of the platform's rate-limited weight store.
+//! A client of the platform's rate-limited weight store.
 //!
-//! Engines pull weights themselves; the fleet only asks whether a version
+//! Engines download weights themselves. The fleet only checks that a version
 //! exists before it orders engines to load it.
 
 use std::net::SocketAddr;
@@ -13,10 +13,10 @@
 use crate::connect::{self, Connector};
 use crate::text;
 
-/// The pause after a 429 without a readable `Retry-After`.
+/// The pause after a 429 response without a valid `Retry-After` header.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Makes calls to the weight store.
+/// A client of the weight store.
 #[derive(Clone, Debug)]
 pub struct Client {
     connector: Connector,
@@ -24,21 +24,21 @@
     timeout: Duration,
 }
 
-/// What the store says of one version of a model's weights.
+/// Whether the store has a version of a model's weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Presence {
     /// The store has it.
     Present,
     /// The store doesn't have it.
     Absent,
-    /// The store is over its rate; ask again after the pause.
+    /// The store's rate limit was exceeded; retry after the pause.
     Busy(Duration),
 }
 
-/// Why the store gave no usable answer.
+/// The reason for which the store gave no usable response.
 #[derive(Debug, displaydoc::Display)]
 pub enum Error {
-    /// the model's or version's name is no part of a path ({0}); rename it
+    /// the name of the model or version is not valid in a path ({0}); rename it
     Name(http::Error),
     /// cannot reach the weight store: {0}
     Connect(connect::Error),
@@ -49,7 +49,7 @@
 impl std::error::Error for Error {}
 
 impl Client {
-    /// Makes a client of the store at an address, with a time-out for a call.
+    /// Creates a client of the store at an address. `timeout` limits each call.
     #[must_use]
     pub const fn new(connector: Connector, address: SocketAddr, timeout: Duration) -> Self {
         Self {
@@ -59,11 +59,12 @@
         }
     }
 
-    /// Asks whether the store has a version of a model's weights.
+    /// Checks whether the store has a version of a model's weights.
     ///
     /// # Errors
     ///
-    /// [`Error`] if the store can't be reached or answers what it shouldn't.
+    /// Returns [`Error`] if the store can't be reached or responds with an
+    /// unexpected status.
     pub async fn presence(&self, model: &str, weights: &str) -> Result<Presence, Error> {
         let request = Request::builder()
             .method(Method::HEAD)
--- a/crates/client/tests/connect.rs
+++ b/crates/client/tests/connect.rs
@@ -1,4 +1,4 @@
-//! What a failed request says of its fate, against servers that break off.
+//! Tests of the errors of failed requests, with servers that close connections.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
     (listener, address)
 }
 
-/// Reads one request, head and four bytes of body; `None` at the end.
+/// Reads one request with a body of four bytes; `None` at the end of the stream.
 async fn read_request(stream: &mut TcpStream) -> Option<String> {
     let mut seen = Vec::new();
     while !seen.ends_with(b"\r\n\r\nwork") {
@@ -68,11 +68,10 @@
     server.await.expect("a server without a panic");
 }
 
-// A server closes a pooled connection while it is idle, as servers do after
-// their keep-alive time. The next order meets the closed connection. If the
-// client took the failure for a lost request, the caller would be told
-// unknown for an order that nobody saw; if it repeated it blindly, an order
-// could run twice.
+// A server closes an idle pooled connection after its keep-alive time, and the
+// next order is sent on it. Reporting the failure as an unknown outcome would be
+// wrong for an order that was never received, and resending without a check could
+// run an order twice.
 #[tokio::test]
 async fn an_idle_connection_closed_by_the_server_is_replaced() {
     let (listener, address) = listen().await;
@@ -98,11 +97,11 @@
     assert_eq!(path.as_deref(), Some("/second"));
 }
 
-// The server's close and the next request cross on the wire. Whatever the
-// order, the client's word must fit what the server saw: "not sent" and seen
-// would be a lie, and seen twice would be two prints of one order.
+// The server closes a connection while the next request is being sent. In any
+// order of events, a request reported as not sent must not have been received, and
+// no request may be received twice, which would execute an order twice.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn crossing_closes_never_make_a_false_not_sent() {
+async fn concurrent_closes_never_cause_a_false_not_sent() {
     const ROUNDS: u32 = 300;
     let (listener, address) = listen().await;
     let seen = Arc::new(Mutex::new(BTreeMap::<String, u32>::new()));
@@ -112,8 +111,8 @@
             let (mut stream, _) = listener.accept().await.expect("a caller");
             let log = Arc::clone(&log);
             tokio::spawn(async move {
-                // Some connections end after one request, some after three,
-                // some after reading a request without an answer.
+                // Some connections end after one request, some after three, and
+                // some after reading a request without a response.
                 for _ in 0..=turn % 3 {
                     let Some(path) = read_request(&mut stream).await else {
                         return;
@@ -149,7 +148,8 @@
     server.abort();
 }
 
-// An address that refuses connections. It is nobody else's while the socket is there.
+// Returns an address that refuses connections. It stays reserved while the
+// socket is open.
 fn refusing() -> (TcpSocket, SocketAddr) {
     let socket = TcpSocket::new_v4().expect("a socket");
     let any = "127.0.0.1:0".parse().expect("an address");
@@ -159,7 +159,7 @@
 }
 
 #[tokio::test]
-async fn a_refused_connection_gives_the_request_back() {
+async fn a_refused_connection_returns_the_request() {
     let (_socket, address) = refusing();
     let connector = Connector::new(Settings::default());
     let Err(Error::NotSent {
@@ -173,8 +173,8 @@
     assert_eq!(body.to_bytes(), "work");
 }
 
-// A server reads an order and dies before its answer. Only the server knew
-// whether it ran, so anything but unknown would be a guess.
+// A server reads an order and dies before it responds. Only the server knew
+// whether the order ran, so the outcome must be unknown.
 #[tokio::test]
 async fn a_connection_broken_after_the_request_is_unknown() {
     let (listener, address) = listen().await;
@@ -188,10 +188,10 @@
     server.await.expect("a server without a panic");
 }
 
-// An answer comes after the time-out of its request. If the connection had
-// gone back to the pool, the next caller would get the first caller's answer.
+// A response arrives after the time-out of its request. If the connection were
+// returned to the pool, the next caller would get the response of the first.
 #[tokio::test]
-async fn a_late_answer_reaches_nobody() {
+async fn a_late_response_is_discarded() {
     let (listener, address) = listen().await;
     let server = tokio::spawn(async move {
         let (mut slow, _) = listener.accept().await.expect("a caller");
@@ -213,8 +213,8 @@
     assert!(server.await.expect("a server without a panic"));
 }
 
-// A caller hangs up in the middle of a long answer. Unless the connection is
-// closed the engine goes on generating for nobody.
+// A caller disconnects during a long response. Unless the connection is closed,
+// the engine keeps generating output that nobody reads.
 #[tokio::test]
 async fn a_dropped_body_closes_the_connection() {
     let (listener, address) = listen().await;
@@ -236,10 +236,10 @@
     assert_eq!(connector.idle_count(address), 0);
 }
 
-// The control budget is kept by this counter. Bodies alone would show a
-// quarter of what a small exchange costs.
+// The budget for control traffic is enforced by this counter. Counting only bodies
+// would show a quarter of the bytes of a small exchange.
 #[tokio::test]
-async fn the_wire_counter_holds_heads_and_packet_headers() {
+async fn transferred_bytes_include_heads_and_packet_headers() {
     let (listener, address) = listen().await;
     let server = tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.expect("a caller");
@@ -254,10 +254,11 @@
 
     let head = format!("POST / HTTP/1.1\r\ncontent-length: 4\r\nhost: {address}\r\n\r\n");
     let payload = head.len() + "work".len() + OK.len();
-    // Seven packets to open and close, one each way with acknowledgements.
+    // Seven packets to open and close, and one with its acknowledgement in each
+    // direction.
     let least = payload as u64 + 7 * 52 + 2 * 104;
     let counted = connector.wire_bytes();
-    // The body may go in a packet of its own.
+    // The body may be sent in a separate packet.
     assert!(
         (least..=least + 104).contains(&counted),
         "{counted}, {least}"
@@ -265,11 +266,11 @@
 }
 
 // An endpoint that is leaving closes its idle connections while orders still
-// come. An order written to one of them in that moment has an unknown fate,
-// though nobody saw it, and its caller is told to go and ask. An order on a
-// connection of its own is answered, or certainly wasn't sent.
+// arrive. An order written to one of them at that moment has an unknown outcome
+// although it was never received, and its caller has to find out. An order on a
+// new connection gets a response or was certainly not sent.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_request_on_a_new_connection_never_meets_an_idle_close() {
+async fn a_request_on_a_new_connection_is_not_lost_to_an_idle_close() {
     const ROUNDS: u32 = 300;
     let (listener, address) = listen().await;
     let server = tokio::spawn(async move {
@@ -290,11 +291,11 @@
     server.abort();
 }
 
-// A burst over many endpoints leaves a connection to each. Without a bound
-// over all of them, an instance before 3,300 runners could keep a hundred
-// thousand open and run out of memory or file descriptors.
+// A burst over many endpoints leaves idle connections to each. Without a limit over
+// all addresses, an instance with 3,300 runners could keep a hundred thousand
+// connections open and run out of memory or file descriptors.
 #[tokio::test]
-async fn idle_connections_are_bounded_over_all_addresses() {
+async fn idle_connections_are_limited_over_all_addresses() {
     let connector = Connector::new(Settings {
         max_idle: 2,
         ..Settings::default()
@@ -307,7 +308,7 @@
             let (mut stream, _) = listener.accept().await.expect("a caller");
             read_request(&mut stream).await.expect("a request");
             stream.write_all(OK).await.expect("an open connection");
-            // Either the client closes it, or the test ends.
+            // Completes when the client closes the connection or the test ends.
             let closed = stream.read_u8().await;
             drop((closed, done));
         });
@@ -315,7 +316,7 @@
         text(response.expect("a response")).await;
         servers.push((address, wait_done));
     }
-    // The third and fourth are closed instead of kept.
+    // The third and fourth connections are closed instead of pooled.
     for (_, wait_done) in servers.split_off(2) {
         wait_done.await.expect_err("a closed connection");
     }
@@ -326,11 +327,11 @@
     assert_eq!(idle, 2);
 }
 
-// A service in the manner of HTTP/1.0 ends its answer by closing. If it dies
-// half-way the caller sees half a roster that looks whole. Nobody can tell the
-// two apart, so the body has to say that it isn't framed.
+// A service that ends its response by closing, as in HTTP/1.0, may die half-way.
+// The truncated body can't be distinguished from a complete one, so the body has
+// to report that it is not framed.
 #[tokio::test]
-async fn a_body_that_ends_with_its_connection_says_so() {
+async fn a_body_that_ends_with_its_connection_is_not_framed() {
     let answers: [(&[u8], bool); 3] = [
         (b"HTTP/1.1 200 OK\r\n\r\nhalf a ros", false),
         (OK, true),
@@ -354,10 +355,10 @@
     }
 }
 
-// A body of known length is cut off. Its reader must get an error and not an
+// A body of known length is truncated. Its reader must get an error instead of an
 // end, or the caller would take the part for the whole.
 #[tokio::test]
-async fn a_framed_body_that_is_cut_off_ends_in_an_error() {
+async fn a_truncated_framed_body_ends_in_an_error() {
     let answers: [&[u8]; 2] = [
         b"HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhalf",
         b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n",
@@ -376,11 +377,11 @@
     }
 }
 
-/// A machine goes dark and its idle connections with it. An order written to
-/// one of them has an unknown fate; forgotten, they are replaced by a new one,
-/// which either opens or proves that nothing was sent.
+/// The machine behind idle connections becomes unreachable. An order written to one
+/// of them would have an unknown outcome. After they are closed, a new connection
+/// either opens or proves that nothing was sent.
 #[tokio::test]
-async fn forgotten_connections_are_not_used_again() {
+async fn closed_idle_connections_are_not_reused() {
     let (listener, address) = listen().await;
     let server = tokio::spawn(async move {
         let mut streams = Vec::new();
@@ -406,7 +407,7 @@
 }
 
 #[tokio::test]
-async fn a_refused_connection_is_a_sign_of_a_dark_machine_and_a_slow_answer_is_none() {
+async fn a_refused_connection_means_unreachable_and_a_slow_response_does_not() {
     let (_listener, silent) = listen().await;
     let (_socket, refusing) = refusing();
     let connector = Connector::new(Settings::default());
--- a/crates/client/tests/timer.rs
+++ b/crates/client/tests/timer.rs
@@ -1,4 +1,4 @@
-//! The timer under the driver that tests use.
+//! Tests of the timer, advanced by hand.
 
 use std::time::Duration;
 
@@ -7,12 +7,12 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 #[tokio::test]
-async fn a_period_ticks_on_its_grid_and_skips_what_was_missed() {
+async fn a_late_tick_does_not_shift_the_period_and_missed_ticks_are_skipped() {
     let timer = Timer::new(SECOND);
     let mut ticks = timer.every(2 * SECOND);
     timer.advance(3 * SECOND);
     assert_eq!(ticks.next().await, Some(3 * SECOND));
-    // Ticks at 5, 7 and 9 s are missed, the next stays on the grid.
+    // The ticks at 5, 7 and 9 s are missed; the next is due at 11 s.
     timer.advance(10 * SECOND);
     assert_eq!(ticks.next().await, Some(10 * SECOND));
     timer.advance(11 * SECOND);
@@ -20,7 +20,7 @@
 }
 
 #[tokio::test]
-async fn a_moment_ticks_once_then_ends() {
+async fn a_moment_ticks_once_and_ends() {
     let timer = Timer::new(SECOND);
     let mut tick = timer.at(5 * SECOND);
     timer.advance(6 * SECOND);
@@ -29,7 +29,7 @@
 }
 
 #[tokio::test]
-async fn time_that_goes_back_fires_nothing() {
+async fn time_that_goes_backwards_fires_nothing() {
     let timer = Timer::new(10 * SECOND);
     let mut ticks = timer.every(SECOND);
     timer.advance(2 * SECOND);
@@ -37,11 +37,11 @@
     assert_eq!(ticks.next().await, Some(11 * SECOND));
 }
 
-// A part waits for an answer or a time-out, ten thousand times an hour, and
-// nearly always the answer comes first. Time-outs that stayed in the wheel
-// would fill the memory of a router that does nothing wrong.
+// A component waits for a response or a time-out ten thousand times an hour, and
+// nearly always the response comes first. Time-outs that stayed in the wheel would
+// exhaust the memory of a router in normal operation.
 #[tokio::test]
-async fn a_dropped_subscription_leaves_nothing_behind() {
+async fn a_dropped_subscription_is_removed() {
     let timer = Timer::new(SECOND);
     drop(timer.at(1000 * SECOND));
     drop(timer.every(SECOND));
--- a/crates/types/src/hash.rs
+++ b/crates/types/src/hash.rs
@@ -1,8 +1,8 @@
 //! Rendezvous hashing (highest random weight).
 //!
-//! Each candidate gets a pseudo-random score from the key and the candidate's
-//! id; the highest wins. When a candidate joins or leaves, only the keys that
-//! it wins or won move, and no instance has to agree on a table.
+//! Each candidate gets a pseudo-random score from the key and its id, and the
+//! highest score wins. When a candidate joins or leaves, only the keys that it
+//! wins or won are reassigned, and instances need not agree on a table.
 
 /// Returns the score of `candidate` for `key`, uniform over `u64`.
 #[must_use]
@@ -11,11 +11,11 @@
     mix(key ^ candidate.rotate_left(32))
 }
 
-/// Returns the score of a weighted candidate; greater is better.
+/// Returns the score of a weighted candidate; the highest score wins.
 ///
-/// Uses the logarithm method, so the share of keys that a candidate wins is
-/// its weight over the sum of the weights. A weight of zero or less never
-/// wins against a positive one.
+/// Uses the logarithm method, so a candidate wins a share of the keys that equals
+/// its weight over the sum of all weights. A weight of zero or less never wins
+/// against a positive one.
 #[must_use]
 pub fn weighted(key: u64, candidate: u64, weight: f64) -> f64 {
     const UNIT: f64 = 1.0 / 9_007_199_254_740_992.0; // 2^-53
@@ -36,8 +36,8 @@
     candidates.into_iter().max_by_key(|&c| (score(key, c), c))
 }
 
-// The finalizer of SplitMix64: two multiplications spread every input bit
-// over the word, at about a nanosecond a call.
+// The finalizer of SplitMix64. Two multiplications spread every input bit over
+// the word, in about a nanosecond per call.
 #[inline]
 fn mix(mut x: u64) -> u64 {
     x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
--- a/crates/types/src/id.rs
+++ b/crates/types/src/id.rs
@@ -2,42 +2,44 @@
 
 use crate::hash;
 
-/// An instance of the router fleet, from its name.
+/// Identifies an instance of the router fleet, by its name.
 pub type InstanceId = u64;
-/// An endpoint: a model engine or a plain service's back end, from its name.
+/// Identifies an endpoint (a model engine or a back end of a plain service), by its
+/// name.
 pub type EndpointId = u64;
-/// One life of an instance or endpoint; a restart has a greater one.
+/// Numbers the runs of an instance or endpoint; greater after each restart.
 pub type Incarnation = u64;
-/// A customer of the marketplace, from its name.
+/// Identifies a customer of the marketplace, by its name.
 pub type WorkspaceId = u64;
-/// A service that the bundle names.
+/// Identifies a service of the bundle.
 pub type ServiceId = u64;
-/// A model that the bundle names; [`NO_MODEL`] for plain services.
+/// Identifies a model of the bundle; [`NO_MODEL`] for plain services.
 pub type ModelId = u64;
-/// A class of requests that the bundle names.
+/// Identifies a class of requests of the bundle.
 pub type ClassId = u64;
-/// An availability zone, from its name.
+/// Identifies an availability zone, by its name.
 pub type ZoneId = u64;
-/// A region: a group of zones that may lose its peers as a whole.
+/// Identifies a region: a group of zones that may lose the connection to all others
+/// at once.
 pub type RegionId = u64;
-/// The beginning of a prompt, from its model and its parts.
+/// Identifies a prefix of a prompt, by its model and its parts.
 pub type PrefixId = u64;
-/// A chat, from its workspace and its id or prompt prefix.
+/// Identifies a chat, by its workspace and its id or prompt prefix.
 pub type ChatId = u64;
-/// One request as the entry instance accepted it; random.
+/// Identifies a request; random, chosen by the entry instance.
 pub type RequestId = u128;
-/// A bundle's version number; the first bundle is 1.
+/// The version number of a bundle; the first is 1.
 pub type Version = u64;
 /// An offset in a stream of the log service.
 pub type Offset = u64;
-/// How often a log came back from a copy; offsets of two eras can't be compared.
+/// How often a log was restored from a copy. Offsets of two eras can't be compared.
 pub type Era = u64;
-/// A digest of an idempotency key with its workspace.
+/// The digest of an idempotency key with its workspace.
 pub type KeyDigest = [u8; 16];
-/// A digest of a request's method, path and body.
+/// The digest of a request's method, path and body.
 pub type BodyDigest = [u8; 16];
 
-/// The model of a request to a plain service.
+/// The model id of a request to a plain service.
 pub const NO_MODEL: ModelId = 0;
 
 /// Returns the id of a name: its 64-bit XXH3 hash.
@@ -52,10 +54,11 @@
     xxhash_rust::xxh3::xxh3_64_with_seed(name.as_bytes(), scope)
 }
 
-/// Returns the id of one life of an instance or endpoint.
+/// Returns the id of one incarnation of an instance or endpoint.
 #[must_use]
 pub fn incarnation_id(incarnation: Incarnation, name: &str) -> u64 {
-    // Seeds that are as small as incarnations are lost in the hash of a short name.
+    // Not a seed of the hash: seeds as small as incarnations have no effect on the
+    // hash of a short name.
     hash::score(from_name(name), incarnation)
 }
 
--- a/crates/types/src/id/tests.rs
+++ b/crates/types/src/id/tests.rs
@@ -2,8 +2,8 @@
 
 use super::{from_name, incarnation_id};
 
-/// Guards against two endpoints that are taken for one, since a later life of the one has
-/// the id of an earlier life of the other.
+/// Guards against two endpoints that are taken for one because a later incarnation of one
+/// has the id of an earlier incarnation of the other.
 #[test]
 fn each_incarnation_of_each_name_has_a_distinct_id() {
     let names = (0..100).map(|number| format!("e{number}"));
--- a/crates/types/src/instance.rs
+++ b/crates/types/src/instance.rs
@@ -14,16 +14,16 @@
     pub id: InstanceId,
     /// Its name on the platform's list.
     pub name: String,
-    /// Its life on that name; a restart has a greater one.
+    /// Its incarnation under that name; greater after each restart.
     pub incarnation: Incarnation,
     /// Its availability zone.
     pub zone: ZoneId,
     /// The region its zone is in.
     pub region: RegionId,
-    /// Where it listens for its peers.
+    /// The address on which it listens for its peers.
     pub peer_address: SocketAddr,
-    /// Where it listens for operators.
+    /// The address on which it listens for operators.
     pub operators_address: SocketAddr,
-    /// Whether it may get new work.
+    /// Whether it may receive new requests.
     pub standing: Standing,
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,12 +1,12 @@
-//! Ids, times and domain types that every crate shares.
+//! Ids, times and domain types shared by all crates.
 //!
-//! The vocabulary for machines and customers is the users': an *instance* is
-//! one of our routers, an *endpoint* is a back end, a *workspace* is a tenant.
+//! Machines and customers have the names that users know: an *instance* is a
+//! router, an *endpoint* is a back end, and a *workspace* is a tenant.
 //! `docs/GLOSSARY.md` maps these words to the standard ones.
 //!
-//! Ids are aliases of integers derived from names with [`id::from_name`], so every
-//! instance computes the same id without agreement, and decision logic never
-//! compares strings on a hot path.
+//! Ids are integers derived from names with [`id::from_name`]. Every instance
+//! computes the same ids without coordination, and decision logic never compares
+//! strings on a hot path.
 
 pub mod clock;
 pub mod endpoint;
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -1,17 +1,17 @@
-//! What a caller is told about the fate of its request.
+//! The outcome of a request, as reported to its caller.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// The fate of a request. There are three, never two: a broken connection
-/// after the request's head was written leaves the fate unknown.
+/// The outcome of a request. There are three, because a connection that breaks after
+/// the request's head was written leaves the outcome unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
     /// An endpoint ran it.
     Ran,
-    /// No byte that could start it has left for an endpoint, nor ever will.
+    /// No byte that could start it was sent to an endpoint, and none will be.
     NotRun,
     /// It may have run.
     Unknown,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Returns the outcome that a header value names.
+    /// Parses the value of the outcome header.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         [Self::Ran, Self::NotRun, Self::Unknown]
@@ -43,17 +43,15 @@
     }
 }
 
-/// Which attempts a *not run* speaks for.
+/// The attempts that a *not run* outcome applies to.
 ///
-/// A caller sends an unrepeatable request again under its key. If the second
-/// attempt is refused because the log is down, the first may still have run;
-/// a caller that took the refusal for the fate of its order would place it
-/// again under a new key.
+/// A caller resends an unrepeatable request with the same key. If the second attempt
+/// is refused because the log is down, the first may still have run. A caller that
+/// took the refusal for the outcome of its order would place it again under a new key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Scope {
-    /// This attempt alone; an earlier one with the same key keeps its own
-    /// outcome.
+    /// Only this attempt; an earlier one with the same key keeps its own outcome.
     #[default]
     Attempt,
     /// Every attempt with the key, whichever instance it went through.
--- a/crates/types/src/policy.rs
+++ b/crates/types/src/policy.rs
@@ -1,19 +1,19 @@
-//! A bundle resolved for decisions: every default filled in, names as ids.
+//! A bundle prepared for decisions, with defaults filled in and names as ids.
 //!
-//! The bundle crate builds a [`Policy`] from the bundle in force and checks
-//! it whole before; decision logic may rely on each cross-reference.
+//! The bundle crate validates the bundle in force and builds a [`Policy`] from it, so
+//! decision logic may rely on every cross-reference.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use crate::id::{ClassId, ModelId, ServiceId, Version, WorkspaceId};
 
-/// One bundle version, ready to decide on.
+/// One bundle version, prepared for decisions.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Policy {
     /// The bundle's version.
     pub version: Version,
-    /// How long an idempotency key is honoured after it was issued.
+    /// How long an idempotency key is valid after it was issued.
     pub claim_window: Duration,
     /// Classes of requests.
     pub classes: BTreeMap<ClassId, Class>,
@@ -32,17 +32,17 @@
 pub struct Class {
     /// Its name in the bundle.
     pub name: String,
-    /// Strict priority between classes; 0 goes first. Passed on to engines.
+    /// Strict priority between classes; 0 is the highest. Forwarded to engines.
     pub priority: u8,
     /// Share against other classes of the same priority.
     pub weight: f64,
-    /// The time a caller waits when it states none.
+    /// The time limit of requests that state none.
     pub deadline: Duration,
-    /// Whether requests of this class may wait in a queue at all.
+    /// Whether requests of this class may be queued.
     pub queue: bool,
 }
 
-/// What kind of endpoints serve a service.
+/// The kind of endpoints of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
     /// Model engines, placed by chat and load.
@@ -51,24 +51,24 @@
     Plain,
 }
 
-/// A service and how work is spread over its endpoints.
+/// A service and how requests are distributed over its endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// Its name in the bundle.
     pub name: String,
     /// The kind of its endpoints.
     pub kind: Kind,
-    /// The set multiple of the mean load that no endpoint may exceed.
+    /// The multiple of the mean load that no endpoint may exceed.
     pub load_bound: f64,
     /// The weight of cache reuse against skew, from 0 (skew) to 1 (reuse).
     pub reuse: f64,
-    /// Requests that one endpoint runs at once.
+    /// Maximum number of requests that one endpoint runs at once.
     pub slots: u32,
     /// Whether its endpoints refuse orders with an old fencing number.
     pub checks_fencing: bool,
 }
 
-/// A model and its steady shape of work.
+/// A model and its expected workload.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Model {
     /// Its name in the bundle.
@@ -77,9 +77,9 @@
     pub service: ServiceId,
     /// The version of the weights.
     pub weights: String,
-    /// Engines that should have it loaded.
+    /// Number of engines that should have it loaded.
     pub replicas: u32,
-    /// Answer tokens expected when the caller sets no limit.
+    /// Expected number of output tokens if the caller sets no limit.
     pub answer_tokens: u32,
 }
 
@@ -90,9 +90,9 @@
     pub name: String,
     /// Share against other workspaces under contention.
     pub weight: f64,
-    /// Requests a second over the whole fleet.
+    /// Maximum requests per second over the whole fleet.
     pub rate: f64,
-    /// Requests at once over the whole fleet.
+    /// Maximum concurrent requests over the whole fleet.
     pub concurrency: u32,
     /// Services it may call.
     pub services: BTreeSet<ServiceId>,
@@ -101,11 +101,11 @@
 /// How a path reaches a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// The prefix of paths that it takes.
+    /// The path prefix that it matches.
     pub path: String,
-    /// Methods that it takes; empty for all.
+    /// The methods that it matches; empty for all.
     pub methods: BTreeSet<String>,
-    /// The service it leads to.
+    /// The service that its requests are sent to.
     pub service: ServiceId,
     /// The class of its requests, unless the caller names another.
     pub class: ClassId,
@@ -116,19 +116,19 @@
 impl Policy {
     /// Returns the route for a method and path: the longest matching prefix.
     ///
-    /// A prefix matches whole path segments, so `/orders` takes `/orders/7`
-    /// and not `/ordersheet`.
+    /// A prefix matches whole path segments, so `/orders` matches `/orders/7` but not
+    /// `/ordersheet`.
     #[must_use]
     pub fn route(&self, method: &str, path: &str) -> Option<&Route> {
         self.routes
             .iter()
             .filter(|route| route.methods.is_empty() || route.methods.contains(method))
-            .filter(|route| covers(&route.path, path))
+            .filter(|route| matches_prefix(&route.path, path))
             .max_by_key(|route| route.path.len())
     }
 }
 
-fn covers(prefix: &str, path: &str) -> bool {
+fn matches_prefix(prefix: &str, path: &str) -> bool {
     let prefix = prefix.trim_end_matches('/');
     path.strip_prefix(prefix)
         .is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
--- a/crates/types/src/request.rs
+++ b/crates/types/src/request.rs
@@ -1,4 +1,4 @@
-//! The facts about a request that decisions are taken on.
+//! The properties of a request that decisions depend on.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,23 +10,23 @@
 /// A request without its body, resolved under one bundle version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Request {
-    /// Its id, drawn by the entry instance.
+    /// Its id, chosen by the entry instance.
     pub id: RequestId,
     /// The bundle version it is handled under from start to end.
     pub version: Version,
-    /// Who pays for it.
+    /// The workspace that pays for it.
     pub workspace: WorkspaceId,
     /// The service that its path routes to.
     pub service: ServiceId,
-    /// The model it asks for.
+    /// The model it requests.
     pub model: ModelId,
-    /// Its class, which the route or the caller names.
+    /// Its class, set by the route or the caller.
     pub class: ClassId,
     /// The chat it continues; for plain services a random one.
     pub chat: ChatId,
-    /// Tokens of prompt, estimated from the body's size.
+    /// Number of prompt tokens, estimated from the size of the body.
     pub prompt_tokens: u32,
-    /// Tokens of answer, from the caller's limit or the model's default.
+    /// Number of output tokens, from the caller's limit or the model's default.
     pub answer_tokens: u32,
     /// When the caller stops waiting.
     pub deadline: Moment,
@@ -37,13 +37,13 @@
 }
 
 impl Request {
-    /// Returns whether running it twice does no harm.
+    /// Returns whether it may safely run twice.
     #[must_use]
     pub const fn repeatable(&self) -> bool {
         self.key.is_none()
     }
 
-    /// Returns its estimated work in tokens with `cached` prompt tokens off.
+    /// Returns its estimated work in tokens, not counting `cached` prompt tokens.
     #[must_use]
     pub fn work(&self, cached: u32) -> u64 {
         u64::from(self.prompt_tokens.saturating_sub(cached)) + u64::from(self.answer_tokens)
