--- a/crates/history/src/check.rs
+++ b/crates/history/src/check.rs
@@ -30,15 +30,15 @@
 
 /// The time in which an accepted bundle is in force everywhere: the six
 /// seconds that the users ask for at their size in two years.
-pub const ROLL_TIME: Duration = Duration::from_secs(6);
+pub const MAX_ROLL_TIME: Duration = Duration::from_secs(6);
 
 /// What a check holds the run to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// How long an announcement of leaving may take to reach the routers.
-    pub leaving: Bound,
+    pub leaving: Deadline,
     /// How long a roll may take to reach all instances.
-    pub roll: Bound,
+    pub roll: Deadline,
     /// The load bound of each service that has one.
     pub load: Vec<load::Limit>,
 }
@@ -48,8 +48,8 @@
     #[must_use]
     pub const fn driven(load: Vec<load::Limit>) -> Self {
         Self {
-            leaving: Bound::Within(LEAVING_GRACE),
-            roll: Bound::Within(ROLL_TIME),
+            leaving: Deadline::Within(LEAVING_GRACE),
+            roll: Deadline::Within(MAX_ROLL_TIME),
             load,
         }
     }
@@ -58,8 +58,8 @@
     #[must_use]
     pub const fn live(load: Vec<load::Limit>) -> Self {
         Self {
-            leaving: Bound::ByMark,
-            roll: Bound::ByMark,
+            leaving: Deadline::SettledEvent,
+            roll: Deadline::SettledEvent,
             load,
         }
     }
@@ -67,11 +67,11 @@
 
 /// When something must have taken effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bound {
+pub enum Deadline {
     /// By so long after it was announced; for runs with a driven clock.
     Within(Duration),
     /// By the settled mark that the run recorded; for live runs.
-    ByMark,
+    SettledEvent,
 }
 
 /// One broken promise, with the events that show it.
@@ -125,30 +125,33 @@
 #[must_use]
 pub fn all(history: &History<'_>, limits: &Limits) -> Vec<Violation<Breach>> {
     let mut found = Vec::new();
-    found.extend(named(whole::check(history), Breach::Whole));
-    found.extend(named(not_run::check(history), Breach::NotRun));
-    found.extend(named(at_most_once::check(history), Breach::AtMostOnce));
-    found.extend(named(
+    found.extend(wrap_breaches(whole::check(history), Breach::Whole));
+    found.extend(wrap_breaches(not_run::check(history), Breach::NotRun));
+    found.extend(wrap_breaches(
+        at_most_once::check(history),
+        Breach::AtMostOnce,
+    ));
+    found.extend(wrap_breaches(
         leaving::check(history, limits.leaving),
         Breach::Leaving,
     ));
-    found.extend(named(graceful::check(history), Breach::Graceful));
-    found.extend(named(
+    found.extend(wrap_breaches(graceful::check(history), Breach::Graceful));
+    found.extend(wrap_breaches(
         in_force::check(history, limits.roll),
         Breach::InForce,
     ));
     for limit in &limits.load {
-        found.extend(named(load::check(history, limit), Breach::Load));
+        found.extend(wrap_breaches(load::check(history, limit), Breach::Load));
     }
     found
 }
 
-fn named<B>(
+fn wrap_breaches<B>(
     found: Vec<Violation<B>>,
-    name: fn(B) -> Breach,
+    wrap: fn(B) -> Breach,
 ) -> impl Iterator<Item = Violation<Breach>> {
     found.into_iter().map(move |violation| Violation {
-        breach: name(violation.breach),
+        breach: wrap(violation.breach),
         events: violation.events,
     })
 }
--- a/crates/history/src/check/at_most_once.rs
+++ b/crates/history/src/check/at_most_once.rs
@@ -28,7 +28,7 @@
         runs: usize,
     },
     /// run {run} is of call {call}, which nobody had sent
-    Unasked {
+    NotRequested {
         /// The run.
         run: RunId,
         /// The call that it names.
@@ -39,18 +39,18 @@
 /// Returns the jobs that ran too often, and the runs nobody asked for.
 #[must_use]
 pub fn check(history: &History<'_>) -> Vec<Violation<Breach>> {
-    let mut found = unasked(history);
+    let mut found = runs_not_requested(history);
     let mut seen = BTreeSet::new();
     for call in history.calls().filter(|call| call.sent.unrepeatable) {
         if seen.insert((&call.sent.workspace, &call.sent.job)) {
-            found.extend(repeated(history, call.sent));
+            found.extend(check_job(history, call.sent));
         }
     }
     found
 }
 
-fn repeated(history: &History<'_>, sent: &Sent) -> Option<Violation<Breach>> {
-    let runs = history.runs_for(sent);
+fn check_job(history: &History<'_>, sent: &Sent) -> Option<Violation<Breach>> {
+    let runs = history.runs_attributed_to(sent);
     if runs.len() <= 1 {
         return None;
     }
@@ -59,21 +59,21 @@
         job: sent.job.clone(),
         runs: runs.len(),
     };
-    let calls = history.calls_alike(sent);
+    let calls = history.calls_of_job(sent);
     let calls = calls.iter().map(|call| call.sent_event);
     let starts = runs.iter().map(|run| run.started_event);
     Some(Violation::new(breach, calls.chain(starts)))
 }
 
-fn unasked(history: &History<'_>) -> Vec<Violation<Breach>> {
+fn runs_not_requested(history: &History<'_>) -> Vec<Violation<Breach>> {
     let mut found = Vec::new();
     for run in history.runs() {
         let call = run.started.call;
-        let asked = history
+        let requested = history
             .call(call)
-            .is_some_and(|wanted| wanted.sent_event.order < run.started_event.order);
-        if !asked {
-            let breach = Breach::Unasked {
+            .is_some_and(|sent_call| sent_call.sent_event.order < run.started_event.order);
+        if !requested {
+            let breach = Breach::NotRequested {
                 run: run.started.run,
                 call,
             };
--- a/crates/history/src/check/graceful.rs
+++ b/crates/history/src/check/graceful.rs
@@ -26,7 +26,7 @@
         call: CallId,
     },
     /// the graceful stop of {instance} never ended
-    Endless {
+    NeverEnded {
         /// The instance.
         instance: Name,
     },
@@ -45,10 +45,10 @@
     let mut found: Vec<_> = stops
         .iter()
         .filter(|stop| stop.ended.is_none())
-        .map(endless)
+        .map(never_ended)
         .collect();
     for call in history.calls() {
-        found.extend(judge(history, call, &stops));
+        found.extend(check_call(history, call, &stops));
     }
     found
 }
@@ -77,20 +77,24 @@
     stops
 }
 
-fn endless(stop: &Stop<'_>) -> Violation<Breach> {
-    let breach = Breach::Endless {
+fn never_ended(stop: &Stop<'_>) -> Violation<Breach> {
+    let breach = Breach::NeverEnded {
         instance: stop.instance.clone(),
     };
     Violation::new(breach, [stop.begun])
 }
 
-fn judge(history: &History<'_>, call: &Call<'_>, stops: &[Stop<'_>]) -> Option<Violation<Breach>> {
+fn check_call(
+    history: &History<'_>,
+    call: &Call<'_>,
+    stops: &[Stop<'_>],
+) -> Option<Violation<Breach>> {
     let (got_event, _) = call.got.filter(|(_, got)| got.end == End::Cut)?;
     let path = history.path(call);
     let stop = stops
         .iter()
         .find(|stop| path.contains(&stop.instance) && overlaps(call, got_event, stop))?;
-    if whole::fault(history, call, got_event).is_some() {
+    if whole::find_fault(history, call, got_event).is_some() {
         return None;
     }
     let breach = Breach::Cut {
--- a/crates/history/src/check/graceful/tests.rs
+++ b/crates/history/src/check/graceful/tests.rs
@@ -21,8 +21,8 @@
 /// while the stream still runs, and the editor's captions vanish.
 #[test]
 fn a_stream_cut_by_a_stop_is_found() {
-    let script = Script::new().draft(1, "a").run(1, 1, "e1");
-    let script = script.stop("a").cut(1).stopped("a");
+    let script = Script::new().send_repeatable(1, "a").start_run(1, 1, "e1");
+    let script = script.begin_stop("a").got_cut_answer(1).end_stop("a");
     assert_eq!(breaches(&script), [cut(1)]);
 }
 
@@ -30,28 +30,39 @@
 /// connection to the engine.
 #[test]
 fn a_forwarded_stream_cut_by_a_stop_is_found() {
-    let script = Script::new().draft(1, "b").dispatch(1, "a", 1);
-    let script = script.stop("a").stopped("a").cut(1);
+    let script = Script::new().send_repeatable(1, "b").dispatch(1, "a", 1);
+    let script = script.begin_stop("a").end_stop("a").got_cut_answer(1);
     assert_eq!(breaches(&script), [cut(1)]);
 }
 
 #[test]
 fn a_stop_without_an_end_is_found() {
-    let endless = Breach::Endless {
+    let never_ended = Breach::NeverEnded {
         instance: "a".into(),
     };
-    assert_eq!(breaches(&Script::new().stop("a")), [endless]);
+    assert_eq!(breaches(&Script::new().begin_stop("a")), [never_ended]);
 }
 
 /// Near misses: a stream that an endpoint's loss cut during the stop, one
 /// that a kill during the stop cut, and a call sent after the stop had ended.
 #[test]
-fn cuts_that_are_not_the_stops_are_allowed() {
-    let lost = Script::new().draft(1, "a").run(1, 1, "e1").stop("a");
-    let lost = lost.lose("e1").cut(1).stopped("a");
+fn cuts_with_another_cause_are_allowed() {
+    let lost = Script::new()
+        .send_repeatable(1, "a")
+        .start_run(1, 1, "e1")
+        .begin_stop("a");
+    let lost = lost.lose_endpoint("e1").got_cut_answer(1).end_stop("a");
     assert_eq!(breaches(&lost), []);
-    let killed = Script::new().draft(1, "a").stop("a").kill("a").cut(1);
+    let killed = Script::new()
+        .send_repeatable(1, "a")
+        .begin_stop("a")
+        .kill_instance("a")
+        .got_cut_answer(1);
     assert_eq!(breaches(&killed), []);
-    let after = Script::new().stop("a").stopped("a").draft(1, "a").cut(1);
+    let after = Script::new()
+        .begin_stop("a")
+        .end_stop("a")
+        .send_repeatable(1, "a")
+        .got_cut_answer(1);
     assert_eq!(breaches(&after), []);
 }
--- a/crates/history/src/check/in_force.rs
+++ b/crates/history/src/check/in_force.rs
@@ -12,7 +12,7 @@
 use godwitpost_types::clock;
 use godwitpost_types::id::Version;
 
-use super::{Bound, Violation};
+use super::{Deadline, Violation};
 use crate::event::{Accepted, CallId, Dispatch, Event, InForce, Name, What};
 use crate::history::History;
 
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Breach {
     /// {instance} went back from version {from} to {to}
-    Back {
+    VersionRegressed {
         /// The instance.
         instance: Name,
         /// The version it held.
@@ -58,37 +58,37 @@
 
 /// Returns where versions went back, were not accepted, or came too late.
 #[must_use]
-pub fn check(history: &History<'_>, bound: Bound) -> Vec<Violation<Breach>> {
+pub fn check(history: &History<'_>, deadline: Deadline) -> Vec<Violation<Breach>> {
     let mut found = Vec::new();
-    let mut held: BTreeMap<&str, Held<'_>> = BTreeMap::new();
-    let mut at_entry: BTreeMap<CallId, Held<'_>> = BTreeMap::new();
-    let accepted = accepted(history);
+    let mut in_force: BTreeMap<&str, VersionInForce<'_>> = BTreeMap::new();
+    let mut entry_versions: BTreeMap<CallId, VersionInForce<'_>> = BTreeMap::new();
+    let accepted = accepted_bundles(history);
     for event in history.events() {
         match &event.what {
             What::BundleInForce(now) => {
-                found.extend(unaccepted(&accepted, now, event));
-                found.extend(back(&held, now, event));
-                held.insert(&now.instance, (event, now.version));
+                found.extend(check_accepted(&accepted, now, event));
+                found.extend(check_regression(&in_force, now, event));
+                in_force.insert(&now.instance, (event, now.version));
             }
             What::CallerSent(sent) => {
-                if let Some(entry) = held.get(sent.instance.as_str()) {
-                    at_entry.insert(sent.call, *entry);
+                if let Some(entry) = in_force.get(sent.instance.as_str()) {
+                    entry_versions.insert(sent.call, *entry);
                 }
             }
             What::Dispatched(dispatch) => {
-                found.extend(old_dispatch(&at_entry, dispatch, event));
+                found.extend(check_dispatch(&entry_versions, dispatch, event));
             }
             _ => {}
         }
     }
-    found.extend(late(history, bound));
+    found.extend(check_rolls(history, deadline));
     found
 }
 
 // A version in force at an instance, with the event in which it came.
-type Held<'a> = (&'a Event, Version);
+type VersionInForce<'a> = (&'a Event, Version);
 
-fn accepted<'a>(history: &History<'a>) -> BTreeMap<Version, (&'a Event, &'a Accepted)> {
+fn accepted_bundles<'a>(history: &History<'a>) -> BTreeMap<Version, (&'a Event, &'a Accepted)> {
     let mut accepted = BTreeMap::new();
     for event in history.events() {
         if let What::BundleAccepted(bundle) = &event.what {
@@ -96,9 +96,9 @@
             // record of the same bundle keeps it from expiring.
             accepted
                 .entry(bundle.version)
-                .and_modify(|kept: &mut (&'a Event, &'a Accepted)| {
-                    if bundle.offset < kept.1.offset {
-                        *kept = (event, bundle);
+                .and_modify(|first: &mut (&'a Event, &'a Accepted)| {
+                    if bundle.offset < first.1.offset {
+                        *first = (event, bundle);
                     }
                 })
                 .or_insert((event, bundle));
@@ -109,33 +109,36 @@
 
 // An operator may learn that the log took its bundle after a router has read
 // it, so the two events may stand in either order.
-fn unaccepted(
+fn check_accepted(
     accepted: &BTreeMap<Version, (&Event, &Accepted)>,
     now: &InForce,
     event: &Event,
 ) -> Option<Violation<Breach>> {
-    let won = accepted.get(&now.version);
-    if won.is_some_and(|(_, bundle)| bundle.root == now.root) {
+    let winner = accepted.get(&now.version);
+    if winner.is_some_and(|(_, bundle)| bundle.root == now.root) {
         return None;
     }
     let breach = Breach::Unaccepted {
         instance: now.instance.clone(),
         version: now.version,
     };
-    let winner = won.map(|(event, _)| *event);
-    Some(Violation::new(breach, winner.into_iter().chain([event])))
+    let accepted_event = winner.map(|(event, _)| *event);
+    Some(Violation::new(
+        breach,
+        accepted_event.into_iter().chain([event]),
+    ))
 }
 
-fn back(
-    held: &BTreeMap<&str, Held<'_>>,
+fn check_regression(
+    in_force: &BTreeMap<&str, VersionInForce<'_>>,
     now: &InForce,
     event: &Event,
 ) -> Option<Violation<Breach>> {
-    let (before, version) = held.get(now.instance.as_str())?;
+    let (before, version) = in_force.get(now.instance.as_str())?;
     if now.version >= *version {
         return None;
     }
-    let breach = Breach::Back {
+    let breach = Breach::VersionRegressed {
         instance: now.instance.clone(),
         from: *version,
         to: now.version,
@@ -143,13 +146,13 @@
     Some(Violation::new(breach, [*before, event]))
 }
 
-fn old_dispatch(
-    at_entry: &BTreeMap<CallId, Held<'_>>,
+fn check_dispatch(
+    entry_versions: &BTreeMap<CallId, VersionInForce<'_>>,
     dispatch: &Dispatch,
     event: &Event,
 ) -> Option<Violation<Breach>> {
-    let (held_event, held) = at_entry.get(&dispatch.call)?;
-    if dispatch.version >= *held {
+    let (in_force_event, in_force) = entry_versions.get(&dispatch.call)?;
+    if dispatch.version >= *in_force {
         return None;
     }
     let breach = Breach::OldDispatch {
@@ -157,10 +160,10 @@
         call: dispatch.call,
         version: dispatch.version,
     };
-    Some(Violation::new(breach, [*held_event, event]))
+    Some(Violation::new(breach, [*in_force_event, event]))
 }
 
-fn held_at<'a>(
+fn in_force_before<'a>(
     history: &History<'a>,
     instance: &str,
     order: u64,
@@ -171,7 +174,9 @@
         .take_while(|event| event.order < order);
     before
         .filter_map(|event| match &event.what {
-            What::BundleInForce(held) if held.instance == instance => Some((event, held)),
+            What::BundleInForce(in_force) if in_force.instance == instance => {
+                Some((event, in_force))
+            }
             _ => None,
         })
         .last()
@@ -179,16 +184,16 @@
 
 // An instance owes a version if it ran from the acceptance to the end of the
 // time for the roll; one that started or stopped in between owes nothing.
-fn late(history: &History<'_>, bound: Bound) -> Vec<Violation<Breach>> {
+fn check_rolls(history: &History<'_>, deadline: Deadline) -> Vec<Violation<Breach>> {
     let mut found = Vec::new();
-    for (version, (event, _)) in accepted(history) {
-        let Some(end) = roll_end(history, version, event, bound) else {
+    for (version, (event, _)) in accepted_bundles(history) {
+        let Some(end) = roll_end(history, version, event, deadline) else {
             continue;
         };
-        for instance in steady(history, event, end) {
-            let reached = held_at(history, instance, end.order)
-                .is_some_and(|(_, held)| held.version >= version);
-            if !reached {
+        for instance in running_throughout(history, event, end) {
+            let in_time = in_force_before(history, instance, end.order)
+                .is_some_and(|(_, in_force)| in_force.version >= version);
+            if !in_time {
                 let breach = Breach::Late {
                     instance: instance.clone(),
                     version,
@@ -206,22 +211,22 @@
     history: &History<'a>,
     version: Version,
     accepted: &Event,
-    bound: Bound,
+    deadline: Deadline,
 ) -> Option<&'a Event> {
     let mut later = history
         .events()
         .iter()
         .filter(|event| event.order > accepted.order);
-    match bound {
-        Bound::Within(time) => later.find(|event| clock::since(event.at, accepted.at) > time),
-        Bound::ByMark => later.find(
+    match deadline {
+        Deadline::Within(time) => later.find(|event| clock::since(event.at, accepted.at) > time),
+        Deadline::SettledEvent => later.find(
             |event| matches!(event.what, What::RollSettled { version: settled } if settled == version),
         ),
     }
 }
 
-fn steady<'a>(history: &History<'a>, from: &Event, to: &Event) -> Vec<&'a Name> {
-    let mut steady: Vec<&Name> = Vec::new();
+fn running_throughout<'a>(history: &History<'a>, from: &Event, to: &Event) -> Vec<&'a Name> {
+    let mut running: Vec<&Name> = Vec::new();
     for event in history
         .events()
         .iter()
@@ -229,13 +234,13 @@
     {
         match &event.what {
             What::InstanceStarted { instance } if event.order < from.order => {
-                steady.push(instance);
+                running.push(instance);
             }
             What::StopBegun { instance } | What::InstanceKilled { instance } => {
-                steady.retain(|name| *name != instance);
+                running.retain(|name| *name != instance);
             }
             _ => {}
         }
     }
-    steady
+    running
 }
--- a/crates/history/src/check/in_force/tests.rs
+++ b/crates/history/src/check/in_force/tests.rs
@@ -1,22 +1,28 @@
 use super::{Breach, check};
-use crate::check::{Bound, ROLL_TIME};
+use crate::check::{Deadline, MAX_ROLL_TIME};
 use crate::event::What;
 use crate::history::History;
 use crate::script::Script;
 
-const WITHIN: Bound = Bound::Within(ROLL_TIME);
+const IN_ROLL_TIME: Deadline = Deadline::Within(MAX_ROLL_TIME);
 
-fn breaches(script: &Script, bound: Bound) -> Vec<Breach> {
+fn breaches(script: &Script, deadline: Deadline) -> Vec<Breach> {
     let history = History::new(&script.events).unwrap();
-    check(&history, bound)
+    check(&history, deadline)
         .into_iter()
         .map(|violation| violation.breach)
         .collect()
 }
 
 fn rolled() -> Script {
-    let up = Script::new().up("a").up("b").accept(1, 0);
-    up.hold("a", 1).hold("b", 1).accept(2, 1).hold("a", 2)
+    let up = Script::new()
+        .start_instance("a")
+        .start_instance("b")
+        .accept_bundle(1, 0);
+    up.bundle_in_force("a", 1)
+        .bundle_in_force("b", 1)
+        .accept_bundle(2, 1)
+        .bundle_in_force("a", 2)
 }
 
 fn late() -> Breach {
@@ -30,25 +36,28 @@
 /// bundle of a peer that lags, and weighs work by last month's shares.
 #[test]
 fn a_version_that_goes_back_is_found() {
-    let script = rolled().kill("a").up("a").hold("a", 1);
-    let back = Breach::Back {
+    let script = rolled()
+        .kill_instance("a")
+        .start_instance("a")
+        .bundle_in_force("a", 1);
+    let back = Breach::VersionRegressed {
         instance: "a".into(),
         from: 2,
         to: 1,
     };
-    assert_eq!(breaches(&script, WITHIN), [back]);
+    assert_eq!(breaches(&script, IN_ROLL_TIME), [back]);
 }
 
 /// Two operators roll version 2 at the same moment; the second in the log
 /// loses everywhere, so no instance may hold it.
 #[test]
 fn the_loser_of_two_rolls_in_force_is_found() {
-    let mut script = rolled().accept(2, 2).hold("b", 2);
+    let mut script = rolled().accept_bundle(2, 2).bundle_in_force("b", 2);
     for event in &mut script.events {
         match &mut event.what {
             What::BundleAccepted(bundle) if bundle.offset == 2 => bundle.root = "other".into(),
-            What::BundleInForce(held) if held.instance == "b" && held.version == 2 => {
-                held.root = "other".into();
+            What::BundleInForce(in_force) if in_force.instance == "b" && in_force.version == 2 => {
+                in_force.root = "other".into();
             }
             _ => {}
         }
@@ -57,44 +66,58 @@
         instance: "b".into(),
         version: 2,
     };
-    assert_eq!(breaches(&script, WITHIN), [unaccepted]);
+    assert_eq!(breaches(&script, IN_ROLL_TIME), [unaccepted]);
 }
 
 #[test]
 fn a_roll_that_does_not_reach_all_in_time_is_found() {
-    let script = rolled().wait(6001).hold("a", 2);
-    assert_eq!(breaches(&script, WITHIN), [late()]);
-    let script = rolled().then(What::RollSettled { version: 2 });
-    assert_eq!(breaches(&script, Bound::ByMark), [late()]);
+    let script = rolled().wait(6001).bundle_in_force("a", 2);
+    assert_eq!(breaches(&script, IN_ROLL_TIME), [late()]);
+    let script = rolled().push(What::RollSettled { version: 2 });
+    assert_eq!(breaches(&script, Deadline::SettledEvent), [late()]);
 }
 
 /// Near misses: in force at the last moment, and an instance that died or
 /// came up while the roll went on, or was still in time when the run ended.
 #[test]
 fn a_roll_in_time_is_allowed() {
-    let last_moment = rolled().wait(6000).hold("b", 2).wait(1).hold("a", 2);
-    assert_eq!(breaches(&last_moment, WITHIN), []);
-    let died = rolled().kill("b").up("c").wait(6001).hold("a", 2);
-    assert_eq!(breaches(&died, WITHIN), []);
-    assert_eq!(breaches(&rolled(), WITHIN), []);
+    let last_moment = rolled()
+        .wait(6000)
+        .bundle_in_force("b", 2)
+        .wait(1)
+        .bundle_in_force("a", 2);
+    assert_eq!(breaches(&last_moment, IN_ROLL_TIME), []);
+    let died = rolled()
+        .kill_instance("b")
+        .start_instance("c")
+        .wait(6001)
+        .bundle_in_force("a", 2);
+    assert_eq!(breaches(&died, IN_ROLL_TIME), []);
+    assert_eq!(breaches(&rolled(), IN_ROLL_TIME), []);
 }
 
 #[test]
-fn a_dispatch_under_a_version_older_than_the_entrys_is_found() {
-    let script = rolled().draft(1, "a").dispatch(1, "b", 1);
+fn a_dispatch_under_a_version_older_than_at_entry_is_found() {
+    let script = rolled().send_repeatable(1, "a").dispatch(1, "b", 1);
     let old = Breach::OldDispatch {
         instance: "b".into(),
         call: 1,
         version: 1,
     };
-    assert_eq!(breaches(&script, WITHIN), [old]);
+    assert_eq!(breaches(&script, IN_ROLL_TIME), [old]);
 }
 
 /// Near miss: a request that waited in a queue during the roll keeps the
 /// version that it came in under.
 #[test]
-fn a_dispatch_under_the_version_it_came_in_under_is_allowed() {
-    let script = Script::new().up("a").accept(1, 0).hold("a", 1);
-    let script = script.draft(1, "a").accept(2, 1).hold("a", 2);
-    assert_eq!(breaches(&script.dispatch(1, "a", 1), WITHIN), []);
+fn a_dispatch_under_the_version_at_entry_is_allowed() {
+    let script = Script::new()
+        .start_instance("a")
+        .accept_bundle(1, 0)
+        .bundle_in_force("a", 1);
+    let script = script
+        .send_repeatable(1, "a")
+        .accept_bundle(2, 1)
+        .bundle_in_force("a", 2);
+    assert_eq!(breaches(&script.dispatch(1, "a", 1), IN_ROLL_TIME), []);
 }
--- a/crates/history/src/check/leaving.rs
+++ b/crates/history/src/check/leaving.rs
@@ -10,7 +10,7 @@
 use godwitpost_types::clock;
 use godwitpost_types::id::Incarnation;
 
-use super::{Bound, Violation};
+use super::{Deadline, Violation};
 use crate::event::{CallId, Event, Name, Run, What};
 use crate::history::History;
 
@@ -29,13 +29,13 @@
     },
 }
 
-type Life<'a> = (&'a str, Incarnation);
+type EndpointIncarnation<'a> = (&'a str, Incarnation);
 
 /// Returns the work that leaving endpoints were given too late.
 #[must_use]
-pub fn check(history: &History<'_>, bound: Bound) -> Vec<Violation<Breach>> {
-    let mut announced: BTreeMap<Life<'_>, &Event> = BTreeMap::new();
-    let mut settled: BTreeMap<Life<'_>, &Event> = BTreeMap::new();
+pub fn check(history: &History<'_>, deadline: Deadline) -> Vec<Violation<Breach>> {
+    let mut announced: BTreeMap<EndpointIncarnation<'_>, &Event> = BTreeMap::new();
+    let mut settled: BTreeMap<EndpointIncarnation<'_>, &Event> = BTreeMap::new();
     let mut found = Vec::new();
     for event in history.events() {
         match &event.what {
@@ -52,17 +52,17 @@
                 settled.entry((endpoint, *incarnation)).or_insert(event);
             }
             What::RunStarted(run) | What::RunRefused(run) => {
-                let life = (run.endpoint.as_str(), run.incarnation);
-                let since = match bound {
-                    Bound::Within(grace) => announced
-                        .get(&life)
+                let endpoint_incarnation = (run.endpoint.as_str(), run.incarnation);
+                let overdue = match deadline {
+                    Deadline::Within(grace) => announced
+                        .get(&endpoint_incarnation)
                         .filter(|leaving| clock::since(event.at, leaving.at) > grace),
                     // One sent before the mark may have been on its way.
-                    Bound::ByMark => settled
-                        .get(&life)
-                        .filter(|mark| sent_after(history, run.call, mark)),
+                    Deadline::SettledEvent => settled
+                        .get(&endpoint_incarnation)
+                        .filter(|settled_event| sent_after(history, run.call, settled_event)),
                 };
-                found.extend(since.map(|leaving| late(run, leaving, event)));
+                found.extend(overdue.map(|leaving| new_work(run, leaving, event)));
             }
             _ => {}
         }
@@ -70,13 +70,13 @@
     found
 }
 
-fn sent_after(history: &History<'_>, call: CallId, mark: &Event) -> bool {
+fn sent_after(history: &History<'_>, call: CallId, settled_event: &Event) -> bool {
     history
         .call(call)
-        .is_none_or(|call| call.sent_event.order > mark.order)
+        .is_none_or(|call| call.sent_event.order > settled_event.order)
 }
 
-fn late(run: &Run, leaving: &Event, event: &Event) -> Violation<Breach> {
+fn new_work(run: &Run, leaving: &Event, event: &Event) -> Violation<Breach> {
     let breach = Breach::NewWork {
         endpoint: run.endpoint.clone(),
         call: run.call,
--- a/crates/history/src/check/load.rs
+++ b/crates/history/src/check/load.rs
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Breach {
     /// endpoint {endpoint} carried {work} of {total} on {endpoints} endpoints
-    Above {
+    AboveBound {
         /// The endpoint.
         endpoint: Name,
         /// Its work.
@@ -65,32 +65,32 @@
 /// Returns the instants at which an endpoint was put above the bound.
 #[must_use]
 pub fn check(history: &History<'_>, limit: &Limit) -> Vec<Violation<Breach>> {
-    let mut view = View::default();
+    let mut loads = EndpointLoads::default();
     let mut found = Vec::new();
     for event in history.events() {
-        match view.take(&limit.service, event) {
-            Next::Judge(endpoint) => found.extend(view.judge(limit, endpoint, event)),
-            Next::JudgeSample(sample) => found.extend(judge_sample(limit, sample, event)),
-            Next::Nothing => {}
+        match loads.apply_event(&limit.service, event) {
+            Check::Endpoint(endpoint) => found.extend(loads.check_endpoint(limit, endpoint, event)),
+            Check::Sample(sample) => found.extend(check_sample(limit, sample, event)),
+            Check::Nothing => {}
         }
     }
     found
 }
 
-enum Next<'a> {
-    Judge(&'a str),
-    JudgeSample(&'a Sample),
+enum Check<'a> {
+    Endpoint(&'a str),
+    Sample(&'a Sample),
     Nothing,
 }
 
 #[derive(Default)]
-struct View<'a> {
+struct EndpointLoads<'a> {
     work: BTreeMap<&'a str, u64>,
     runs: BTreeMap<RunId, &'a Run>,
 }
 
-impl<'a> View<'a> {
-    fn take(&mut self, service: &str, event: &'a Event) -> Next<'a> {
+impl<'a> EndpointLoads<'a> {
+    fn apply_event(&mut self, service: &str, event: &'a Event) -> Check<'a> {
         match &event.what {
             What::EndpointJoined {
                 endpoint,
@@ -98,39 +98,39 @@
                 ..
             } if served == service => {
                 // What an earlier life ran ended with it.
-                self.forget(endpoint);
+                self.remove_endpoint(endpoint);
                 self.work.insert(endpoint, 0);
-                Next::Nothing
+                Check::Nothing
             }
             What::EndpointLost { endpoint, .. } => {
-                self.forget(endpoint);
-                Next::Nothing
+                self.remove_endpoint(endpoint);
+                Check::Nothing
             }
-            What::RunStarted(run) => self.start(run),
+            What::RunStarted(run) => self.start_run(run),
             What::RunEnded(end) => {
-                self.end(end.run);
-                Next::Nothing
+                self.end_run(end.run);
+                Check::Nothing
             }
-            What::LoadSampled(sample) if sample.service == service => Next::JudgeSample(sample),
-            _ => Next::Nothing,
+            What::LoadSampled(sample) if sample.service == service => Check::Sample(sample),
+            _ => Check::Nothing,
         }
     }
 
-    fn forget(&mut self, endpoint: &str) {
+    fn remove_endpoint(&mut self, endpoint: &str) {
         self.work.remove(endpoint);
         self.runs.retain(|_, run| run.endpoint != endpoint);
     }
 
-    fn start(&mut self, run: &'a Run) -> Next<'a> {
+    fn start_run(&mut self, run: &'a Run) -> Check<'a> {
         let Some(work) = self.work.get_mut(run.endpoint.as_str()) else {
-            return Next::Nothing;
+            return Check::Nothing;
         };
         *work += run.work;
         self.runs.insert(run.run, run);
-        Next::Judge(&run.endpoint)
+        Check::Endpoint(&run.endpoint)
     }
 
-    fn end(&mut self, run: RunId) {
+    fn end_run(&mut self, run: RunId) {
         let Some(run) = self.runs.remove(&run) else {
             return;
         };
@@ -141,35 +141,40 @@
 
     // A leaving endpoint still carries what it has, so it stays in the mean
     // until it is lost: leaving it out would blame the others for its work.
-    fn judge(&self, limit: &Limit, endpoint: &str, event: &Event) -> Option<Violation<Breach>> {
+    fn check_endpoint(
+        &self,
+        limit: &Limit,
+        endpoint: &str,
+        event: &Event,
+    ) -> Option<Violation<Breach>> {
         let work = self.work.get(endpoint).copied().unwrap_or(0);
         let total = self.work.values().sum();
         if limit.allows(work, total, self.work.len()) {
             return None;
         }
-        Some(above(endpoint, work, total, self.work.len(), event))
+        Some(above_bound(endpoint, work, total, self.work.len(), event))
     }
 }
 
-fn judge_sample(limit: &Limit, sample: &Sample, event: &Event) -> Vec<Violation<Breach>> {
+fn check_sample(limit: &Limit, sample: &Sample, event: &Event) -> Vec<Violation<Breach>> {
     let total = sample.work.values().sum();
     let endpoints = sample.work.len();
     sample
         .work
         .iter()
         .filter(|(_, work)| !limit.allows(**work, total, endpoints))
-        .map(|(endpoint, work)| above(endpoint, *work, total, endpoints, event))
+        .map(|(endpoint, work)| above_bound(endpoint, *work, total, endpoints, event))
         .collect()
 }
 
-fn above(
+fn above_bound(
     endpoint: &str,
     work: u64,
     total: u64,
     endpoints: usize,
     event: &Event,
 ) -> Violation<Breach> {
-    let breach = Breach::Above {
+    let breach = Breach::AboveBound {
         endpoint: endpoint.to_owned(),
         work,
         total,
--- a/crates/history/src/check/load/tests.rs
+++ b/crates/history/src/check/load/tests.rs
@@ -17,7 +17,7 @@
 }
 
 fn above(work: u64, total: u64) -> Breach {
-    Breach::Above {
+    Breach::AboveBound {
         endpoint: "e1".into(),
         work,
         total,
@@ -26,32 +26,43 @@
 }
 
 fn two() -> Script {
-    Script::new().join("e1", 1).join("e2", 1).draft(1, "a")
+    Script::new()
+        .join_endpoint("e1", 1)
+        .join_endpoint("e2", 1)
+        .send_repeatable(1, "a")
 }
 
 /// A fete's chats all have their context on one engine; it is given them all
 /// and drowns while its neighbour idles.
 #[test]
 fn work_above_the_bound_is_found() {
-    let script = two().weighed(1, 1, "e1", 100).weighed(2, 1, "e2", 20);
-    let script = script.weighed(3, 1, "e1", 80);
+    let script = two()
+        .start_run_with_work(1, 1, "e1", 100)
+        .start_run_with_work(2, 1, "e2", 20);
+    let script = script.start_run_with_work(3, 1, "e1", 80);
     assert_eq!(breaches(&script), [above(180, 200)]);
 }
 
 /// An engine whose earlier life ended starts from nothing, so its old runs
 /// neither count nor free anything when they end.
 #[test]
-fn an_earlier_life_does_not_count() {
-    let script = two().weighed(1, 1, "e1", 100).join("e1", 2);
-    let script = script.weighed(2, 1, "e2", 40).weighed(3, 1, "e1", 110);
-    let script = script.ran(1, 1).weighed(4, 1, "e1", 30);
+fn an_earlier_incarnation_does_not_count() {
+    let script = two()
+        .start_run_with_work(1, 1, "e1", 100)
+        .join_endpoint("e1", 2);
+    let script = script
+        .start_run_with_work(2, 1, "e2", 40)
+        .start_run_with_work(3, 1, "e1", 110);
+    let script = script
+        .run_completed(1, 1)
+        .start_run_with_work(4, 1, "e1", 30);
     assert_eq!(breaches(&script), [above(140, 180)]);
 }
 
 #[test]
 fn a_sample_above_the_bound_is_found() {
     let work = [("e1".to_owned(), 180), ("e2".to_owned(), 20)];
-    let script = two().then(What::LoadSampled(Sample {
+    let script = two().push(What::LoadSampled(Sample {
         service: "drafting".into(),
         work: work.into(),
     }));
@@ -62,7 +73,9 @@
 /// above a mean that fell because the neighbour finished.
 #[test]
 fn work_at_the_bound_or_floor_is_allowed() {
-    let at_bound = two().weighed(1, 1, "e2", 50).weighed(2, 1, "e1", 150);
-    assert_eq!(breaches(&at_bound.ran(1, 1)), []);
-    assert_eq!(breaches(&two().weighed(1, 1, "e1", 100)), []);
+    let at_bound = two()
+        .start_run_with_work(1, 1, "e2", 50)
+        .start_run_with_work(2, 1, "e1", 150);
+    assert_eq!(breaches(&at_bound.run_completed(1, 1)), []);
+    assert_eq!(breaches(&two().start_run_with_work(1, 1, "e1", 100)), []);
 }
--- a/crates/history/src/check/not_run.rs
+++ b/crates/history/src/check/not_run.rs
@@ -40,34 +40,34 @@
 pub fn check(history: &History<'_>) -> Vec<Violation<Breach>> {
     history
         .calls()
-        .flat_map(|call| judge(history, call))
+        .flat_map(|call| check_call(history, call))
         .collect()
 }
 
-fn judge(history: &History<'_>, call: &Call<'_>) -> Vec<Violation<Breach>> {
-    let Some((told_event, _)) = call
+fn check_call(history: &History<'_>, call: &Call<'_>) -> Vec<Violation<Breach>> {
+    let Some((got_event, _)) = call
         .got
         .filter(|(_, got)| got.outcome == Some(Outcome::NotRun))
     else {
         return Vec::new();
     };
     history
-        .runs_for(call.sent)
+        .runs_attributed_to(call.sent)
         .into_iter()
-        .filter(|run| wanted_before(history, run, told_event))
-        .map(|run| broken(call, run, told_event))
+        .filter(|run| sent_before(history, run, got_event))
+        .map(|run| violation(call, run, got_event))
         .collect()
 }
 
-fn wanted_before(history: &History<'_>, run: &Execution<'_>, told_event: &Event) -> bool {
+fn sent_before(history: &History<'_>, run: &Execution<'_>, got_event: &Event) -> bool {
     history
         .call(run.started.call)
-        .is_none_or(|wanted| wanted.sent_event.order < told_event.order)
+        .is_none_or(|call| call.sent_event.order < got_event.order)
 }
 
-fn broken(call: &Call<'_>, run: &Execution<'_>, told_event: &Event) -> Violation<Breach> {
+fn violation(call: &Call<'_>, run: &Execution<'_>, got_event: &Event) -> Violation<Breach> {
     let (call_id, run_id) = (call.sent.call, run.started.run);
-    let breach = if run.started_event.order < told_event.order {
+    let breach = if run.started_event.order < got_event.order {
         Breach::RanBefore {
             call: call_id,
             run: run_id,
@@ -78,5 +78,5 @@
             run: run_id,
         }
     };
-    Violation::new(breach, [call.sent_event, told_event, run.started_event])
+    Violation::new(breach, [call.sent_event, got_event, run.started_event])
 }
--- a/crates/history/src/check/not_run/tests.rs
+++ b/crates/history/src/check/not_run/tests.rs
@@ -14,18 +14,22 @@
 
 /// A shop is told that its print order was not run though it had been.
 #[test]
-fn a_run_before_the_word_is_found() {
-    let script = Script::new().order(1, "print", "a").run(5, 1, "e1");
-    let script = script.told(1, Outcome::NotRun);
+fn a_run_before_a_not_run_answer_is_found() {
+    let script = Script::new()
+        .send_unrepeatable(1, "print", "a")
+        .start_run(5, 1, "e1");
+    let script = script.answered_by_router(1, Outcome::NotRun);
     assert_eq!(breaches(&script), [Breach::RanBefore { call: 1, run: 5 }]);
 }
 
 /// A caller's time runs out in a queue and it is told *not run*; the entry is
 /// still queued and runs a moment later.
 #[test]
-fn a_run_after_the_word_is_found() {
-    let script = Script::new().draft(1, "a").told(1, Outcome::NotRun);
-    let script = script.run(5, 1, "e1");
+fn a_run_after_a_not_run_answer_is_found() {
+    let script = Script::new()
+        .send_repeatable(1, "a")
+        .answered_by_router(1, Outcome::NotRun);
+    let script = script.start_run(5, 1, "e1");
     assert_eq!(breaches(&script), [Breach::RanAfter { call: 1, run: 5 }]);
 }
 
@@ -33,8 +37,12 @@
 /// run*; the first call was paused with its claim held, wakes and runs.
 #[test]
 fn a_run_of_an_earlier_call_of_the_job_is_found() {
-    let script = Script::new().order(1, "print", "a").order(2, "print", "b");
-    let script = script.told(2, Outcome::NotRun).run(5, 1, "e1");
+    let script = Script::new()
+        .send_unrepeatable(1, "print", "a")
+        .send_unrepeatable(2, "print", "b");
+    let script = script
+        .answered_by_router(2, Outcome::NotRun)
+        .start_run(5, 1, "e1");
     assert_eq!(breaches(&script), [Breach::RanAfter { call: 2, run: 5 }]);
 }
 
@@ -42,19 +50,25 @@
 #[test]
 fn a_run_of_a_later_call_is_allowed() {
     let script = Script::new()
-        .order(1, "print", "a")
-        .told(1, Outcome::NotRun);
-    let script = script.order(2, "print", "a").run(5, 2, "e1");
+        .send_unrepeatable(1, "print", "a")
+        .answered_by_router(1, Outcome::NotRun);
+    let script = script
+        .send_unrepeatable(2, "print", "a")
+        .start_run(5, 2, "e1");
     assert_eq!(breaches(&script), []);
 }
 
 /// Near miss: another workspace has an order under the same key.
 #[test]
 fn the_same_job_name_elsewhere_is_allowed() {
-    let mut script = Script::new().order(1, "print", "a").order(2, "print", "a");
+    let mut script = Script::new()
+        .send_unrepeatable(1, "print", "a")
+        .send_unrepeatable(2, "print", "a");
     if let crate::event::What::CallerSent(sent) = &mut script.events[1].what {
         sent.workspace = "kushiro".into();
     }
-    let script = script.run(5, 1, "e1").told(2, Outcome::NotRun);
+    let script = script
+        .start_run(5, 1, "e1")
+        .answered_by_router(2, Outcome::NotRun);
     assert_eq!(breaches(&script), []);
 }
--- a/crates/history/src/check/tests.rs
+++ b/crates/history/src/check/tests.rs
@@ -12,43 +12,49 @@
 
 /// How one call of a generated run goes.
 #[derive(Clone, Copy, Debug)]
-enum Way {
-    Draft,
-    Order,
-    Refused,
-    Killed,
+enum CallKind {
+    Repeatable,
+    Unrepeatable,
+    NotRun,
+    EntryKilled,
 }
 
-fn way() -> impl Strategy<Value = Way> {
+fn call_kind() -> impl Strategy<Value = CallKind> {
     prop_oneof![
-        Just(Way::Draft),
-        Just(Way::Order),
-        Just(Way::Refused),
-        Just(Way::Killed)
+        Just(CallKind::Repeatable),
+        Just(CallKind::Unrepeatable),
+        Just(CallKind::NotRun),
+        Just(CallKind::EntryKilled)
     ]
 }
 
 /// The steps of one call in a run that keeps every promise.
-fn steps(call: u64, way: Way) -> Vec<Event> {
+fn call_events(call: u64, kind: CallKind) -> Vec<Event> {
     let order = format!("order-{call}");
     let entry = format!("router-{call}");
-    let script = match way {
-        Way::Draft => Script::new().draft(call, &entry),
-        _ => Script::new().order(call, &order, &entry),
+    let script = match kind {
+        CallKind::Repeatable => Script::new().send_repeatable(call, &entry),
+        _ => Script::new().send_unrepeatable(call, &order, &entry),
     };
-    let script = match way {
-        Way::Refused => script.told(call, Outcome::NotRun),
-        Way::Killed => script.run(call, call, "e1").kill(&entry).cut(call),
-        Way::Draft | Way::Order => script.run(call, call, "e1").ran(call, call).answered(call),
+    let script = match kind {
+        CallKind::NotRun => script.answered_by_router(call, Outcome::NotRun),
+        CallKind::EntryKilled => script
+            .start_run(call, call, "e1")
+            .kill_instance(&entry)
+            .got_cut_answer(call),
+        CallKind::Repeatable | CallKind::Unrepeatable => script
+            .start_run(call, call, "e1")
+            .run_completed(call, call)
+            .got_whole_answer(call),
     };
     script.events
 }
 
 /// Interleaves the calls as the picks say; each keeps its own order.
-fn shuffled(ways: &[Way], picks: &[Index]) -> Vec<Event> {
+fn interleaved(kinds: &[CallKind], picks: &[Index]) -> Vec<Event> {
     let mut calls: Vec<_> = (1..)
-        .zip(ways)
-        .map(|(call, way)| steps(call, *way).into_iter())
+        .zip(kinds)
+        .map(|(call, kind)| call_events(call, *kind).into_iter())
         .collect();
     let mut events = Vec::new();
     let mut picks = picks.iter().cycle();
@@ -84,8 +90,10 @@
         .collect()
 }
 
-fn ran(ways: &[Way]) -> Option<u64> {
-    let at = ways.iter().position(|way| matches!(way, Way::Order))?;
+fn first_unrepeatable(kinds: &[CallKind]) -> Option<u64> {
+    let at = kinds
+        .iter()
+        .position(|kind| matches!(kind, CallKind::Unrepeatable))?;
     Some(at as u64 + 1)
 }
 
@@ -102,14 +110,14 @@
     #![proptest_config(config())]
 
     #[test]
-    fn kept_promises_pass_in_any_interleaving(ways in vec(way(), 1..30), picks in vec(any::<Index>(), 8..64)) {
-        prop_assert_eq!(breaches(&shuffled(&ways, &picks)), Vec::new());
+    fn kept_guarantees_pass_in_any_interleaving(kinds in vec(call_kind(), 1..30), picks in vec(any::<Index>(), 8..64)) {
+        prop_assert_eq!(breaches(&interleaved(&kinds, &picks)), Vec::new());
     }
 
     #[test]
-    fn a_second_run_is_found_in_any_interleaving(ways in vec(way(), 1..30), picks in vec(any::<Index>(), 8..64)) {
-        let Some(call) = ran(&ways) else { return Ok(()) };
-        let mut events = shuffled(&ways, &picks);
+    fn a_second_run_is_found_in_any_interleaving(kinds in vec(call_kind(), 1..30), picks in vec(any::<Index>(), 8..64)) {
+        let Some(call) = first_unrepeatable(&kinds) else { return Ok(()) };
+        let mut events = interleaved(&kinds, &picks);
         let again = Run { run: 1000, call, endpoint: "e2".into(), incarnation: 1, work: 1 };
         events.push(Event { what: What::RunStarted(again), ..events[0].clone() });
         let repeated = at_most_once::Breach::Repeated { workspace: "otaru".into(), job: format!("order-{call}"), runs: 2 };
@@ -117,9 +125,9 @@
     }
 
     #[test]
-    fn a_broken_word_is_found_in_any_interleaving(ways in vec(way(), 1..30), picks in vec(any::<Index>(), 8..64)) {
-        let Some(call) = ran(&ways) else { return Ok(()) };
-        let mut events = shuffled(&ways, &picks);
+    fn a_false_not_run_is_found_in_any_interleaving(kinds in vec(call_kind(), 1..30), picks in vec(any::<Index>(), 8..64)) {
+        let Some(call) = first_unrepeatable(&kinds) else { return Ok(()) };
+        let mut events = interleaved(&kinds, &picks);
         for event in &mut events {
             if let What::CallerGot(got) = &mut event.what && got.call == call {
                 got.outcome = Some(Outcome::NotRun);
@@ -130,9 +138,9 @@
     }
 
     #[test]
-    fn a_short_answer_is_found_in_any_interleaving(ways in vec(way(), 1..30), picks in vec(any::<Index>(), 8..64)) {
-        let Some(call) = ran(&ways) else { return Ok(()) };
-        let mut events = shuffled(&ways, &picks);
+    fn a_short_answer_is_found_in_any_interleaving(kinds in vec(call_kind(), 1..30), picks in vec(any::<Index>(), 8..64)) {
+        let Some(call) = first_unrepeatable(&kinds) else { return Ok(()) };
+        let mut events = interleaved(&kinds, &picks);
         for event in &mut events {
             if let What::RunEnded(RunEnd { run, answer, .. }) = &mut event.what && *run == call {
                 *answer = Some("longer".into());
@@ -147,9 +155,9 @@
 #[test]
 fn a_violation_quotes_its_events() {
     let script = Script::new()
-        .order(1, "print", "a")
-        .told(1, Outcome::NotRun);
-    let script = script.run(9, 1, "e1");
+        .send_unrepeatable(1, "print", "a")
+        .answered_by_router(1, Outcome::NotRun);
+    let script = script.start_run(9, 1, "e1");
     let history = History::new(&script.events).unwrap();
     let found = all(&history, &Limits::driven(Vec::new()));
     let text = found[0].to_string();
--- a/crates/history/src/check/whole.rs
+++ b/crates/history/src/check/whole.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Breach {
     /// call {call} got the answer to call {other}
-    Crossed {
+    WrongAnswer {
         /// The call.
         call: CallId,
         /// The call whose answer it got.
@@ -36,7 +36,7 @@
         call: CallId,
     },
     /// call {call} got a whole answer that doesn't tell the request's fate
-    Untold {
+    MissingOutcome {
         /// The call.
         call: CallId,
     },
@@ -57,72 +57,81 @@
 pub fn check(history: &History<'_>) -> Vec<Violation<Breach>> {
     history
         .calls()
-        .filter_map(|call| judge(history, call))
+        .filter_map(|call| check_call(history, call))
         .collect()
 }
 
-fn judge(history: &History<'_>, call: &Call<'_>) -> Option<Violation<Breach>> {
+fn check_call(history: &History<'_>, call: &Call<'_>) -> Option<Violation<Breach>> {
     let id = call.sent.call;
     let Some((got_event, got)) = call.got else {
         let breach = Breach::Unanswered { call: id };
         return Some(Violation::new(breach, [call.sent_event]));
     };
     let breach = match got.end {
-        End::Whole => return judge_whole(history, call, got_event, got),
-        End::Cut if fault(history, call, got_event).is_none() => Breach::Cut { call: id },
+        End::Whole => return check_whole_answer(history, call, got_event, got),
+        End::Cut if find_fault(history, call, got_event).is_none() => Breach::Cut { call: id },
         End::Cut | End::Abandoned | End::Unreached => return None,
     };
     Some(Violation::new(breach, [call.sent_event, got_event]))
 }
 
-fn judge_whole(
+fn check_whole_answer(
     history: &History<'_>,
     call: &Call<'_>,
     got_event: &Event,
     got: &Got,
 ) -> Option<Violation<Breach>> {
-    let shown = [call.sent_event, got_event];
+    let evidence = [call.sent_event, got_event];
     let id = call.sent.call;
     match (got.outcome, &got.answer) {
-        (None, _) => Some(Violation::new(Breach::Untold { call: id }, shown)),
-        (Some(Outcome::Ran), None) if history.runs_for(call.sent).is_empty() => {
-            Some(Violation::new(Breach::NeverRan { call: id }, shown))
+        (None, _) => Some(Violation::new(
+            Breach::MissingOutcome { call: id },
+            evidence,
+        )),
+        (Some(Outcome::Ran), None) if history.runs_attributed_to(call.sent).is_empty() => {
+            Some(Violation::new(Breach::NeverRan { call: id }, evidence))
         }
-        (Some(Outcome::Ran), Some(answer)) => judge_answer(history, call, got_event, answer),
+        (Some(Outcome::Ran), Some(answer)) => check_digest(history, call, got_event, answer),
         _ => None,
     }
 }
 
-fn judge_answer(
+fn check_digest(
     history: &History<'_>,
     call: &Call<'_>,
     got_event: &Event,
     answer: &Digest,
 ) -> Option<Violation<Breach>> {
     let id = call.sent.call;
-    let runs = history.runs_for(call.sent);
-    if runs.iter().any(|run| gave(run, answer, got_event)) {
+    let runs = history.runs_attributed_to(call.sent);
+    if runs.iter().any(|run| sent_answer(run, answer, got_event)) {
         return None;
     }
-    if let Some(run) = history.runs().find(|run| gave(run, answer, got_event)) {
+    if let Some(run) = history
+        .runs()
+        .find(|run| sent_answer(run, answer, got_event))
+    {
         let other = run.started.call;
-        let shown = [call.sent_event, run.started_event, got_event];
-        return Some(Violation::new(Breach::Crossed { call: id, other }, shown));
+        let evidence = [call.sent_event, run.started_event, got_event];
+        return Some(Violation::new(
+            Breach::WrongAnswer { call: id, other },
+            evidence,
+        ));
     }
     if runs.is_empty() {
-        let shown = [call.sent_event, got_event];
-        return Some(Violation::new(Breach::NeverRan { call: id }, shown));
+        let evidence = [call.sent_event, got_event];
+        return Some(Violation::new(Breach::NeverRan { call: id }, evidence));
     }
     let ends = runs
         .iter()
         .map(|run| run.ended.map_or(run.started_event, |(event, _)| event));
-    let shown = ends.chain([call.sent_event, got_event]);
-    Some(Violation::new(Breach::Altered { call: id }, shown))
+    let evidence = ends.chain([call.sent_event, got_event]);
+    Some(Violation::new(Breach::Altered { call: id }, evidence))
 }
 
 // An endpoint records the end of its answer before it sends the last byte,
 // so a caller that has the whole answer stands after it in the history.
-fn gave(run: &Execution<'_>, answer: &Digest, got_event: &Event) -> bool {
+fn sent_answer(run: &Execution<'_>, answer: &Digest, got_event: &Event) -> bool {
     run.ended.is_some_and(|(event, end)| {
         event.order < got_event.order
             && end.end == End::Whole
@@ -131,7 +140,7 @@
 }
 
 /// Returns a fault on the way of a call that excuses its broken answer.
-pub(super) fn fault<'a>(
+pub(super) fn find_fault<'a>(
     history: &History<'a>,
     call: &Call<'a>,
     got_event: &Event,
@@ -140,26 +149,30 @@
     let killed = history
         .path(call)
         .into_iter()
-        .find_map(|instance| history.killed(instance, from, to));
-    let failed = || {
+        .find_map(|instance| history.find_kill(instance, from, to));
+    let endpoint_fault = || {
         history
-            .runs_for(call.sent)
+            .runs_attributed_to(call.sent)
             .into_iter()
-            .find_map(|run| failure(history, run, to))
+            .find_map(|run| find_endpoint_fault(history, run, to))
     };
-    killed.or_else(failed)
+    killed.or_else(endpoint_fault)
 }
 
-fn failure<'a>(history: &History<'a>, run: &Execution<'a>, to: u64) -> Option<&'a Event> {
+fn find_endpoint_fault<'a>(
+    history: &History<'a>,
+    run: &Execution<'a>,
+    to: u64,
+) -> Option<&'a Event> {
     let cut = run
         .ended
         .filter(|(event, end)| end.end == End::Cut && event.order < to)
         .map(|(event, _)| event);
-    let broken_off = || {
+    let answer_cut = || {
         history
-            .answer_cut(run.started.run)
+            .find_answer_cut(run.started.run)
             .filter(|event| event.order < to)
     };
-    let lost = || history.lost(&run.started.endpoint, run.started_event.order, to);
-    cut.or_else(broken_off).or_else(lost)
+    let lost = || history.find_endpoint_loss(&run.started.endpoint, run.started_event.order, to);
+    cut.or_else(answer_cut).or_else(lost)
 }
--- a/crates/history/src/check/whole/tests.rs
+++ b/crates/history/src/check/whole/tests.rs
@@ -14,52 +14,63 @@
 }
 
 fn two_running() -> Script {
-    let sent = Script::new().draft(1, "a").draft(2, "a");
-    let running = sent.run(1, 1, "e1").run(2, 2, "e1");
-    running.ran(1, 1).ran(2, 2)
+    let sent = Script::new()
+        .send_repeatable(1, "a")
+        .send_repeatable(2, "a");
+    let running = sent.start_run(1, 1, "e1").start_run(2, 2, "e1");
+    running.run_completed(1, 1).run_completed(2, 2)
 }
 
 /// Two editors ask at once; late answers on reused connections change places
 /// and each editor reads the other's draft.
 #[test]
 fn a_crossed_answer_is_found() {
-    let script = two_running().answered(1);
+    let script = two_running().got_whole_answer(1);
     let script = script.got(2, Outcome::Ran, End::Whole, "answer-1");
-    assert_eq!(breaches(&script), [Breach::Crossed { call: 2, other: 1 }]);
+    assert_eq!(
+        breaches(&script),
+        [Breach::WrongAnswer { call: 2, other: 1 }]
+    );
 }
 
 /// An engine dies in mid-answer; a router that closes the caller's stream
 /// properly makes half a caption look like a whole one.
 #[test]
 fn half_an_answer_taken_for_whole_is_found() {
-    let script = Script::new().draft(1, "a").run(1, 1, "e1");
-    let script = script.ended(1, End::Cut, "part");
+    let script = Script::new().send_repeatable(1, "a").start_run(1, 1, "e1");
+    let script = script.run_ended(1, End::Cut, "part");
     let script = script.got(1, Outcome::Ran, End::Whole, "part");
     assert_eq!(breaches(&script), [Breach::Altered { call: 1 }]);
 }
 
 #[test]
-fn an_answer_from_nowhere_is_found() {
-    let script = Script::new().draft(1, "a").answered(1).draft(2, "a");
-    let script = script.told(2, Outcome::Ran);
+fn an_answer_without_a_run_is_found() {
+    let script = Script::new()
+        .send_repeatable(1, "a")
+        .got_whole_answer(1)
+        .send_repeatable(2, "a");
+    let script = script.answered_by_router(2, Outcome::Ran);
     let never = [Breach::NeverRan { call: 1 }, Breach::NeverRan { call: 2 }];
     assert_eq!(breaches(&script), never);
 }
 
 #[test]
 fn a_cut_without_a_fault_and_an_open_call_are_found() {
-    let script = Script::new().draft(1, "a").draft(2, "a").cut(1);
+    let script = Script::new()
+        .send_repeatable(1, "a")
+        .send_repeatable(2, "a")
+        .got_cut_answer(1);
     let expected = [Breach::Cut { call: 1 }, Breach::Unanswered { call: 2 }];
     assert_eq!(breaches(&script), expected);
 }
 
 #[test]
-fn an_answer_without_a_word_on_its_fate_is_found() {
-    let mut script = two_running().answered(1).answered(2);
+fn an_answer_without_an_outcome_is_found() {
+    let mut script = two_running().got_whole_answer(1).got_whole_answer(2);
     if let Some(What::CallerGot(got)) = script.events.last_mut().map(|event| &mut event.what) {
         got.outcome = None;
     }
-    assert_eq!(breaches(&script), [Breach::Untold { call: 2 }]);
+    assert_eq!(breaches(&script), [Breach::MissingOutcome { call: 2 }]);
 }
 
 /// Near miss: the answer breaks, visibly, because its endpoint or the router
@@ -67,24 +78,34 @@
 #[test]
 fn a_cut_by_a_fault_on_the_way_is_allowed() {
     let lost = Script::new()
-        .draft(1, "a")
-        .run(1, 1, "e1")
-        .lose("e1")
-        .cut(1);
+        .send_repeatable(1, "a")
+        .start_run(1, 1, "e1")
+        .lose_endpoint("e1")
+        .got_cut_answer(1);
     assert_eq!(breaches(&lost), []);
-    let broken_off = Script::new().draft(1, "a").run(1, 1, "e1");
-    let broken_off = broken_off.then(What::AnswerCut { run: 1 }).cut(1);
-    assert_eq!(breaches(&broken_off.ran(1, 1)), []);
-    let forwarded = Script::new().up("b").draft(1, "a").dispatch(1, "b", 1);
-    assert_eq!(breaches(&forwarded.kill("b").cut(1)), []);
+    let broken_off = Script::new().send_repeatable(1, "a").start_run(1, 1, "e1");
+    let broken_off = broken_off
+        .push(What::AnswerCut { run: 1 })
+        .got_cut_answer(1);
+    assert_eq!(breaches(&broken_off.run_completed(1, 1)), []);
+    let forwarded = Script::new()
+        .start_instance("b")
+        .send_repeatable(1, "a")
+        .dispatch(1, "b", 1);
+    assert_eq!(
+        breaches(&forwarded.kill_instance("b").got_cut_answer(1)),
+        []
+    );
 }
 
 /// An endpoint's run that ends since a router hung up is no fault of the
 /// endpoint: it must not excuse the router's cut.
 #[test]
 fn a_cut_with_a_run_abandoned_by_the_router_is_found() {
-    let script = Script::new().draft(1, "a").run(1, 1, "e1");
-    let script = script.ended(1, End::Abandoned, "part").cut(1);
+    let script = Script::new().send_repeatable(1, "a").start_run(1, 1, "e1");
+    let script = script
+        .run_ended(1, End::Abandoned, "part")
+        .got_cut_answer(1);
     assert_eq!(breaches(&script), [Breach::Cut { call: 1 }]);
 }
 
@@ -92,9 +113,16 @@
 /// earlier life of the entry instance excuses nothing.
 #[test]
 fn a_cut_with_a_fault_elsewhere_is_found() {
-    let other = Script::new().draft(1, "a").kill("b").cut(1);
+    let other = Script::new()
+        .send_repeatable(1, "a")
+        .kill_instance("b")
+        .got_cut_answer(1);
     assert_eq!(breaches(&other), [Breach::Cut { call: 1 }]);
-    let earlier = Script::new().kill("a").up("a").draft(1, "a").cut(1);
+    let earlier = Script::new()
+        .kill_instance("a")
+        .start_instance("a")
+        .send_repeatable(1, "a")
+        .got_cut_answer(1);
     assert_eq!(breaches(&earlier), [Breach::Cut { call: 1 }]);
 }
 
@@ -102,8 +130,14 @@
 /// that the first call started.
 #[test]
 fn a_replayed_answer_is_allowed() {
-    let script = Script::new().order(1, "print", "a").run(1, 1, "e1");
-    let script = script.ran(1, 1).kill("a").cut(1).order(2, "print", "b");
+    let script = Script::new()
+        .send_unrepeatable(1, "print", "a")
+        .start_run(1, 1, "e1");
+    let script = script
+        .run_completed(1, 1)
+        .kill_instance("a")
+        .got_cut_answer(1)
+        .send_unrepeatable(2, "print", "b");
     let script = script.got(2, Outcome::Ran, End::Whole, "answer-1");
     assert_eq!(breaches(&script), []);
 }
--- a/crates/history/src/file/tests.rs
+++ b/crates/history/src/file/tests.rs
@@ -7,10 +7,20 @@
 #[test]
 fn events_come_back_from_the_file() {
     let work = [("e1".to_owned(), u64::MAX)].into();
-    let script = Script::new().join("e1", 1).wait(5).order(1, "print", "a");
-    let script = script.run(1, 1, "e1").ran(1, 1).answered(1).lose("e1");
-    let script = script.told(2, Outcome::Unknown).accept(1, 0).hold("a", 1);
-    let script = script.then(What::LoadSampled(Sample {
+    let script = Script::new()
+        .join_endpoint("e1", 1)
+        .wait(5)
+        .send_unrepeatable(1, "print", "a");
+    let script = script
+        .start_run(1, 1, "e1")
+        .run_completed(1, 1)
+        .got_whole_answer(1)
+        .lose_endpoint("e1");
+    let script = script
+        .answered_by_router(2, Outcome::Unknown)
+        .accept_bundle(1, 0)
+        .bundle_in_force("a", 1);
+    let script = script.push(What::LoadSampled(Sample {
         service: "drafting".into(),
         work,
     }));
@@ -21,7 +31,7 @@
 
 #[test]
 fn a_line_is_readable_by_people() {
-    let script = Script::new().wait(5).up("kushiro-1");
+    let script = Script::new().wait(5).start_instance("kushiro-1");
     let mut file = Vec::new();
     write(&script.events, &mut file).unwrap();
     let line = r#"{"order":0,"at_us":5000,"event":"instance_started","instance":"kushiro-1"}"#;
@@ -31,8 +41,8 @@
 /// A run that was killed leaves half a line, which must not pass for a
 /// shorter history.
 #[test]
-fn a_torn_last_line_is_refused_with_its_number() {
-    let script = Script::new().up("a").up("b");
+fn a_truncated_last_line_is_refused_with_its_number() {
+    let script = Script::new().start_instance("a").start_instance("b");
     let mut file = Vec::new();
     write(&script.events, &mut file).unwrap();
     file.truncate(file.len() - 5);
--- a/crates/history/src/history.rs
+++ b/crates/history/src/history.rs
@@ -24,28 +24,28 @@
         before: u64,
     },
     /// event {order} tells of call {call} a second time: give each call its own id
-    CallTwice {
+    DuplicateCall {
         /// The event's order number.
         order: u64,
         /// The call.
         call: CallId,
     },
     /// event {order} ends call {call}, which nobody sent: record a call before sending it
-    CallUnsent {
+    UnknownCall {
         /// The event's order number.
         order: u64,
         /// The call.
         call: CallId,
     },
     /// event {order} tells of run {run} a second time: give each run its own id
-    RunTwice {
+    DuplicateRun {
         /// The event's order number.
         order: u64,
         /// The run.
         run: RunId,
     },
     /// event {order} ends run {run}, which never started: record a run before it starts
-    RunUnstarted {
+    UnknownRun {
         /// The event's order number.
         order: u64,
         /// The run.
@@ -84,7 +84,7 @@
     calls: BTreeMap<CallId, Call<'a>>,
     runs: BTreeMap<RunId, Execution<'a>>,
     runs_by_call: BTreeMap<CallId, Vec<RunId>>,
-    cuts: BTreeMap<RunId, &'a Event>,
+    answer_cuts: BTreeMap<RunId, &'a Event>,
     calls_by_job: BTreeMap<(&'a str, &'a str), Vec<CallId>>,
     dispatches_by_call: BTreeMap<CallId, Vec<&'a Dispatch>>,
 }
@@ -96,18 +96,18 @@
     ///
     /// Returns [`Error`] for the first event that contradicts those before.
     pub fn new(events: &'a [Event]) -> Result<Self, Error> {
-        ordered(events)?;
+        check_order(events)?;
         let mut history = Self {
             events,
             calls: BTreeMap::new(),
             runs: BTreeMap::new(),
             runs_by_call: BTreeMap::new(),
-            cuts: BTreeMap::new(),
+            answer_cuts: BTreeMap::new(),
             calls_by_job: BTreeMap::new(),
             dispatches_by_call: BTreeMap::new(),
         };
         for event in events {
-            history.index(event)?;
+            history.index_event(event)?;
         }
         Ok(history)
     }
@@ -141,14 +141,14 @@
     }
 
     /// Returns the runs of one call's request.
-    pub fn runs_of(&self, call: CallId) -> impl Iterator<Item = &Execution<'a>> {
+    pub fn runs_of_call(&self, call: CallId) -> impl Iterator<Item = &Execution<'a>> {
         let ids = self.runs_by_call.get(&call).into_iter().flatten();
         ids.filter_map(|id| self.runs.get(id))
     }
 
     /// Returns the calls that asked for the same job as `sent`, itself too.
     #[must_use]
-    pub fn calls_alike(&self, sent: &Sent) -> Vec<&Call<'a>> {
+    pub fn calls_of_job(&self, sent: &Sent) -> Vec<&Call<'a>> {
         let job = (sent.workspace.as_str(), sent.job.as_str());
         let ids = self.calls_by_job.get(&job).into_iter().flatten();
         ids.filter_map(|id| self.calls.get(id)).collect()
@@ -159,47 +159,47 @@
     /// A job that may run at most once is one thing however often it is sent,
     /// so the runs of all its calls count; else a call counts for itself.
     #[must_use]
-    pub fn runs_for(&self, sent: &Sent) -> Vec<&Execution<'a>> {
+    pub fn runs_attributed_to(&self, sent: &Sent) -> Vec<&Execution<'a>> {
         if !sent.unrepeatable {
-            return self.runs_of(sent.call).collect();
+            return self.runs_of_call(sent.call).collect();
         }
-        self.calls_alike(sent)
+        self.calls_of_job(sent)
             .into_iter()
-            .flat_map(|call| self.runs_of(call.sent.call))
+            .flat_map(|call| self.runs_of_call(call.sent.call))
             .collect()
     }
 
     /// Returns the event that took `instance` down for a call that lasted
     /// from `from` to `to` (order numbers), if one did.
     #[must_use]
-    pub fn killed(&self, instance: &str, from: u64, to: u64) -> Option<&'a Event> {
-        let mut down = None;
-        for event in self.until(to) {
+    pub fn find_kill(&self, instance: &str, from: u64, to: u64) -> Option<&'a Event> {
+        let mut kill = None;
+        for event in self.events_until(to) {
             match &event.what {
-                What::InstanceKilled { instance: name } if name == instance => down = Some(event),
+                What::InstanceKilled { instance: name } if name == instance => kill = Some(event),
                 What::InstanceStarted { instance: name }
                     if name == instance && event.order < from =>
                 {
-                    down = None;
+                    kill = None;
                 }
                 _ => {}
             }
         }
-        down
+        kill
     }
 
     /// Returns the event in which a fault at the endpoint broke off the answer
     /// of `run`, if one did.
     #[must_use]
-    pub fn answer_cut(&self, run: RunId) -> Option<&'a Event> {
-        self.cuts.get(&run).copied()
+    pub fn find_answer_cut(&self, run: RunId) -> Option<&'a Event> {
+        self.answer_cuts.get(&run).copied()
     }
 
     /// Returns the event in which `endpoint` was lost between two order
     /// numbers, if it was.
     #[must_use]
-    pub fn lost(&self, endpoint: &str, from: u64, to: u64) -> Option<&'a Event> {
-        self.until(to).find(|event| {
+    pub fn find_endpoint_loss(&self, endpoint: &str, from: u64, to: u64) -> Option<&'a Event> {
+        self.events_until(to).find(|event| {
             let lost = matches!(&event.what, What::EndpointLost { endpoint: name, .. } if name == endpoint);
             lost && event.order > from
         })
@@ -215,20 +215,20 @@
         path
     }
 
-    fn until(&self, order: u64) -> impl Iterator<Item = &'a Event> {
+    fn events_until(&self, order: u64) -> impl Iterator<Item = &'a Event> {
         self.events
             .iter()
             .take_while(move |event| event.order <= order)
     }
 
-    fn index(&mut self, event: &'a Event) -> Result<(), Error> {
+    fn index_event(&mut self, event: &'a Event) -> Result<(), Error> {
         match &event.what {
-            What::CallerSent(sent) => self.sent(event, sent),
-            What::CallerGot(got) => self.got(event, got),
-            What::RunStarted(run) => self.started(event, run),
-            What::RunEnded(end) => self.ended(event, end),
+            What::CallerSent(sent) => self.index_sent(event, sent),
+            What::CallerGot(got) => self.index_got(event, got),
+            What::RunStarted(run) => self.index_started(event, run),
+            What::RunEnded(end) => self.index_ended(event, end),
             What::AnswerCut { run } => {
-                self.cuts.entry(*run).or_insert(event);
+                self.answer_cuts.entry(*run).or_insert(event);
                 Ok(())
             }
             What::Dispatched(dispatch) => {
@@ -240,14 +240,14 @@
         }
     }
 
-    fn sent(&mut self, event: &'a Event, sent: &'a Sent) -> Result<(), Error> {
+    fn index_sent(&mut self, event: &'a Event, sent: &'a Sent) -> Result<(), Error> {
         let call = Call {
             sent_event: event,
             sent,
             got: None,
         };
         if self.calls.insert(sent.call, call).is_some() {
-            return Err(Error::CallTwice {
+            return Err(Error::DuplicateCall {
                 order: event.order,
                 call: sent.call,
             });
@@ -257,19 +257,19 @@
         Ok(())
     }
 
-    fn got(&mut self, event: &'a Event, got: &'a Got) -> Result<(), Error> {
+    fn index_got(&mut self, event: &'a Event, got: &'a Got) -> Result<(), Error> {
         let (order, call) = (event.order, got.call);
         let open = self
             .calls
             .get_mut(&call)
-            .ok_or(Error::CallUnsent { order, call })?;
+            .ok_or(Error::UnknownCall { order, call })?;
         if open.got.replace((event, got)).is_some() {
-            return Err(Error::CallTwice { order, call });
+            return Err(Error::DuplicateCall { order, call });
         }
         Ok(())
     }
 
-    fn started(&mut self, event: &'a Event, started: &'a Run) -> Result<(), Error> {
+    fn index_started(&mut self, event: &'a Event, started: &'a Run) -> Result<(), Error> {
         let run = started.run;
         let execution = Execution {
             started_event: event,
@@ -277,7 +277,7 @@
             ended: None,
         };
         if self.runs.insert(run, execution).is_some() {
-            return Err(Error::RunTwice {
+            return Err(Error::DuplicateRun {
                 order: event.order,
                 run,
             });
@@ -286,20 +286,20 @@
         Ok(())
     }
 
-    fn ended(&mut self, event: &'a Event, end: &'a RunEnd) -> Result<(), Error> {
+    fn index_ended(&mut self, event: &'a Event, end: &'a RunEnd) -> Result<(), Error> {
         let (order, run) = (event.order, end.run);
         let open = self
             .runs
             .get_mut(&run)
-            .ok_or(Error::RunUnstarted { order, run })?;
+            .ok_or(Error::UnknownRun { order, run })?;
         if open.ended.replace((event, end)).is_some() {
-            return Err(Error::RunTwice { order, run });
+            return Err(Error::DuplicateRun { order, run });
         }
         Ok(())
     }
 }
 
-fn ordered(events: &[Event]) -> Result<(), Error> {
+fn check_order(events: &[Event]) -> Result<(), Error> {
     for pair in events.windows(2) {
         let (before, order) = (pair[0].order, pair[1].order);
         if order <= before {
--- a/crates/history/src/script.rs
+++ b/crates/history/src/script.rs
@@ -26,7 +26,7 @@
         self
     }
 
-    pub(crate) fn then(mut self, what: What) -> Self {
+    pub(crate) fn push(mut self, what: What) -> Self {
         let order = self.events.len() as u64;
         self.events.push(Event {
             order,
@@ -37,29 +37,35 @@
     }
 
     /// A repeatable call is sent.
-    pub(crate) fn draft(self, call: CallId, instance: &str) -> Self {
-        self.then(sent(call, &format!("draft-{call}"), instance, false))
+    pub(crate) fn send_repeatable(self, call: CallId, instance: &str) -> Self {
+        self.push(sent(call, &format!("draft-{call}"), instance, false))
     }
 
     /// An unrepeatable call is sent.
-    pub(crate) fn order(self, call: CallId, job: &str, instance: &str) -> Self {
-        self.then(sent(call, job, instance, true))
+    pub(crate) fn send_unrepeatable(self, call: CallId, job: &str, instance: &str) -> Self {
+        self.push(sent(call, job, instance, true))
     }
 
     pub(crate) fn dispatch(self, call: CallId, instance: &str, version: u64) -> Self {
-        self.then(What::Dispatched(Dispatch {
+        self.push(What::Dispatched(Dispatch {
             call,
             instance: instance.into(),
             version,
         }))
     }
 
-    pub(crate) fn run(self, run: RunId, call: CallId, endpoint: &str) -> Self {
-        self.weighed(run, call, endpoint, 1)
+    pub(crate) fn start_run(self, run: RunId, call: CallId, endpoint: &str) -> Self {
+        self.start_run_with_work(run, call, endpoint, 1)
     }
 
-    pub(crate) fn weighed(self, run: RunId, call: CallId, endpoint: &str, work: u64) -> Self {
-        self.then(What::RunStarted(Run {
+    pub(crate) fn start_run_with_work(
+        self,
+        run: RunId,
+        call: CallId,
+        endpoint: &str,
+        work: u64,
+    ) -> Self {
+        self.push(What::RunStarted(Run {
             run,
             call,
             endpoint: endpoint.into(),
@@ -69,22 +75,22 @@
     }
 
     /// A run ends with the whole answer to `call`.
-    pub(crate) fn ran(self, run: RunId, call: CallId) -> Self {
-        self.ended(run, End::Whole, &format!("answer-{call}"))
+    pub(crate) fn run_completed(self, run: RunId, call: CallId) -> Self {
+        self.run_ended(run, End::Whole, &format!("answer-{call}"))
     }
 
-    pub(crate) fn ended(self, run: RunId, end: End, answer: &str) -> Self {
+    pub(crate) fn run_ended(self, run: RunId, end: End, answer: &str) -> Self {
         let answer = Some(answer.to_owned());
-        self.then(What::RunEnded(RunEnd { run, end, answer }))
+        self.push(What::RunEnded(RunEnd { run, end, answer }))
     }
 
     /// A caller got the whole answer to its call.
-    pub(crate) fn answered(self, call: CallId) -> Self {
+    pub(crate) fn got_whole_answer(self, call: CallId) -> Self {
         self.got(call, Outcome::Ran, End::Whole, &format!("answer-{call}"))
     }
 
     pub(crate) fn got(self, call: CallId, outcome: Outcome, end: End, answer: &str) -> Self {
-        self.then(What::CallerGot(Got {
+        self.push(What::CallerGot(Got {
             call,
             outcome: Some(outcome),
             status: Some(200),
@@ -94,8 +100,8 @@
     }
 
     /// A router told a caller its request's fate without an endpoint's answer.
-    pub(crate) fn told(self, call: CallId, outcome: Outcome) -> Self {
-        self.then(What::CallerGot(Got {
+    pub(crate) fn answered_by_router(self, call: CallId, outcome: Outcome) -> Self {
+        self.push(What::CallerGot(Got {
             call,
             outcome: Some(outcome),
             status: Some(503),
@@ -104,62 +110,62 @@
         }))
     }
 
-    pub(crate) fn cut(self, call: CallId) -> Self {
+    pub(crate) fn got_cut_answer(self, call: CallId) -> Self {
         self.got(call, Outcome::Ran, End::Cut, "part")
     }
 
-    pub(crate) fn up(self, instance: &str) -> Self {
+    pub(crate) fn start_instance(self, instance: &str) -> Self {
         let instance = instance.to_owned();
-        self.then(What::InstanceStarted { instance })
+        self.push(What::InstanceStarted { instance })
     }
 
-    pub(crate) fn stop(self, instance: &str) -> Self {
+    pub(crate) fn begin_stop(self, instance: &str) -> Self {
         let instance = instance.to_owned();
-        self.then(What::StopBegun { instance })
+        self.push(What::StopBegun { instance })
     }
 
-    pub(crate) fn stopped(self, instance: &str) -> Self {
+    pub(crate) fn end_stop(self, instance: &str) -> Self {
         let instance = instance.to_owned();
-        self.then(What::StopEnded { instance })
+        self.push(What::StopEnded { instance })
     }
 
-    pub(crate) fn kill(self, instance: &str) -> Self {
+    pub(crate) fn kill_instance(self, instance: &str) -> Self {
         let instance = instance.to_owned();
-        self.then(What::InstanceKilled { instance })
+        self.push(What::InstanceKilled { instance })
     }
 
-    pub(crate) fn join(self, endpoint: &str, incarnation: u64) -> Self {
-        self.then(What::EndpointJoined {
+    pub(crate) fn join_endpoint(self, endpoint: &str, incarnation: u64) -> Self {
+        self.push(What::EndpointJoined {
             endpoint: endpoint.into(),
             incarnation,
             service: "drafting".into(),
         })
     }
 
-    pub(crate) fn leave(self, endpoint: &str) -> Self {
-        self.then(What::EndpointLeaving {
+    pub(crate) fn announce_leaving(self, endpoint: &str) -> Self {
+        self.push(What::EndpointLeaving {
             endpoint: endpoint.into(),
             incarnation: 1,
         })
     }
 
-    pub(crate) fn lose(self, endpoint: &str) -> Self {
-        self.then(What::EndpointLost {
+    pub(crate) fn lose_endpoint(self, endpoint: &str) -> Self {
+        self.push(What::EndpointLost {
             endpoint: endpoint.into(),
             incarnation: 1,
         })
     }
 
-    pub(crate) fn accept(self, version: u64, offset: u64) -> Self {
-        self.then(What::BundleAccepted(Accepted {
+    pub(crate) fn accept_bundle(self, version: u64, offset: u64) -> Self {
+        self.push(What::BundleAccepted(Accepted {
             version,
             root: format!("root-{version}"),
             offset,
         }))
     }
 
-    pub(crate) fn hold(self, instance: &str, version: u64) -> Self {
-        self.then(What::BundleInForce(InForce {
+    pub(crate) fn bundle_in_force(self, instance: &str, version: u64) -> Self {
+        self.push(What::BundleInForce(InForce {
             instance: instance.into(),
             version,
             root: format!("root-{version}"),
