--- a/crates/demo/src/fleet.rs
+++ b/crates/demo/src/fleet.rs
@@ -180,7 +180,7 @@
             .running
             .faults()
             .change(|faults| faults.leaving = true);
-        self.list.leaving(&endpoint);
+        self.list.mark_leaving(&endpoint);
         let until = Instant::now() + LONGEST;
         for router in self.routers.values() {
             let address = router.running.operators_address();
@@ -246,7 +246,7 @@
         self.recorder.record(What::StopBegun {
             instance: instance.clone(),
         });
-        self.list.leaving(name);
+        self.list.mark_leaving(name);
         self.forget_later(name);
         let stopped = router.running.stop_gracefully().await;
         self.recorder.record(What::StopEnded { instance });
--- a/crates/demo/src/fleet/endpoints.rs
+++ b/crates/demo/src/fleet/endpoints.rs
@@ -154,21 +154,21 @@
                 self.record(What::RunStarted(run));
             }
             Event::Ended { run, end } => self.ended(self.base + run, end),
-            Event::Cut { run } => self.record(What::AnswerCut {
+            Event::Truncated { run } => self.record(What::AnswerCut {
                 run: self.base + run,
             }),
             Event::Refused { trace } => {
                 let refused = self.run(u64::from(u32::MAX), trace.as_deref(), 0);
                 self.record(What::RunRefused(refused));
             }
-            Event::Lost { incarnation } => {
+            Event::Crashed { incarnation } => {
                 self.record(What::EndpointLost {
                     endpoint: self.entry.name.clone(),
                     incarnation,
                 });
                 self.tap.list.remove(&self.entry.name);
             }
-            Event::Joined { incarnation } => self.joined(incarnation),
+            Event::Restarted { incarnation } => self.joined(incarnation),
         }
     }
 
@@ -198,9 +198,9 @@
     fn ended(&self, run: RunId, end: End) {
         let answer = self.with(|(_, answers)| answers.remove(&run));
         let end = match end {
-            End::Whole => event::End::Whole,
+            End::Completed => event::End::Whole,
             End::Abandoned => event::End::Abandoned,
-            End::Cut => event::End::Cut,
+            End::Interrupted => event::End::Cut,
         };
         self.record(What::RunEnded(event::RunEnd { run, end, answer }));
     }
--- a/crates/router/tests/router/chats.rs
+++ b/crates/router/tests/router/chats.rs
@@ -21,7 +21,7 @@
         assert_eq!(outcome(&headers), "ran");
         assert_eq!(headers["godwitpost-version"], "1");
         let sent = chat("ice lines", 8).into_body().collect().await.unwrap();
-        let digest = digest::of(&sent.to_bytes());
+        let digest = digest::body_digest(&sent.to_bytes());
         let expected: Vec<String> = (0..8).map(|n| digest::word(&digest, n)).collect();
         assert_eq!(words(&body), expected);
         assert!(body.ends_with(b"data: [DONE]\n\n"));
--- a/crates/router/tests/router/engine_orders.rs
+++ b/crates/router/tests/router/engine_orders.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use godwitpost_router::Running;
-use godwitpost_standin::engine::{self, Wanted};
+use godwitpost_standin::engine::{self, OrderAction};
 use godwitpost_state::lease::{LEASE_DURATION, Operation, Record, STREAM_NAME, Table};
 use godwitpost_types::id::{self, Offset};
 use http::Request;
@@ -184,7 +184,7 @@
     })
     .await;
     let last = fleet.engines[0].orders().pop().unwrap();
-    let wanted = Wanted::Load {
+    let wanted = OrderAction::Load {
         model: "writer".to_owned(),
         weights: "7".to_owned(),
     };
--- a/crates/router/tests/router/faults.rs
+++ b/crates/router/tests/router/faults.rs
@@ -72,7 +72,7 @@
     let text = String::from_utf8_lossy(&body);
     assert_eq!(status, 200, "{text}");
     let sent = chat("second", 4).into_body().collect().await.unwrap();
-    let digest = digest::of(&sent.to_bytes());
+    let digest = digest::body_digest(&sent.to_bytes());
     let wanted: Vec<String> = (0..4).map(|n| digest::word(&digest, n)).collect();
     assert_eq!(words(&body), wanted);
     assert_eq!(fleet.engines[0].runs().len(), 3);
@@ -220,7 +220,7 @@
         let (status, _, body) = fleet.send_and_read(n % SIZE.routers, request).await;
         let response = serde_json::from_slice::<serde_json::Value>(&body).unwrap();
         if status == 200 {
-            assert_eq!(response["digest"], digest::of(text.as_bytes()));
+            assert_eq!(response["digest"], digest::body_digest(text.as_bytes()));
         } else {
             assert_eq!(response["outcome"], "unknown");
         }
--- a/crates/router/tests/router/resume.rs
+++ b/crates/router/tests/router/resume.rs
@@ -39,7 +39,7 @@
         let (status, _, body) = fleet.send_and_read(router, chat("sea ice", 20)).await;
         assert_eq!(status, 200);
         let sent = chat("sea ice", 20).into_body().collect().await.unwrap();
-        let digest = digest::of(&sent.to_bytes());
+        let digest = digest::body_digest(&sent.to_bytes());
         let expected: String = (0..20).map(|n| digest::word(&digest, n)).collect();
         assert_eq!(words(&body).concat(), expected);
         // One event for each token, and a last one with the usage.
--- a/crates/standin/src/answer.rs
+++ b/crates/standin/src/answer.rs
@@ -1,4 +1,4 @@
-//! Requests read whole, and answers as JSON.
+//! Reading of request bodies, and building of responses.
 
 use bytes::Bytes;
 use http::header::CONTENT_TYPE;
@@ -10,27 +10,26 @@
 use serde_json::json;
 
 use crate::faults::Handle;
-use crate::serve::{Body, Broken};
+use crate::serve::{Body, ConnectionAborted};
 
-/// Bytes of a request's body that are read at most.
-const BODY_LIMIT: usize = 64 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
-/// An answer, or a connection that is to be broken off without one.
-pub(crate) type Answer = Result<Response<Body>, Broken>;
+/// A response, or the instruction to abort the connection without one.
+pub(crate) type Answer = Result<Response<Body>, ConnectionAborted>;
 
-/// Reads a body whole.
-pub(crate) async fn read(body: Incoming) -> Result<Bytes, Broken> {
-    let collected = Limited::new(body, BODY_LIMIT).collect().await;
-    // Whatever is wrong with a request's body, the connection can't go on.
+/// Reads a complete body.
+pub(crate) async fn read(body: Incoming) -> Result<Bytes, ConnectionAborted> {
+    let collected = Limited::new(body, MAX_BODY_BYTES).collect().await;
+    // After any error in a request's body the connection is unusable.
     collected
         .map(http_body_util::Collected::to_bytes)
         .map_err(|cause| {
-            ::log::debug!(cause:% = cause; "a request's body broke off");
-            Broken
+            ::log::debug!(cause:% = cause; "cannot read the request body; aborting the connection");
+            ConnectionAborted
         })
 }
 
-/// Answers bytes.
+/// Builds a response from bytes.
 pub(crate) fn bytes(status: StatusCode, content_type: &'static str, body: Bytes) -> Response<Body> {
     let body = Full::new(body)
         .map_err(|never| match never {})
@@ -42,13 +41,13 @@
     response
 }
 
-/// Answers a value as JSON.
+/// Builds a JSON response.
 pub(crate) fn json(status: StatusCode, value: &impl Serialize) -> Response<Body> {
     let body = serde_json::to_vec(value).expect("stand-ins answer plain data");
     bytes(status, "application/json", Bytes::from(body))
 }
 
-/// Answers a status without a body.
+/// Builds a response without a body.
 pub(crate) fn empty(status: StatusCode) -> Response<Body> {
     let mut response = json(status, &());
     *response.body_mut() = Full::new(Bytes::new())
@@ -58,17 +57,17 @@
     response
 }
 
-/// Answers an error with what to do about it.
+/// Builds an error response whose message says what to do.
 pub(crate) fn error(status: StatusCode, message: &str) -> Response<Body> {
     json(status, &json!({ "error": message }))
 }
 
-/// Answers a call to a path that doesn't exist.
+/// Builds the response for an unknown path.
 pub(crate) fn not_found() -> Response<Body> {
     error(StatusCode::NOT_FOUND, "no such path; see docs/PLATFORM.md")
 }
 
-/// Answers `/faults`: a read, or a replacement of all faults.
+/// Handles `/faults`: GET returns the faults, PUT replaces all of them.
 pub(crate) async fn faults<F>(handle: &Handle<F>, request: Request<Incoming>) -> Answer
 where
     F: Clone + Serialize + DeserializeOwned,
@@ -92,7 +91,7 @@
     }
 }
 
-/// Returns the value of a query's parameter as a number.
+/// Returns a query parameter as a number.
 pub(crate) fn number(query: Option<&str>, name: &str) -> Option<u64> {
     query?
         .split('&')
--- a/crates/standin/src/cli.rs
+++ b/crates/standin/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: one definition for each flag, and what it resolves to.
+//! Definition and parsing of the command line.
 
 mod flag;
 mod flags;
@@ -15,13 +15,13 @@
 /// A stand-in to run, with every default filled in.
 #[derive(Debug)]
 pub(crate) struct Command {
-    /// Where it listens.
+    /// The address to listen on.
     pub(crate) listen: SocketAddr,
-    /// Which it is.
+    /// The stand-in with its settings and faults.
     pub(crate) standin: Standin,
 }
 
-/// Which stand-in, with its settings and faults.
+/// A stand-in with its settings and faults.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Standin {
     Log(log::Faults),
@@ -32,7 +32,7 @@
 }
 
 const ABOUT: &str = "Stand-ins for the platform and the endpoints of a godwitpost fleet.";
-const FAULTS: &str = "\
+const AFTER_HELP: &str = "\
 Faults can be changed while it runs: GET /faults shows them as JSON, and
 PUT /faults replaces them all; what the JSON leaves out gets its default.
 
@@ -80,21 +80,21 @@
         .version(env!("CARGO_PKG_VERSION"))
         .subcommand_required(true)
         .arg_required_else_help(true)
-        .subcommand(sub("log", "The append-only log service").args(flag::args(flags::LOG)))
-        .subcommand(sub("list", "The list of instances").args(flag::args(flags::LIST)))
+        .subcommand(subcommand("log", "The append-only log service").args(flag::args(flags::LOG)))
+        .subcommand(subcommand("list", "The list of instances").args(flag::args(flags::LIST)))
         .subcommand(
-            sub("engine", "A model engine")
+            subcommand("engine", "A model engine")
                 .args(flag::args(flags::engine::SETTINGS))
                 .args(flag::args(flags::engine::FAULTS)),
         )
-        .subcommand(sub("service", "A plain service").args(flag::args(flags::SERVICE)))
-        .subcommand(sub("weights", "The weight store").args(flag::args(flags::WEIGHTS)))
+        .subcommand(subcommand("service", "A plain service").args(flag::args(flags::SERVICE)))
+        .subcommand(subcommand("weights", "The weight store").args(flag::args(flags::WEIGHTS)))
 }
 
-fn sub(name: &'static str, about: &'static str) -> clap::Command {
+fn subcommand(name: &'static str, about: &'static str) -> clap::Command {
     clap::Command::new(name)
         .about(about)
-        .after_help(FAULTS)
+        .after_help(AFTER_HELP)
         .arg(
             Arg::new("listen")
                 .long("listen")
--- a/crates/standin/src/cli/flag.rs
+++ b/crates/standin/src/cli/flag.rs
@@ -11,13 +11,13 @@
     pub(super) name: &'static str,
     /// The name of its value; empty for a switch.
     pub(super) value: &'static str,
-    /// One line on what it does.
+    /// Its help text, one line.
     pub(super) help: &'static str,
     /// Parses its value into the settings.
     pub(super) set: fn(&mut T, &str) -> Result<(), String>,
 }
 
-/// Defines the flags for clap, which then refuses wrong values.
+/// Defines the flags for clap, which rejects invalid values.
 pub(super) fn args<T: Default + 'static>(flags: &'static [Flag<T>]) -> Vec<Arg> {
     flags.iter().map(arg).collect()
 }
@@ -33,7 +33,7 @@
         .value_parser(check)
 }
 
-/// Applies the flags that were given to the defaults.
+/// Returns the defaults with the given flags applied.
 pub(super) fn resolve<T: Default>(flags: &[Flag<T>], matches: &ArgMatches) -> T {
     let mut settings = T::default();
     for flag in flags {
@@ -75,22 +75,24 @@
 }
 
 /// Parses a number above zero.
-pub(super) fn rate(text: &str) -> Result<f64, String> {
+pub(super) fn positive_number(text: &str) -> Result<f64, String> {
     text.parse()
         .ok()
         .filter(|value: &f64| value.is_finite() && *value > 0.0)
         .ok_or_else(|| "write a number above 0".to_owned())
 }
 
-/// Parses a count of one at least.
-pub(super) fn positive(text: &str) -> Result<usize, String> {
-    plain(text)
+/// Parses a whole number above zero.
+pub(super) fn positive_count(text: &str) -> Result<usize, String> {
+    parse_value(text)
         .ok()
         .filter(|&count| count > 0)
         .ok_or_else(|| "write a whole number above 0".to_owned())
 }
 
-/// Parses anything that the standard library parses.
-pub(super) fn plain<V: std::str::FromStr<Err: std::fmt::Display>>(text: &str) -> Result<V, String> {
+/// Parses a value of any type that implements `FromStr`.
+pub(super) fn parse_value<V: std::str::FromStr<Err: std::fmt::Display>>(
+    text: &str,
+) -> Result<V, String> {
     text.parse().map_err(|error: V::Err| error.to_string())
 }
--- a/crates/standin/src/cli/flags.rs
+++ b/crates/standin/src/cli/flags.rs
@@ -4,7 +4,7 @@
 
 use godwitpost_standin::{list, log, plain as service, weights};
 
-use super::flag::{Flag, duration, probability, rate};
+use super::flag::{Flag, duration, positive_number, probability};
 
 /// Faults of the log.
 pub(super) const LOG: &[Flag<log::Faults>] = &[
@@ -27,7 +27,7 @@
         name: "rate",
         value: "RATE",
         help: "Appends a second before 429 [default: 500]",
-        set: |to, text| rate(text).map(|value| to.rate = value),
+        set: |to, text| positive_number(text).map(|value| to.rate = value),
     },
     Flag {
         name: "lose-answers",
@@ -107,7 +107,7 @@
         name: "rate",
         value: "RATE",
         help: "Pulls a second before 429 [default: 10]",
-        set: |to, text| rate(text).map(|value| to.rate = value),
+        set: |to, text| positive_number(text).map(|value| to.rate = value),
     },
     Flag {
         name: "missing",
--- a/crates/standin/src/cli/flags/engine.rs
+++ b/crates/standin/src/cli/flags/engine.rs
@@ -2,15 +2,15 @@
 
 use godwitpost_standin::engine::{Faults, Settings};
 
-use crate::cli::flag::{Flag, duration, plain, positive, probability, rate};
+use crate::cli::flag::{Flag, duration, parse_value, positive_count, positive_number, probability};
 
-/// How an engine works when nothing is wrong.
+/// Settings of an engine without faults.
 pub(in crate::cli) const SETTINGS: &[Flag<Settings>] = &[
     Flag {
         name: "incarnation",
         value: "NUMBER",
         help: "The number of its first life [default: 1]",
-        set: |to, text| plain(text).map(|value| to.incarnation = value),
+        set: |to, text| parse_value(text).map(|value| to.incarnation = value),
     },
     Flag {
         name: "model",
@@ -25,37 +25,37 @@
         name: "slots",
         value: "NUMBER",
         help: "Requests that run at once [default: 16]",
-        set: |to, text| positive(text).map(|value| to.slots = value),
+        set: |to, text| positive_count(text).map(|value| to.slots = value),
     },
     Flag {
         name: "prefill",
         value: "RATE",
         help: "Prompt tokens computed a second [default: 20000]",
-        set: |to, text| rate(text).map(|value| to.prefill = value),
+        set: |to, text| positive_number(text).map(|value| to.prefill = value),
     },
     Flag {
         name: "decode",
         value: "RATE",
         help: "Tokens generated a second for each request [default: 200]",
-        set: |to, text| rate(text).map(|value| to.decode = value),
+        set: |to, text| positive_number(text).map(|value| to.decode = value),
     },
     Flag {
         name: "cache-tokens",
         value: "NUMBER",
         help: "Tokens that the prefix cache holds [default: 200000]",
-        set: |to, text| plain(text).map(|value| to.cache_tokens = value),
+        set: |to, text| parse_value(text).map(|value| to.cache_tokens = value),
     },
     Flag {
         name: "answer-tokens",
         value: "NUMBER",
         help: "Tokens generated where the request sets no limit [default: 32]",
-        set: |to, text| plain(text).map(|value| to.answer_tokens = value),
+        set: |to, text| parse_value(text).map(|value| to.answer_tokens = value),
     },
     Flag {
         name: "event-tokens",
         value: "NUMBER",
         help: "Tokens in one event of a stream [default: 1]",
-        set: |to, text| plain(text).map(|value| to.event_tokens = value),
+        set: |to, text| parse_value(text).map(|value| to.event_tokens = value),
     },
     Flag {
         name: "hold",
@@ -73,7 +73,7 @@
         name: "weights",
         value: "ADDRESS",
         help: "The weight store to pull from",
-        set: |to, text| plain(text).map(|value| to.weights = Some(value)),
+        set: |to, text| parse_value(text).map(|value| to.weights = Some(value)),
     },
 ];
 
--- a/crates/standin/src/endpoint.rs
+++ b/crates/standin/src/endpoint.rs
@@ -1,18 +1,18 @@
-//! What engines and plain services answer alike.
+//! Request parsing and responses shared by engines and plain services.
 
 use http::{HeaderMap, HeaderValue, Response, StatusCode};
 
 use crate::answer;
 use crate::serve::Body;
 
-/// Returns the trace that a request belongs to.
-pub(crate) fn trace(headers: &HeaderMap) -> Option<String> {
+/// Returns the `traceparent` header.
+pub(crate) fn traceparent(headers: &HeaderMap) -> Option<String> {
     let value = headers.get("traceparent")?;
     value.to_str().ok().map(str::to_owned)
 }
 
-/// The answer of a leaving endpoint to new work.
-pub(crate) fn leaving() -> Response<Body> {
+/// Returns the response of a leaving endpoint to new requests.
+pub(crate) fn leaving_response() -> Response<Body> {
     let mut response = answer::error(
         StatusCode::SERVICE_UNAVAILABLE,
         "this endpoint is leaving; use another",
@@ -23,8 +23,8 @@
     response
 }
 
-/// The answer of an engine that has not loaded the model asked for.
-pub(crate) fn unloaded() -> Response<Body> {
+/// Returns the response of an engine that has not loaded the requested model.
+pub(crate) fn model_not_loaded_response() -> Response<Body> {
     let mut response = answer::error(
         StatusCode::NOT_FOUND,
         "the model isn't loaded here; use another engine",
@@ -35,8 +35,8 @@
     response
 }
 
-/// Whether a body holds the text that crashes its endpoint.
-pub(crate) fn marked(body: &[u8], marker: Option<&str>) -> bool {
+/// Returns whether a body contains the crash marker; an empty marker never matches.
+pub(crate) fn contains_marker(body: &[u8], marker: Option<&str>) -> bool {
     marker.is_some_and(|marker| {
         !marker.is_empty()
             && body
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,19 +1,19 @@
 //! The stand-in of a model engine.
 //!
-//! Continuous batching is modelled simply: up to [`Settings::slots`] requests
-//! run at once, the others wait by `X-Priority`. A request takes the time of
-//! its uncached prompt tokens at the prefill speed, then generates at a set
-//! speed whatever else runs. Prompt tokens are a quarter of the body's bytes.
-//! A prefix cache of limited size, keyed by `X-Prefix-Key`, takes prompt
-//! tokens off and evicts what was used longest ago.
+//! Continuous batching is simplified: up to [`Settings::slots`] requests run at
+//! once, the others wait in order of `X-Priority`. A request takes the time of
+//! its uncached prompt tokens at the prefill speed, then generates at a fixed
+//! speed, independent of other requests. Prompt tokens are a quarter of the body's bytes.
+//! A prefix cache of limited size, keyed by `X-Prefix-Key`, reduces the
+//! prompt tokens to compute and evicts the least recently used entries.
 //!
-//! Each answer says whose it is: the head repeats `X-Request-Id`, and each
-//! event (or the whole JSON) has the request id as `id`, the digest of the
+//! Each response identifies its request: its head repeats `X-Request-Id`, and each
+//! event (or the complete JSON) has the request id as `id`, the digest of the
 //! request's body as `digest`, and words made from that digest by
-//! [`crate::digest::word`]. A checker tells from them whether an answer is
-//! whole and its own.
+//! [`crate::digest::word`]. A checker uses them to detect
+//! truncated and misrouted responses.
 //!
-//! A request whose caller goes away is cancelled after [`Settings::hold`]
+//! A request whose caller disconnects is cancelled after [`Settings::hold`]
 //! unless the stream is resumed by `Last-Event-ID` before that.
 
 mod cache;
@@ -34,38 +34,38 @@
 use serde::{Deserialize, Serialize};
 
 use self::core::Core;
-pub use self::orders::{Order, Wanted};
+pub use self::orders::{Order, OrderAction};
 use crate::faults::{Handle, millis};
 use crate::observe::Event;
 use crate::serve::{Error, Server};
 
-/// How an engine works when nothing is wrong.
+/// How an engine works without faults.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// The engine's first life; each crash begins a greater one.
+    /// The first incarnation; each crash increases it.
     pub incarnation: u64,
     /// Models loaded at the start, each as `name@weights`.
     pub models: BTreeSet<String>,
     /// Requests that run at once.
     pub slots: usize,
-    /// Prompt tokens computed a second for one request.
+    /// Prompt tokens computed per second for one request.
     pub prefill: f64,
-    /// Tokens generated a second for one request.
+    /// Tokens generated per second for one request.
     pub decode: f64,
-    /// Tokens that the prefix cache holds.
+    /// Capacity of the prefix cache in tokens.
     pub cache_tokens: u32,
     /// Tokens generated for a request that sets no limit.
     pub answer_tokens: u32,
     /// Tokens in one event of a stream.
     pub event_tokens: u32,
-    /// How long a stream is held for a caller that went away.
+    /// How long a stream can be resumed after its caller disconnected.
     #[serde(rename = "hold_ms", with = "millis")]
     pub hold: Duration,
-    /// How long loading a model takes once its weights are there.
+    /// How long loading a model takes once its weights are available.
     #[serde(rename = "load_time_ms", with = "millis")]
     pub load_time: Duration,
-    /// The weight store to pull from; without one, weights are just there.
+    /// The weight store to pull from; without one, weights are available at once.
     pub weights: Option<SocketAddr>,
 }
 
@@ -76,8 +76,8 @@
             models: BTreeSet::new(),
             slots: 16,
             prefill: 20_000.0,
-            // The users' aim is 36 ms between tokens, 28 a second; tests and
-            // the demo can't wait as long.
+            // Real engines target 36 ms between tokens, or 28 per second, which is
+            // too slow for tests and the demo.
             decode: 200.0,
             cache_tokens: 200_000,
             answer_tokens: 32,
@@ -89,7 +89,7 @@
     }
 }
 
-/// What can go wrong with an engine.
+/// Faults of an engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[expect(
@@ -102,29 +102,29 @@
     pub slow: Duration,
     /// Probability that a request is refused with 503, not run.
     pub refuse: f64,
-    /// Refuse new work and say so in the report.
+    /// Refuse new requests and report the standing `leaving`.
     pub leaving: bool,
-    /// Probability that an answer breaks off in the middle.
+    /// Probability that a response is truncated.
     pub truncate: f64,
-    /// Broken-off answers end as if they were whole.
+    /// Truncated responses end as if they were complete.
     pub truncate_cleanly: bool,
-    /// Streams break off in the middle of their second event, not between two.
+    /// Streams are truncated within their second event, not between two events.
     pub truncate_within: bool,
-    /// Resumed streams don't break off.
+    /// Resumed streams are not truncated.
     pub truncate_once: bool,
-    /// Probability that a request gets the answer to the one before it.
+    /// Probability that a request gets the response to the previous one.
     pub cross: f64,
-    /// A request whose body holds this text crashes the engine when it runs.
+    /// A request whose body contains this text crashes the engine when it runs.
     pub crash_marker: Option<String>,
     /// How long the engine is down after a crash.
     #[serde(rename = "down_for_ms", with = "millis")]
     pub down_for: Duration,
-    /// Obey orders with an old fencing number.
+    /// Accept orders with an outdated fencing number.
     pub ignore_fencing: bool,
-    /// How old the report is.
+    /// Age of the load report.
     #[serde(rename = "report_lag_ms", with = "millis")]
     pub report_lag: Duration,
-    /// How late cache events are published.
+    /// Delay of the publication of cache events.
     #[serde(rename = "event_lag_ms", with = "millis")]
     pub event_lag: Duration,
     /// Probability that a cache event is never published.
@@ -159,9 +159,9 @@
     pub request: String,
     /// The digest of its body.
     pub digest: String,
-    /// Its prompt's tokens.
+    /// Tokens of its prompt.
     pub prompt_tokens: u32,
-    /// Prompt tokens that the prefix cache took off.
+    /// Prompt tokens found in the prefix cache.
     pub cached_tokens: u32,
     /// When it got a slot; `None` while it waits.
     pub started: Option<Moment>,
@@ -175,15 +175,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum End {
-    /// Its answer was generated whole.
+    /// Its answer was generated completely.
     Finished,
-    /// It was cancelled, or its caller went away.
+    /// It was cancelled, or its caller disconnected.
     Cancelled,
-    /// The engine crashed under it.
+    /// The engine crashed while it ran.
     Crashed,
 }
 
-/// An engine that listens; it stops when dropped.
+/// An engine that is listening; it stops when dropped.
 #[derive(Debug)]
 pub struct Running {
     server: Server,
@@ -210,25 +210,25 @@
 }
 
 impl Running {
-    /// Returns where it listens.
+    /// Returns the address that it listens on.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Returns the handle of its faults.
+    /// Returns the handle that reads and changes its faults.
     #[must_use]
     pub const fn faults(&self) -> &Handle<Faults> {
         self.core.faults()
     }
 
-    /// Returns its present life.
+    /// Returns the current incarnation.
     #[must_use]
     pub fn incarnation(&self) -> u64 {
         self.core.incarnation()
     }
 
-    /// Returns every request accepted so far, in order.
+    /// Returns all requests accepted so far, oldest first.
     #[must_use]
     pub fn runs(&self) -> Vec<Run> {
         self.core.runs()
@@ -240,24 +240,25 @@
         self.core.models()
     }
 
-    /// Returns every order so far, in order.
+    /// Returns all orders received so far, oldest first.
     #[must_use]
     pub fn orders(&self) -> Vec<Order> {
         self.core.orders()
     }
 
-    /// Tells `told` what it does from now on; the first observer stays.
-    pub fn observe(&self, told: impl Fn(Event) + Send + Sync + 'static) {
-        self.core.observer.set(told);
+    /// Calls `callback` for each event from now on. Only the first observer is
+    /// used; later calls have no effect.
+    pub fn observe(&self, callback: impl Fn(Event) + Send + Sync + 'static) {
+        self.core.observer.set(callback);
     }
 
-    /// Breaks all connections off and refuses new ones for a time; then it is
-    /// back in a new life with an empty cache.
+    /// Aborts all connections and refuses new ones for `down_for`; then
+    /// listens again under a new incarnation with an empty cache.
     pub fn crash(&self, down_for: Duration) {
         self.core.crash(down_for);
     }
 
-    /// Stops it and frees its port.
+    /// Stops it and waits until its port is free.
     pub async fn stop(self) {
         self.server.stop().await;
     }
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -1,14 +1,14 @@
-//! The prefix cache: tokens by prefix, least recently used evicted first.
+//! The prefix cache: token counts by prefix, evicted least recently used first.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use godwitpost_types::clock::Moment;
 use serde::Serialize;
 
-/// Events kept for readers that come late.
-const EVENTS_KEPT: usize = 10_000;
+/// Events retained for readers.
+const MAX_EVENTS: usize = 10_000;
 
-/// A change of the cache, as engines publish it.
+/// A change of the cache, as published by engines.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub(super) struct Event {
     pub(super) offset: u64,
@@ -19,7 +19,7 @@
     pub(super) at: Moment,
 }
 
-/// What a change was.
+/// The kind of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub(super) enum Kind {
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 struct Entry {
     tokens: u32,
-    used: u64,
+    last_use: u64,
 }
 
 /// The cache and the events of its changes.
@@ -38,7 +38,7 @@
 pub(super) struct Cache {
     capacity: u32,
     size: u32,
-    uses: u64,
+    use_count: u64,
     entries: BTreeMap<String, Entry>,
     by_use: BTreeMap<u64, String>,
     events: VecDeque<Event>,
@@ -50,7 +50,7 @@
         Self {
             capacity,
             size: 0,
-            uses: 0,
+            use_count: 0,
             entries: BTreeMap::new(),
             by_use: BTreeMap::new(),
             events: VecDeque::new(),
@@ -58,18 +58,18 @@
         }
     }
 
-    /// Returns the tokens held for a prefix, which counts as a use.
+    /// Returns the tokens cached for a prefix and marks it as used.
     pub(super) fn tokens(&mut self, prefix: &str) -> Option<u32> {
         let entry = self.entries.get_mut(prefix)?;
-        self.by_use.remove(&entry.used);
-        self.uses += 1;
-        entry.used = self.uses;
-        self.by_use.insert(self.uses, prefix.to_owned());
+        self.by_use.remove(&entry.last_use);
+        self.use_count += 1;
+        entry.last_use = self.use_count;
+        self.by_use.insert(self.use_count, prefix.to_owned());
         Some(entry.tokens)
     }
 
-    /// Holds tokens for a prefix and evicts what no longer fits. Whether an
-    /// event is published is decided by `published`.
+    /// Caches tokens for a prefix and evicts what no longer fits. `published`
+    /// decides for each event whether it is published.
     pub(super) fn store(
         &mut self,
         prefix: &str,
@@ -86,16 +86,16 @@
             let evicted = self.remove(&oldest);
             self.publish(Kind::Evicted, &oldest, evicted, now, published());
         }
-        self.uses += 1;
-        let used = self.uses;
+        self.use_count += 1;
+        let last_use = self.use_count;
         self.entries
-            .insert(prefix.to_owned(), Entry { tokens, used });
-        self.by_use.insert(used, prefix.to_owned());
+            .insert(prefix.to_owned(), Entry { tokens, last_use });
+        self.by_use.insert(last_use, prefix.to_owned());
         self.size += tokens;
         self.publish(Kind::Stored, prefix, tokens, now, published());
     }
 
-    /// Returns the first offset kept, the next to read from, and the events
+    /// Returns the first retained offset, the next to read from, and the events
     /// from an offset on that happened no later than `until`.
     pub(super) fn events(&self, from: u64, until: Moment) -> (u64, u64, Vec<Event>) {
         let first = self.events.front().map_or(self.next_event, |e| e.offset);
@@ -114,12 +114,12 @@
         let Some(entry) = self.entries.remove(prefix) else {
             return 0;
         };
-        self.by_use.remove(&entry.used);
+        self.by_use.remove(&entry.last_use);
         self.size -= entry.tokens;
         entry.tokens
     }
 
-    // An event that isn't published still takes an offset: that is the gap.
+    // An unpublished event still use_count an offset, so readers see a gap.
     fn publish(&mut self, kind: Kind, prefix: &str, tokens: u32, at: Moment, published: bool) {
         let offset = self.next_event;
         self.next_event += 1;
@@ -133,7 +133,7 @@
             tokens,
             at,
         });
-        if self.events.len() > EVENTS_KEPT {
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
--- a/crates/standin/src/engine/chat.rs
+++ b/crates/standin/src/engine/chat.rs
@@ -14,18 +14,18 @@
 use super::{End, Run, reply};
 use crate::answer::{self, Answer};
 use crate::digest;
-use crate::endpoint::{leaving, marked, trace, unloaded};
+use crate::endpoint::{contains_marker, leaving_response, model_not_loaded_response, traceparent};
 use crate::faults::lock;
 use crate::observe::Event;
 use crate::serve::Body;
 
-/// Bytes of a request's body that count as one token of prompt.
-const TOKEN_BYTES: usize = 4;
-/// The priority of a request that names none.
+/// Bytes of a request's body per prompt token.
+const BYTES_PER_TOKEN: usize = 4;
+/// The priority of a request without `X-Priority`.
 const DEFAULT_PRIORITY: u8 = 100;
 
 #[derive(Deserialize)]
-struct Asked {
+struct ChatRequest {
     #[serde(default)]
     model: String,
     #[serde(default)]
@@ -34,7 +34,7 @@
     max_tokens: Option<u32>,
 }
 
-/// What a request asks of the engine.
+/// The work that a request requires.
 struct Plan {
     prompt_tokens: u32,
     answer_tokens: u32,
@@ -53,19 +53,19 @@
         }
         let faults = self.faults.get();
         if faults.leaving {
-            let trace = trace(&head.headers);
-            self.observer.tell(Event::Refused { trace });
-            return Ok(leaving());
+            let trace = traceparent(&head.headers);
+            self.observer.notify(Event::Refused { trace });
+            return Ok(leaving_response());
         }
         let body = answer::read(body).await?;
-        let asked: Asked = match serde_json::from_slice(&body) {
-            Ok(asked) => asked,
+        let chat: ChatRequest = match serde_json::from_slice(&body) {
+            Ok(chat) => chat,
             Err(reason) => {
                 return Ok(answer::error(StatusCode::BAD_REQUEST, &reason.to_string()));
             }
         };
-        if !lock(&self.state).orders.serves(&asked.model) {
-            return Ok(unloaded());
+        if !lock(&self.state).orders.serves(&chat.model) {
+            return Ok(model_not_loaded_response());
         }
         if self.faults.hits(faults.refuse) {
             return Ok(answer::error(
@@ -74,18 +74,18 @@
             ));
         }
         let plan = Plan {
-            prompt_tokens: u32::try_from(body.len() / TOKEN_BYTES).unwrap_or(u32::MAX),
-            answer_tokens: asked.max_tokens.unwrap_or(self.settings.answer_tokens),
+            prompt_tokens: u32::try_from(body.len() / BYTES_PER_TOKEN).unwrap_or(u32::MAX),
+            answer_tokens: chat.max_tokens.unwrap_or(self.settings.answer_tokens),
             priority: number(&head.headers, "x-priority").unwrap_or(DEFAULT_PRIORITY),
             prefix: text(&head.headers, "x-prefix-key"),
-            trace: trace(&head.headers),
-            crashes: marked(&body, faults.crash_marker.as_deref()),
+            trace: traceparent(&head.headers),
+            crashes: contains_marker(&body, faults.crash_marker.as_deref()),
         };
-        let job = self.accept(id, &digest::of(&body), &plan);
+        let job = self.accept(id, &digest::body_digest(&body), &plan);
         let reader = Reader::new(self.clone(), Arc::clone(&job), 0);
         let task = tokio::spawn(self.clone().run(Arc::clone(&job), plan));
-        job.run_by(task.abort_handle());
-        self.answer(reader, asked.stream).await
+        job.set_task(task.abort_handle());
+        self.answer(reader, chat.stream).await
     }
 
     fn request_id(&self, headers: &HeaderMap) -> String {
@@ -114,13 +114,13 @@
     fn accept(&self, id: String, digest: &str, plan: &Plan) -> Arc<Job> {
         let crossed = self.faults.hits(self.faults.get().cross);
         let mut state = lock(&self.state);
-        let before = state.runs.last().filter(|_| crossed);
-        let (whose, of) = before.map_or_else(
+        let previous = state.runs.last().filter(|_| crossed);
+        let (answer_id, answer_digest) = previous.map_or_else(
             || (id.clone(), digest.to_owned()),
             |run| (run.request.clone(), run.digest.clone()),
         );
         let work = u64::from(plan.prompt_tokens) + u64::from(plan.answer_tokens);
-        let job = Arc::new(Job::new(state.runs.len(), whose, of, work));
+        let job = Arc::new(Job::new(state.runs.len(), answer_id, answer_digest, work));
         state.runs.push(Run {
             request: id.clone(),
             digest: digest.to_owned(),
@@ -133,7 +133,7 @@
         state.jobs.insert(id, Arc::clone(&job));
         let cached = state.cached(plan);
         drop(state);
-        self.observer.tell(Event::Started {
+        self.observer.notify(Event::Started {
             run: job.number as u64,
             trace: plan.trace.clone(),
             work: work.saturating_sub(u64::from(cached)),
@@ -146,14 +146,14 @@
     async fn run(self, job: Arc<Job>, plan: Plan) {
         let slots = lock(&self.state).slots.clone();
         let slot = slots.acquire(plan.priority).await;
-        let cached = self.begin(&job, &plan);
+        let cached = self.record_start(&job, &plan);
         if plan.crashes {
             self.crash(self.faults.get().down_for);
             return;
         }
         let prefill = f64::from(plan.prompt_tokens - cached) / self.settings.prefill;
         sleep(self.faults.get().slow + Duration::from_secs_f64(prefill)).await;
-        job.left
+        job.remaining_tokens
             .store(u64::from(plan.answer_tokens), Ordering::Relaxed);
         self.generate(&job, &plan).await;
         if let Some(prefix) = &plan.prefix {
@@ -167,12 +167,12 @@
         ));
         self.end(&job, End::Finished);
         drop(slot);
-        // A caller that was cut off just before the end may still come back.
+        // A caller that lost its connection just before the end may still resume.
         sleep(self.settings.hold).await;
-        self.forget(&job);
+        self.remove_job(&job);
     }
 
-    fn begin(&self, job: &Job, plan: &Plan) -> u32 {
+    fn record_start(&self, job: &Job, plan: &Plan) -> u32 {
         let now = self.clock.now();
         let mut state = lock(&self.state);
         let cached = state.cached(plan);
@@ -193,19 +193,20 @@
             sleep_until(due).await;
             let words = words(&job.digest, position, until);
             job.push(reply::event(job, &words));
-            job.left.fetch_sub(u64::from(tokens), Ordering::Relaxed);
+            job.remaining_tokens
+                .fetch_sub(u64::from(tokens), Ordering::Relaxed);
             position = until;
         }
     }
 
-    pub(super) fn forget(&self, job: &Arc<Job>) {
+    pub(super) fn remove_job(&self, job: &Arc<Job>) {
         let mut state = lock(&self.state);
-        state.jobs.retain(|_, held| !Arc::ptr_eq(held, job));
+        state.jobs.retain(|_, other| !Arc::ptr_eq(other, job));
     }
 }
 
 impl State {
-    /// Returns the prompt tokens that the prefix cache takes off.
+    /// Returns how many prompt tokens are in the prefix cache.
     fn cached(&mut self, plan: &Plan) -> u32 {
         let prefix = plan.prefix.as_deref();
         let tokens = prefix.and_then(|prefix| self.cache.tokens(prefix));
@@ -213,7 +214,7 @@
     }
 }
 
-/// Returns the words that an engine generates from one position to another.
+/// Returns the generated words from position `from` up to, not including, `until`.
 fn words(digest: &str, from: u32, until: u32) -> String {
     (from..until)
         .map(|position| digest::word(digest, position))
--- a/crates/standin/src/engine/core.rs
+++ b/crates/standin/src/engine/core.rs
@@ -1,4 +1,4 @@
-//! What the calls to one engine share.
+//! State shared by the calls to one engine, and their dispatch.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::{Arc, Mutex};
@@ -18,17 +18,17 @@
 use super::{End, Faults, Run, Settings};
 use crate::answer::{self, Answer};
 use crate::faults::{self, lock};
-use crate::observe::{self, Event, Place};
+use crate::observe::{self, Event, ObserverSlot};
 use crate::serve::{Body, Switch};
 
-/// One engine; its clones are the same engine.
+/// One engine; clones share its state.
 #[derive(Clone, Debug)]
 pub(super) struct Core {
     pub(super) clock: Clock,
     pub(super) settings: Arc<Settings>,
     pub(super) faults: faults::Handle<Faults>,
     pub(super) state: Arc<Mutex<State>>,
-    pub(super) observer: Place,
+    pub(super) observer: ObserverSlot,
     switch: Switch,
 }
 
@@ -40,7 +40,7 @@
     pub(super) cache: Cache,
     pub(super) slots: Slots,
     pub(super) orders: orders::State,
-    // Reports of the recent past, oldest first, for the lag.
+    // Recent reports, oldest first, to answer with a lag.
     pub(super) reports: VecDeque<Report>,
 }
 
@@ -60,7 +60,7 @@
             settings: Arc::new(settings),
             faults: faults::Handle::new(faults),
             state: Arc::new(Mutex::new(state)),
-            observer: Place::default(),
+            observer: ObserverSlot::default(),
             switch: Switch::new(),
         }
     }
@@ -86,7 +86,7 @@
     }
 
     pub(super) fn orders(&self) -> Vec<Order> {
-        lock(&self.state).orders.given.clone()
+        lock(&self.state).orders.received.clone()
     }
 
     pub(super) async fn handle(self, request: Request<Incoming>) -> Answer {
@@ -105,18 +105,18 @@
         }
     }
 
-    /// Ends a job and notes it in the run log.
+    /// Ends a job and records its end in the run log.
     pub(super) fn end(&self, job: &Job, end: End) {
-        let told = || {
+        let on_end = || {
             let run = job.number as u64;
             let end = match end {
-                End::Finished => observe::End::Whole,
+                End::Finished => observe::End::Completed,
                 End::Cancelled => observe::End::Abandoned,
-                End::Crashed => observe::End::Cut,
+                End::Crashed => observe::End::Interrupted,
             };
-            self.observer.tell(Event::Ended { run, end });
+            self.observer.notify(Event::Ended { run, end });
         };
-        if !job.end(end, told) {
+        if !job.end(end, on_end) {
             return;
         }
         let now = self.clock.now();
@@ -128,10 +128,10 @@
         self.sample();
     }
 
-    /// Cancels a job whose readers went away, unless one comes back in time.
-    pub(super) fn let_go(&self, job: &Arc<Job>) {
-        // A runtime that is being dropped drops readers outside itself; there
-        // is nothing left to cancel then.
+    /// Cancels a job without readers, unless the stream is resumed in time.
+    pub(super) fn cancel_unless_resumed(&self, job: &Arc<Job>) {
+        // While the runtime shuts down, readers are dropped outside of it, and
+        // there is nothing left to cancel.
         let Ok(runtime) = Handle::try_current() else {
             return;
         };
@@ -139,8 +139,8 @@
         let job = Arc::clone(job);
         runtime.spawn(async move {
             sleep(core.settings.hold).await;
-            if job.unread() {
-                core.forget(&job);
+            if job.has_no_readers() {
+                core.remove_job(&job);
                 core.end(&job, End::Cancelled);
             }
         });
@@ -150,7 +150,7 @@
         let (jobs, next) = {
             let mut state = lock(&self.state);
             let incarnation = state.incarnation;
-            self.observer.tell(Event::Lost { incarnation });
+            self.observer.notify(Event::Crashed { incarnation });
             state.incarnation += 1;
             state.cache = Cache::new(self.settings.cache_tokens);
             state.slots = Slots::new(self.settings.slots);
@@ -158,11 +158,11 @@
             (std::mem::take(&mut state.jobs), state.incarnation)
         };
         let observer = self.observer.clone();
-        let joined = Event::Joined { incarnation: next };
+        let restarted = Event::Restarted { incarnation: next };
         self.switch
-            .down_for(down_for, move || observer.tell(joined));
-        // The task that crashes the engine may be among those that are
-        // stopped here, so nothing may follow that has to be done.
+            .down_for(down_for, move || observer.notify(restarted));
+        // This may abort the task that is running this function, so nothing that
+        // must be done may follow.
         for job in jobs.values() {
             self.end(job, End::Crashed);
         }
--- a/crates/standin/src/engine/job.rs
+++ b/crates/standin/src/engine/job.rs
@@ -1,4 +1,4 @@
-//! A request that the engine runs, and the readers of its answer.
+//! An accepted request and the readers of its response.
 
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
@@ -12,16 +12,17 @@
 use crate::faults::lock;
 use crate::observe::Event;
 
-/// A request that was accepted.
+/// An accepted request.
 #[derive(Debug)]
 pub(super) struct Job {
-    /// Where it stands in the run log.
+    /// Its index in the run log.
     pub(super) number: usize,
-    /// Whose answer it gives: its own, unless a fault crosses answers.
+    /// The id of the request whose answer it gives: its own, unless the fault
+    /// `cross` applies.
     pub(super) id: String,
     pub(super) digest: String,
-    /// Tokens still to be computed.
-    pub(super) left: AtomicU64,
+    /// Tokens that remain to be computed.
+    pub(super) remaining_tokens: AtomicU64,
     progress: watch::Sender<Progress>,
     task: Mutex<Option<AbortHandle>>,
     readers: AtomicUsize,
@@ -29,7 +30,7 @@
 
 #[derive(Debug, Default)]
 struct Progress {
-    // The JSON of each event so far.
+    // JSON of the events so far.
     events: Vec<String>,
     end: Option<End>,
 }
@@ -40,14 +41,14 @@
             number,
             id,
             digest,
-            left: AtomicU64::new(work),
+            remaining_tokens: AtomicU64::new(work),
             progress: watch::Sender::default(),
             task: Mutex::default(),
             readers: AtomicUsize::new(0),
         }
     }
 
-    pub(super) fn run_by(&self, task: AbortHandle) {
+    pub(super) fn set_task(&self, task: AbortHandle) {
         *lock(&self.task) = Some(task);
     }
 
@@ -56,13 +57,14 @@
             .send_modify(|progress| progress.events.push(event));
     }
 
-    /// Ends it, if nothing else did before, and stops its task. Returns
-    /// whether this was the end; if so, `told` runs before any reader sees it.
-    pub(super) fn end(&self, end: End, told: impl FnOnce()) -> bool {
+    /// Ends the job unless it has ended already, and stops its task. Returns
+    /// whether this call ended it; if so, `on_end` runs before any reader sees
+    /// the end.
+    pub(super) fn end(&self, end: End, on_end: impl FnOnce()) -> bool {
         let ended = self.progress.send_if_modified(|progress| {
             let first = progress.end.is_none();
             if first {
-                told();
+                on_end();
             }
             progress.end.get_or_insert(end);
             first
@@ -85,14 +87,14 @@
         self.progress.borrow().end.is_some()
     }
 
-    pub(super) fn unread(&self) -> bool {
+    pub(super) fn has_no_readers(&self) -> bool {
         self.readers.load(Ordering::Relaxed) == 0
     }
 }
 
-/// A reader of a job's answer.
+/// A reader of a job's events.
 ///
-/// When the last reader is gone the engine lets the job go.
+/// When the last reader is dropped, the engine cancels the job after a delay.
 pub(super) struct Reader {
     core: Core,
     pub(super) job: Arc<Job>,
@@ -102,7 +104,7 @@
 
 /// What a reader gets next.
 pub(super) enum Part {
-    /// Events, each with its id, as they go over the wire.
+    /// Events, each with its id, in the wire format.
     Events(Bytes),
     /// The job has ended.
     End(End),
@@ -121,32 +123,32 @@
     }
 
     /// Waits for the next part.
-    pub(super) async fn part(&mut self) -> Part {
+    pub(super) async fn next_part(&mut self) -> Part {
         loop {
-            if let Some(part) = self.ready() {
+            if let Some(part) = self.take_ready() {
                 return part;
             }
-            // No error can come: the job, held here, has the sender.
+            // This cannot fail: the job, referenced here, owns the sender.
             drop(self.progress.changed().await);
         }
     }
 
-    /// Tells the observer that the answer is about to be broken off.
-    pub(super) fn cut(&self) {
+    /// Notifies the observer that the response is about to be truncated.
+    pub(super) fn notify_truncated(&self) {
         let run = self.job.number as u64;
-        self.core.observer.tell(Event::Cut { run });
+        self.core.observer.notify(Event::Truncated { run });
     }
 
     /// Waits for the end.
-    pub(super) async fn end(&mut self) -> End {
+    pub(super) async fn wait_for_end(&mut self) -> End {
         loop {
-            if let Part::End(end) = self.part().await {
+            if let Part::End(end) = self.next_part().await {
                 return end;
             }
         }
     }
 
-    fn ready(&mut self) -> Option<Part> {
+    fn take_ready(&mut self) -> Option<Part> {
         let progress = self.progress.borrow_and_update();
         if self.next < progress.events.len() {
             let mut text = BytesMut::new();
@@ -164,8 +166,8 @@
 impl Drop for Reader {
     fn drop(&mut self) {
         self.job.readers.fetch_sub(1, Ordering::Relaxed);
-        if self.job.unread() && !self.job.ended() {
-            self.core.let_go(&self.job);
+        if self.job.has_no_readers() && !self.job.ended() {
+            self.core.cancel_unless_resumed(&self.job);
         }
     }
 }
--- a/crates/standin/src/engine/kv.rs
+++ b/crates/standin/src/engine/kv.rs
@@ -11,7 +11,7 @@
 use crate::faults::lock;
 use crate::serve::Body;
 
-/// A chat's context, as an export gives and an import takes it.
+/// A chat's context, as exported and imported.
 #[derive(Deserialize, Serialize)]
 struct Context {
     prefix: String,
--- a/crates/standin/src/engine/load.rs
+++ b/crates/standin/src/engine/load.rs
@@ -1,4 +1,4 @@
-//! The engine's report of its load, with its lag.
+//! The engine's load report, optionally delayed.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::Ordering;
@@ -12,7 +12,7 @@
 use crate::faults::lock;
 use crate::serve::Body;
 
-/// The load at one moment.
+/// The load at one point in time.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Report {
     #[serde(skip)]
@@ -27,14 +27,14 @@
 }
 
 impl Core {
-    /// Notes the present load for reports that lag.
+    /// Records the current load for delayed reports.
     pub(super) fn sample(&self) {
         let faults = self.faults.get();
         let now = self.clock.now();
         let mut state = lock(&self.state);
         let report = state.report(now, faults.leaving);
         state.reports.push_back(report);
-        // The newest of those that are old enough is the one to answer.
+        // The newest report that is old enough for the lag becomes the first.
         let until = now.saturating_sub(faults.report_lag);
         while state.reports.get(1).is_some_and(|next| next.taken <= until) {
             state.reports.pop_front();
@@ -57,7 +57,9 @@
             incarnation: self.incarnation,
             standing: if leaving { "leaving" } else { "live" },
             requests: running.clone().count(),
-            work: running.map(|job| job.left.load(Ordering::Relaxed)).sum(),
+            work: running
+                .map(|job| job.remaining_tokens.load(Ordering::Relaxed))
+                .sum(),
             models: self.orders.models.clone(),
             role: self.orders.role.clone(),
         }
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -18,28 +18,28 @@
 use crate::answer::{self, Answer};
 use crate::faults::lock;
 
-/// The pause after the weight store refused a pull.
-const PULL_PAUSE: Duration = Duration::from_millis(200);
+/// The pause after a failed pull.
+const PULL_RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// The time allowed for one pull.
 const PULL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// One order that an engine was given.
+/// An order that an engine received.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Order {
-    /// When it came.
+    /// When it arrived.
     pub at: Moment,
     /// Its fencing number.
     pub fence: u64,
-    /// What it asked for.
-    pub wanted: Wanted,
-    /// Whether the engine took it.
+    /// The requested action.
+    pub wanted: OrderAction,
+    /// Whether the engine accepted it.
     pub taken: bool,
 }
 
-/// What an order asks for.
+/// The action of an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Wanted {
+pub enum OrderAction {
     /// Load a version of a model.
     Load {
         /// The model's name.
@@ -52,15 +52,15 @@
         /// The model's name.
         model: String,
     },
-    /// Take a role, such as `prefill`.
+    /// Change to a role, such as `prefill`.
     Role(String),
 }
 
 #[derive(Deserialize)]
-struct Given {
+struct OrderRequest {
     fence: u64,
     #[serde(flatten)]
-    wanted: Wanted,
+    wanted: OrderAction,
 }
 
 /// The engine's models, role and highest fencing number.
@@ -69,28 +69,28 @@
     pub(super) models: BTreeSet<String>,
     pub(super) role: String,
     pub(super) fence: u64,
-    pub(super) given: Vec<Order>,
+    pub(super) received: Vec<Order>,
 }
 
 impl Core {
     pub(super) async fn order(&self, request: Request<Incoming>) -> Answer {
         let body = answer::read(request.into_body()).await?;
-        let given: Given = match serde_json::from_slice(&body) {
-            Ok(given) => given,
+        let order: OrderRequest = match serde_json::from_slice(&body) {
+            Ok(order) => order,
             Err(reason) => {
                 return Ok(answer::error(StatusCode::BAD_REQUEST, &reason.to_string()));
             }
         };
         let ignore = self.faults.get().ignore_fencing;
         let mut state = lock(&self.state);
-        if !state.orders.give(&given, self.clock.now(), ignore) {
+        if !state.orders.record(&order, self.clock.now(), ignore) {
             let highest = json!({ "fence": state.orders.fence });
             return Ok(answer::json(StatusCode::CONFLICT, &highest));
         }
-        match given.wanted {
-            Wanted::Unload { model } => state.orders.unload(&model),
-            Wanted::Role(role) => state.orders.role = role,
-            Wanted::Load { model, weights } => {
+        match order.wanted {
+            OrderAction::Unload { model } => state.orders.unload(&model),
+            OrderAction::Role(role) => state.orders.role = role,
+            OrderAction::Load { model, weights } => {
                 tokio::spawn(self.clone().load(model, weights));
             }
         }
@@ -114,7 +114,7 @@
             models,
             role: "mixed".to_owned(),
             fence: 0,
-            given: Vec::new(),
+            received: Vec::new(),
         }
     }
 
@@ -123,20 +123,20 @@
         self.models.iter().any(|loaded| name(loaded) == model)
     }
 
-    /// Notes an order and returns whether it is to be obeyed.
-    fn give(&mut self, given: &Given, at: Moment, ignore_fencing: bool) -> bool {
-        let taken = ignore_fencing || given.fence >= self.fence;
-        self.fence = self.fence.max(given.fence);
-        self.given.push(Order {
+    /// Records an order and returns whether to execute it.
+    fn record(&mut self, order: &OrderRequest, at: Moment, ignore_fencing: bool) -> bool {
+        let taken = ignore_fencing || order.fence >= self.fence;
+        self.fence = self.fence.max(order.fence);
+        self.received.push(Order {
             at,
-            fence: given.fence,
-            wanted: given.wanted.clone(),
+            fence: order.fence,
+            wanted: order.wanted.clone(),
             taken,
         });
         taken
     }
 
-    /// Puts a version of a model in the place of any other.
+    /// Loads a version of a model in place of any other version.
     fn load(&mut self, model: &str, weights: &str) {
         self.unload(model);
         self.models.insert(format!("{model}@{weights}"));
@@ -151,8 +151,8 @@
     version.split_once('@').map_or(version, |(name, _)| name)
 }
 
-/// Pulls weights; tries until the store gives them or says they don't exist.
-/// Returns whether they are there.
+/// Pulls weights, retrying until the store returns them or answers 404.
+/// Returns whether they exist.
 async fn pull(store: SocketAddr, model: &str, weights: &str) -> bool {
     let connector = connect::Connector::new(connect::Settings::default());
     loop {
@@ -166,7 +166,7 @@
         match connector.send(store, request, PULL_TIMEOUT).await {
             Ok(response) if response.status() == StatusCode::OK => return true,
             Ok(response) if response.status() == StatusCode::NOT_FOUND => return false,
-            Ok(_) | Err(_) => sleep(PULL_PAUSE).await,
+            Ok(_) | Err(_) => sleep(PULL_RETRY_PAUSE).await,
         }
     }
 }
--- a/crates/standin/src/engine/reply.rs
+++ b/crates/standin/src/engine/reply.rs
@@ -1,4 +1,4 @@
-//! Answers of the engine, whole or streamed, with the faults that hit them.
+//! Responses of the engine, complete or streamed, with their faults.
 
 use bytes::Bytes;
 use futures_util::stream;
@@ -12,35 +12,38 @@
 use super::core::Core;
 use super::job::{Job, Part, Reader};
 use crate::answer::{self, Answer};
-use crate::serve::{Body, Broken};
+use crate::serve::{Body, ConnectionAborted};
 
 impl Core {
     pub(super) async fn answer(&self, mut reader: Reader, streamed: bool) -> Answer {
         if streamed {
             return Ok(self.stream(reader, self.faults.get().truncate));
         }
-        if reader.end().await != End::Finished {
-            return Err(Broken);
+        if reader.wait_for_end().await != End::Finished {
+            return Err(ConnectionAborted);
         }
-        let whole = whole(&reader.job);
+        let answer = complete_answer(&reader.job);
         if !self.faults.hits(self.faults.get().truncate) {
-            return Ok(named(answer::json(StatusCode::OK, &whole), &reader));
+            return Ok(with_answer_id(
+                answer::json(StatusCode::OK, &answer),
+                &reader,
+            ));
         }
-        reader.cut();
-        let text = whole.to_string();
+        reader.notify_truncated();
+        let text = answer.to_string();
         let half = Bytes::from(text[..text.len() / 2].to_owned());
         let mut parts = vec![Ok(Frame::data(half))];
         if !self.faults.get().truncate_cleanly {
-            parts.push(Err(Broken));
+            parts.push(Err(ConnectionAborted));
         }
         let body = StreamBody::new(stream::iter(parts)).boxed_unsync();
         let mut response = Response::new(body);
         let json = HeaderValue::from_static("application/json");
         response.headers_mut().insert(CONTENT_TYPE, json);
-        Ok(named(response, &reader))
+        Ok(with_answer_id(response, &reader))
     }
 
-    /// Streams an answer that breaks off with this probability.
+    /// Streams a response, truncated with probability `truncate`.
     pub(super) fn stream(&self, reader: Reader, truncate: f64) -> Response<Body> {
         let cut = if !self.faults.hits(truncate) {
             Cut::Never
@@ -49,7 +52,7 @@
         } else if self.faults.get().truncate_cleanly {
             Cut::Cleanly
         } else {
-            Cut::Broken
+            Cut::Abruptly
         };
         let id = reader.job.id.clone();
         let parts = stream::unfold(Some((reader, cut)), next_frame);
@@ -60,12 +63,12 @@
     }
 }
 
-/// Where a stream is cut off: after its first part, or within its second.
+/// Where a stream is truncated: after its first part, or within its second.
 #[derive(Clone, Copy)]
 enum Cut {
     Never,
     Cleanly,
-    Broken,
+    Abruptly,
     Within,
     Half,
     Now,
@@ -73,17 +76,17 @@
 
 type Frames = Option<(Reader, Cut)>;
 
-async fn next_frame(state: Frames) -> Option<(Result<Frame<Bytes>, Broken>, Frames)> {
+async fn next_frame(state: Frames) -> Option<(Result<Frame<Bytes>, ConnectionAborted>, Frames)> {
     let (mut reader, cut) = state?;
     if matches!(cut, Cut::Now) {
-        // What was given so far is written out while this waits.
+        // Lets the server write out the frames so far.
         tokio::task::yield_now().await;
-        return Some((Err(Broken), None));
+        return Some((Err(ConnectionAborted), None));
     }
-    match reader.part().await {
+    match reader.next_part().await {
         Part::Events(events) => {
             if !matches!(cut, Cut::Never | Cut::Within) {
-                reader.cut();
+                reader.notify_truncated();
             }
             let half = events.slice(..events.len() / 2);
             let (events, next) = match cut {
@@ -91,7 +94,7 @@
                 Cut::Cleanly => (events, None),
                 Cut::Within => (events, Some((reader, Cut::Half))),
                 Cut::Half => (half, Some((reader, Cut::Now))),
-                Cut::Broken | Cut::Now => (events, Some((reader, Cut::Now))),
+                Cut::Abruptly | Cut::Now => (events, Some((reader, Cut::Now))),
             };
             Some((Ok(Frame::data(events)), next))
         }
@@ -99,7 +102,7 @@
             let done = Bytes::from_static(b"data: [DONE]\n\n");
             Some((Ok(Frame::data(done)), None))
         }
-        Part::End(End::Cancelled | End::Crashed) => Some((Err(Broken), None)),
+        Part::End(End::Cancelled | End::Crashed) => Some((Err(ConnectionAborted), None)),
     }
 }
 
@@ -128,8 +131,8 @@
     .to_string()
 }
 
-/// The answer to a request that didn't ask for a stream.
-fn whole(job: &Job) -> Value {
+/// Returns the response to a request without `stream`.
+fn complete_answer(job: &Job) -> Value {
     let events: Vec<Value> = job
         .events()
         .iter()
@@ -152,7 +155,7 @@
     })
 }
 
-fn named(response: Response<Body>, reader: &Reader) -> Response<Body> {
+fn with_answer_id(response: Response<Body>, reader: &Reader) -> Response<Body> {
     with_id(response, &reader.job.id)
 }
 
--- a/crates/standin/src/engine/slots.rs
+++ b/crates/standin/src/engine/slots.rs
@@ -1,4 +1,4 @@
-//! Slots for running requests; waiters get them by priority, then in turn.
+//! Slots for running requests, given to waiters by priority, then in order of arrival.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -20,7 +20,7 @@
     waiting: BTreeMap<(u8, u64), oneshot::Sender<Permit>>,
 }
 
-/// A slot that is free again when this is dropped.
+/// An occupied slot, released on drop.
 #[derive(Debug)]
 pub(super) struct Permit {
     slots: Option<Slots>,
@@ -47,11 +47,13 @@
             }
             let (sender, waiter) = oneshot::channel();
             state.sequence += 1;
-            let turn = (priority, state.sequence);
-            state.waiting.insert(turn, sender);
+            let position = (priority, state.sequence);
+            state.waiting.insert(position, sender);
             waiter
         };
-        waiter.await.expect("a sender is kept until it is used")
+        waiter
+            .await
+            .expect("a sender is not dropped before it is used")
     }
 
     fn permit(&self) -> Permit {
@@ -61,18 +63,18 @@
     }
 
     fn release(&self) {
-        while let Some(sender) = self.next() {
-            let Err(mut refused) = sender.send(self.permit()) else {
+        while let Some(sender) = self.pop_waiter() {
+            let Err(mut returned) = sender.send(self.permit()) else {
                 return;
             };
-            // A waiter that went away refuses its permit, which must not
-            // release the slot a second time.
-            refused.slots = None;
+            // The waiter is gone; its returned permit must not release the slot
+            // a second time.
+            returned.slots = None;
         }
     }
 
-    // The next waiter; without one the slot is free.
-    fn next(&self) -> Option<oneshot::Sender<Permit>> {
+    // Removes the next waiter; if there is none, marks the slot as free.
+    fn pop_waiter(&self) -> Option<oneshot::Sender<Permit>> {
         let mut state = lock(&self.state);
         let next = state.waiting.pop_first();
         if next.is_none() {
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -5,27 +5,27 @@
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
 
-/// The faults of a running stand-in; its clones change the same faults.
+/// The faults of a running stand-in; clones share them.
 #[derive(Clone, Debug)]
 pub struct Handle<F> {
     shared: Arc<Mutex<F>>,
     random: Arc<Mutex<ChaCha8Rng>>,
 }
 
-/// The seed of the draws that decide which call a fault hits.
-const SEED: u64 = 4;
+/// Seeds the random numbers that decide which calls a fault affects.
+const FAULT_SEED: u64 = 4;
 
 impl<F: Clone> Handle<F> {
-    /// Makes a handle of faults.
+    /// Creates a handle with the given faults.
     #[must_use]
     pub fn new(faults: F) -> Self {
         Self {
             shared: Arc::new(Mutex::new(faults)),
-            random: Arc::new(Mutex::new(ChaCha8Rng::seed_from_u64(SEED))),
+            random: Arc::new(Mutex::new(ChaCha8Rng::seed_from_u64(FAULT_SEED))),
         }
     }
 
-    /// Returns the present faults.
+    /// Returns the current faults.
     #[must_use]
     pub fn get(&self) -> F {
         lock(&self.shared).clone()
@@ -41,18 +41,18 @@
         change(&mut lock(&self.shared));
     }
 
-    /// Draws whether a fault hits that has this probability.
+    /// Decides at random whether a fault of this probability affects a call.
     pub(crate) fn hits(&self, probability: f64) -> bool {
         probability > 0.0 && lock(&self.random).random_bool(probability.min(1.0))
     }
 }
 
-/// Locks a mutex whose holder can't have panicked half-way through a change.
+/// Locks a mutex and ignores poisoning: no holder panics in the middle of a change.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Durations as whole milliseconds in JSON.
+/// Serializes durations as whole milliseconds.
 pub(crate) mod millis {
     use std::time::Duration;
 
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,15 +1,15 @@
-//! Stand-ins for the platform and the endpoints, with faults to switch on.
+//! Stand-ins for the platform and the endpoints, with configurable faults.
 //!
 //! They speak the protocols of `docs/PLATFORM.md` and keep everything in
 //! memory. Tests and the demo start them in their own process; the binary
-//! `godwitpost-standin` starts one for people. Each module has the same shape:
-//! `start` with an address and faults gives a `Running`, which says where it
-//! listens, has a handle by which the faults can be changed while it runs, and
-//! stops when it is dropped.
+//! `godwitpost-standin` runs one from the command line. Each module has the
+//! same API: `start` takes an address and faults and returns a `Running`, which
+//! has the address that it listens on and a handle to change the faults at run
+//! time, and stops when it is dropped.
 //!
-//! Over HTTP the faults are read by `GET /faults` and replaced by
-//! `PUT /faults`, with the JSON of the module's `Faults`; what is left out gets
-//! its default.
+//! Over HTTP the faults are read with `GET /faults` and replaced with
+//! `PUT /faults`, as the JSON of the module's `Faults`; omitted fields get their
+//! defaults.
 
 pub mod digest;
 pub mod engine;
--- a/crates/standin/src/list.rs
+++ b/crates/standin/src/list.rs
@@ -1,8 +1,8 @@
 //! The stand-in of the platform's list of instances.
 //!
 //! `PUT /v1/instances/{name}` with an entry's JSON and `DELETE` on the same
-//! path are this stand-in's own: they take the place of the platform's
-//! registration for people who run the fleet by hand.
+//! path exist only here: they replace the platform's registration when a fleet
+//! is run by hand.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,11 +22,11 @@
 use crate::faults::{Handle, lock, millis};
 use crate::serve::{Body, Error, Server, Switch};
 
-/// What can go wrong with the list.
+/// Faults of the list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// How much later than it happened a change shows.
+    /// Delay until a change is visible.
     #[serde(rename = "lag_ms", with = "millis")]
     pub lag: Duration,
     /// Added to the time of each call.
@@ -36,17 +36,17 @@
     pub down: bool,
 }
 
-/// The longest that a call waits for a change.
-const LONGEST_WAIT: Duration = Duration::from_secs(30);
+/// The longest that a long poll waits for a change.
+const MAX_WAIT: Duration = Duration::from_secs(30);
 
-/// How often a waiting call looks for one.
-const LOOK: Duration = Duration::from_millis(10);
+/// How often a long poll checks for a change.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Revisions that a life of the list may begin with: all that readers who take JSON's
-/// numbers for floating-point ones tell apart, with room for changes.
-const FIRST_REVISIONS: u64 = 1 << 52;
+/// Bound of the first revision of an incarnation. Readers that parse JSON numbers as
+/// floating-point ones still tell these revisions, and those of later changes, apart.
+const FIRST_REVISION_BOUND: u64 = 1 << 52;
 
-/// A list that listens; it stops when dropped.
+/// A list that is listening; it stops when dropped.
 #[derive(Debug)]
 pub struct Running {
     server: Server,
@@ -62,24 +62,24 @@
 #[derive(Debug)]
 struct Entries {
     latest: BTreeMap<String, Entry>,
-    // What the lag lets through: each name's last change and its revision.
-    shown: BTreeMap<String, (u64, Option<Entry>)>,
-    // Changes that the lag still hides, oldest first: when, whose, what.
+    // Visible changes: the last change of each name and its revision.
+    visible: BTreeMap<String, (u64, Option<Entry>)>,
+    // Changes hidden by the lag, oldest first: time, name and entry.
     pending: Vec<(Instant, String, Option<Entry>)>,
-    // The revision before the first change of this life of the list.
+    // The revision before the first change of this incarnation.
     start: u64,
     revision: u64,
 }
 
 impl Default for Entries {
     fn default() -> Self {
-        // A list that restarts must not take a revision that its readers hold from its
-        // earlier life for one of its own. No clock tells the two apart: the list may
-        // change more than once in a tick, and be back within one.
-        let start = rand::rng().random_range(..FIRST_REVISIONS);
+        // A restarted list must not mistake a reader's revision of an earlier incarnation
+        // for one of its own, so it starts at a random one. A clock can't replace this:
+        // the list may change several times, or restart, within one tick.
+        let start = rand::rng().random_range(..FIRST_REVISION_BOUND);
         Self {
             latest: BTreeMap::new(),
-            shown: BTreeMap::new(),
+            visible: BTreeMap::new(),
             pending: Vec::new(),
             start,
             revision: start,
@@ -106,13 +106,13 @@
 }
 
 impl Running {
-    /// Returns where it listens.
+    /// Returns the address that it listens on.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Returns the handle of its faults.
+    /// Returns the handle that reads and changes its faults.
     #[must_use]
     pub const fn faults(&self) -> &Handle<Faults> {
         &self.core.faults
@@ -128,8 +128,8 @@
         lock(&self.core.entries).change(name.to_owned(), None);
     }
 
-    /// Marks an entry as leaving; an unknown name changes nothing.
-    pub fn leaving(&self, name: &str) {
+    /// Marks an entry as leaving; ignores an unknown name.
+    pub fn mark_leaving(&self, name: &str) {
         let mut entries = lock(&self.core.entries);
         if let Some(mut entry) = entries.latest.get(name).cloned() {
             entry.standing = Standing::Leaving;
@@ -137,13 +137,13 @@
         }
     }
 
-    /// Returns the entries as they are, without the lag.
+    /// Returns the current entries, without the lag.
     #[must_use]
     pub fn entries(&self) -> Vec<Entry> {
         lock(&self.core.entries).latest.values().cloned().collect()
     }
 
-    /// Stops it and frees its port.
+    /// Stops it and waits until its port is free.
     pub async fn stop(self) {
         self.server.stop().await;
     }
@@ -158,29 +158,32 @@
         self.pending.push((Instant::now(), name, entry));
     }
 
-    fn show(&mut self, lag: Duration) {
+    fn apply_due(&mut self, lag: Duration) {
         let now = Instant::now();
         let due = self
             .pending
             .partition_point(|(changed, ..)| now.saturating_duration_since(*changed) >= lag);
         for (_, name, entry) in self.pending.drain(..due) {
             self.revision += 1;
-            self.shown.insert(name, (self.revision, entry));
+            self.visible.insert(name, (self.revision, entry));
         }
     }
 
-    fn whole(&self) -> serde_json::Value {
-        let entries = self.shown.values().filter_map(|(_, entry)| entry.as_ref());
+    fn full_list(&self) -> serde_json::Value {
+        let entries = self
+            .visible
+            .values()
+            .filter_map(|(_, entry)| entry.as_ref());
         json!({ "revision": self.revision, "instances": entries.collect::<Vec<_>>() })
     }
 
-    /// Returns what changed after a revision, or everything if that revision
-    /// is none of this list's.
-    fn after(&self, revision: u64) -> serde_json::Value {
+    /// Returns the changes after a revision, or all entries if the revision is
+    /// not from this incarnation.
+    fn changes_after(&self, revision: u64) -> serde_json::Value {
         if revision < self.start || revision > self.revision {
-            return self.whole();
+            return self.full_list();
         }
-        let later = self.shown.iter().filter(|(_, (at, _))| *at > revision);
+        let later = self.visible.iter().filter(|(_, (at, _))| *at > revision);
         let (mut changed, mut removed) = (Vec::new(), Vec::new());
         for (name, (_, entry)) in later {
             match entry {
@@ -219,20 +222,20 @@
         let query = request.uri().query();
         let Some(after) = answer::number(query, "after") else {
             let mut entries = lock(&self.entries);
-            entries.show(lag);
-            return answer::json(StatusCode::OK, &entries.whole());
+            entries.apply_due(lag);
+            return answer::json(StatusCode::OK, &entries.full_list());
         };
         let wait = Duration::from_millis(answer::number(query, "wait_ms").unwrap_or(0));
-        let until = Instant::now() + wait.min(LONGEST_WAIT);
-        while !self.passed(after, lag) && Instant::now() < until {
-            sleep(LOOK).await;
+        let until = Instant::now() + wait.min(MAX_WAIT);
+        while !self.has_other_revision(after, lag) && Instant::now() < until {
+            sleep(POLL_INTERVAL).await;
         }
-        answer::json(StatusCode::OK, &lock(&self.entries).after(after))
+        answer::json(StatusCode::OK, &lock(&self.entries).changes_after(after))
     }
 
-    fn passed(&self, revision: u64, lag: Duration) -> bool {
+    fn has_other_revision(&self, revision: u64, lag: Duration) -> bool {
         let mut entries = lock(&self.entries);
-        entries.show(lag);
+        entries.apply_due(lag);
         entries.revision != revision
     }
 
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -19,12 +19,12 @@
 
 use self::page::Page;
 pub use self::streams::Record;
-use self::streams::{Streams, Taken};
+use self::streams::{Appended, Streams};
 use crate::answer::{self, Answer};
 use crate::faults::{Handle, lock, millis};
-use crate::serve::{Broken, Error, Server, Switch};
+use crate::serve::{ConnectionAborted, Error, Server, Switch};
 
-/// What can go wrong with the log.
+/// Faults of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
@@ -33,21 +33,21 @@
     pub slow: Duration,
     /// Answer 503 to everything.
     pub down: bool,
-    /// Appends a second over all streams; more get 429. The platform's log
-    /// takes several hundred.
+    /// Appends per second over all streams; more get 429. The platform's log
+    /// accepts several hundred.
     pub rate: f64,
-    /// Probability that an append takes effect and its answer is lost.
+    /// Probability that an append takes effect but its response is lost.
     pub lose_answers: f64,
     /// Probability that an append's connection breaks at once and the append
     /// takes effect only after `late_by`.
     pub late_effects: f64,
-    /// How much later a late append takes effect.
+    /// Delay after which a late append takes effect.
     #[serde(rename = "late_by_ms", with = "millis")]
     pub late_by: Duration,
-    /// Reads miss the records of this last time.
+    /// Reads omit records younger than this.
     #[serde(rename = "stale_reads_ms", with = "millis")]
     pub stale_reads: Duration,
-    /// Records older than this are gone.
+    /// Records older than this are removed.
     #[serde(rename = "retention_ms", with = "millis")]
     pub retention: Duration,
 }
@@ -67,7 +67,7 @@
     }
 }
 
-/// A log that listens; it stops when dropped.
+/// A log that is listening; it stops when dropped.
 #[derive(Debug)]
 pub struct Running {
     server: Server,
@@ -80,7 +80,7 @@
     faults: Handle<Faults>,
     switch: Switch,
     streams: Arc<Mutex<Streams>>,
-    // Wakes long polls when a record was added.
+    // Wakes long polls after an append.
     appended: Arc<watch::Sender<u64>>,
 }
 
@@ -106,19 +106,19 @@
 }
 
 impl Running {
-    /// Returns where it listens.
+    /// Returns the address that it listens on.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Returns the handle of its faults.
+    /// Returns the handle that reads and changes its faults.
     #[must_use]
     pub const fn faults(&self) -> &Handle<Faults> {
         &self.core.faults
     }
 
-    /// Returns the records of a stream that are still kept.
+    /// Returns the retained records of a stream.
     #[must_use]
     pub fn records(&self, stream: &str) -> Vec<Record> {
         lock(&self.core.streams).all(stream)
@@ -129,18 +129,18 @@
         lock(&self.core.streams).truncate(stream, before);
     }
 
-    /// Appends a record without going over HTTP, whatever the faults.
+    /// Appends a record directly, without HTTP and unaffected by faults.
     pub fn append(&self, stream: &str, body: Bytes) -> Offset {
-        self.core.take(stream, body).offset
+        self.core.append_record(stream, body).offset
     }
 
-    /// Breaks all connections off and refuses new ones for a time. Records
-    /// stay; an append that had not taken effect yet never does.
+    /// Aborts all connections and refuses new ones for `down_for`. Records are
+    /// retained; an append that had not appended effect yet never does.
     pub fn crash(&self, down_for: Duration) {
         self.core.switch.down_for(down_for, || {});
     }
 
-    /// Stops it and frees its port.
+    /// Stops it and waits until its port is free.
     pub async fn stop(self) {
         self.server.stop().await;
     }
@@ -168,7 +168,7 @@
                 "the log is down; try again later",
             ));
         }
-        let Some(stream) = stream_of(&path) else {
+        let Some(stream) = stream_name(&path) else {
             return Ok(answer::not_found());
         };
         match *request.method() {
@@ -188,31 +188,31 @@
             ));
         }
         if self.faults.hits(faults.late_effects) {
-            self.take_late(stream.to_owned(), body, faults.late_by);
-            return Err(Broken);
+            self.append_late(stream.to_owned(), body, faults.late_by);
+            return Err(ConnectionAborted);
         }
-        let taken = self.take(stream, body);
+        let appended = self.append_record(stream, body);
         if self.faults.hits(faults.lose_answers) {
-            return Err(Broken);
+            return Err(ConnectionAborted);
         }
-        let time_ms = u64::try_from(taken.time.as_millis()).unwrap_or(u64::MAX);
+        let time_ms = u64::try_from(appended.time.as_millis()).unwrap_or(u64::MAX);
         Ok(answer::json(
             StatusCode::CREATED,
-            &json!({ "offset": taken.offset, "time_ms": time_ms }),
+            &json!({ "offset": appended.offset, "time_ms": time_ms }),
         ))
     }
 
-    fn take(&self, stream: &str, body: Bytes) -> Taken {
-        let taken = lock(&self.streams).append(stream, self.clock.now(), body);
+    fn append_record(&self, stream: &str, body: Bytes) -> Appended {
+        let appended = lock(&self.streams).append(stream, self.clock.now(), body);
         self.appended.send_modify(|count| *count += 1);
-        taken
+        appended
     }
 
-    fn take_late(&self, stream: String, body: Bytes, late_by: Duration) {
+    fn append_late(&self, stream: String, body: Bytes, late_by: Duration) {
         let core = self.clone();
         tokio::spawn(async move {
             sleep(late_by).await;
-            core.take(&stream, body);
+            core.append_record(&stream, body);
         });
     }
 
@@ -226,17 +226,17 @@
         loop {
             appended.mark_unchanged();
             let page = self.page(stream, from, limit);
-            let left = deadline.saturating_duration_since(Instant::now());
-            if !page.is_empty() || page.first() > from || left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if !page.is_empty() || page.first() > from || remaining.is_zero() {
                 return Ok(answer::json(StatusCode::OK, &page));
             }
-            // Records that a stale read can't show yet raise no further
-            // signal when they are old enough, hence the short waits.
+            // No signal is sent when a record becomes old enough for a stale
+            // read, so the wait is limited to that time.
             let stale = self.faults.get().stale_reads;
             let pause = if stale.is_zero() {
-                left
+                remaining
             } else {
-                left.min(stale)
+                remaining.min(stale)
             };
             let _either = timeout(pause, appended.changed()).await;
         }
@@ -264,7 +264,7 @@
     }
 }
 
-fn stream_of(path: &str) -> Option<&str> {
+fn stream_name(path: &str) -> Option<&str> {
     path.strip_prefix("/v1/streams/")?
         .strip_suffix("/records")
         .filter(|stream| !stream.is_empty() && !stream.contains('/'))
--- a/crates/standin/src/log/page.rs
+++ b/crates/standin/src/log/page.rs
@@ -7,7 +7,7 @@
 
 use super::Record;
 
-/// The answer to a read.
+/// The response to a read.
 #[derive(Serialize)]
 pub(super) struct Page {
     first: Offset,
@@ -23,7 +23,7 @@
 }
 
 impl Page {
-    /// Makes a page of what a read from an offset found.
+    /// Creates the page for a read from offset `from`.
     pub(super) fn new(first: Offset, from: Offset, records: &[Record]) -> Self {
         let next = records.last().map(|last| last.offset + 1);
         Self {
--- a/crates/standin/src/log/streams.rs
+++ b/crates/standin/src/log/streams.rs
@@ -23,44 +23,44 @@
     records: VecDeque<Record>,
 }
 
-/// All streams and the allowance of appends.
+/// All streams and the token bucket for appends.
 #[derive(Debug, Default)]
 pub(super) struct Streams {
     by_name: BTreeMap<String, Stream>,
-    allowance: f64,
-    refilled: Option<Moment>,
+    tokens: f64,
+    refilled_at: Option<Moment>,
 }
 
-/// Where an append ended up.
+/// The offset and time of an append.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Taken {
+pub(super) struct Appended {
     pub(super) offset: Offset,
     pub(super) time: Moment,
 }
 
 impl Streams {
-    /// Takes one append from the allowance: a bucket of a second's worth.
+    /// Takes one append from the token bucket, which holds one second's worth.
     pub(super) fn allow(&mut self, now: Moment, rate: f64) -> bool {
-        let refill = self.refilled.map_or(rate.max(1.0), |last| {
+        let refill = self.refilled_at.map_or(rate.max(1.0), |last| {
             now.saturating_sub(last).as_secs_f64() * rate
         });
-        self.refilled = Some(now);
-        self.allowance = (self.allowance + refill).min(rate.max(1.0));
-        if self.allowance < 1.0 {
+        self.refilled_at = Some(now);
+        self.tokens = (self.tokens + refill).min(rate.max(1.0));
+        if self.tokens < 1.0 {
             return false;
         }
-        self.allowance -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 
-    pub(super) fn append(&mut self, stream: &str, time: Moment, body: Bytes) -> Taken {
+    pub(super) fn append(&mut self, stream: &str, time: Moment, body: Bytes) -> Appended {
         let stream = self.by_name.entry(stream.to_owned()).or_default();
         let offset = stream.first + stream.records.len() as Offset;
         stream.records.push_back(Record { offset, time, body });
-        Taken { offset, time }
+        Appended { offset, time }
     }
 
-    /// Returns the first offset kept and up to `limit` records from an offset
+    /// Returns the first retained offset and up to `limit` records from an offset
     /// on that took effect no later than `until`.
     pub(super) fn page(
         &self,
@@ -105,8 +105,8 @@
 }
 
 impl Stream {
-    fn drop_while(&mut self, gone: impl Fn(&Record) -> bool) {
-        while self.records.front().is_some_and(&gone) {
+    fn drop_while(&mut self, is_removed: impl Fn(&Record) -> bool) {
+        while self.records.front().is_some_and(&is_removed) {
             self.records.pop_front();
             self.first += 1;
         }
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in until it is told to stop.
+//! Runs one stand-in until SIGINT or SIGTERM.
 //!
 //! Exit codes: 0 after SIGINT or SIGTERM, 1 if it can't start, 2 for a wrong
 //! command line.
@@ -39,34 +39,34 @@
     match command.standin {
         Standin::Log(faults) => {
             let running = log::start(listen, faults).await?;
-            until_stopped(running.address()).await;
+            wait_for_signal(running.address()).await;
             running.stop().await;
         }
         Standin::List(faults) => {
             let running = list::start(listen, faults).await?;
-            until_stopped(running.address()).await;
+            wait_for_signal(running.address()).await;
             running.stop().await;
         }
         Standin::Engine(settings, faults) => {
             let running = engine::start(listen, settings, faults).await?;
-            until_stopped(running.address()).await;
+            wait_for_signal(running.address()).await;
             running.stop().await;
         }
         Standin::Service(faults) => {
             let running = plain::start(listen, faults).await?;
-            until_stopped(running.address()).await;
+            wait_for_signal(running.address()).await;
             running.stop().await;
         }
         Standin::Weights(faults) => {
             let running = weights::start(listen, faults).await?;
-            until_stopped(running.address()).await;
+            wait_for_signal(running.address()).await;
             running.stop().await;
         }
     }
     Ok(())
 }
 
-async fn until_stopped(address: std::net::SocketAddr) {
+async fn wait_for_signal(address: std::net::SocketAddr) {
     println!("listening on {address}");
     let mut terminate = signal(SignalKind::terminate()).expect("SIGTERM can be caught");
     tokio::select! {
--- a/crates/standin/src/observe.rs
+++ b/crates/standin/src/observe.rs
@@ -1,52 +1,52 @@
-//! A view into an endpoint for whoever judges a run.
+//! Events of an endpoint for checkers of a run.
 //!
-//! The run logs of engines and plain services have moments, which say nothing
-//! of what came before what on another machine. An observer is told at the
-//! very place: a start before anything of the request is done, the end before
-//! the last byte of the answer is sent, a crash before a connection breaks.
+//! The run logs of engines and plain services contain timestamps, which give no
+//! order of events across machines. An observer is therefore called
+//! synchronously: for a start before any work on the request, for an end before
+//! the last byte of the response is sent, for a crash before a connection breaks.
 
 use std::fmt;
 use std::sync::{Arc, OnceLock};
 
-/// What an endpoint is doing.
+/// An event of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// It takes a request to run.
+    /// It accepted a request.
     Started {
-        /// The run's place in the run log.
+        /// The number of the run in the run log.
         run: u64,
         /// The `traceparent` header of the request.
         trace: Option<String>,
         /// Estimated work in tokens; 1 for a plain service.
         work: u64,
-        /// The right answer: an engine's text, a plain service's body.
+        /// The correct answer: an engine's text, a plain service's body.
         answer: String,
     },
     /// It is about to end a run.
     Ended {
-        /// The run's place in the run log.
+        /// The number of the run in the run log.
         run: u64,
-        /// How.
+        /// How the run ends.
         end: End,
     },
-    /// A fault is about to break off the answer of a run that goes on.
-    Cut {
-        /// The run's place in the run log.
+    /// A fault is about to truncate the response of a run, which itself continues.
+    Truncated {
+        /// The number of the run in the run log.
         run: u64,
     },
-    /// It refuses a request since it is leaving.
+    /// It refused a request because it is leaving.
     Refused {
         /// The `traceparent` header of the request.
         trace: Option<String>,
     },
     /// It is about to crash.
-    Lost {
-        /// The life that ends.
+    Crashed {
+        /// The incarnation that ends.
         incarnation: u64,
     },
-    /// It listens again.
-    Joined {
-        /// The life that begins.
+    /// It is about to listen again after a crash.
+    Restarted {
+        /// The incarnation that begins.
         incarnation: u64,
     },
 }
@@ -54,36 +54,36 @@
 /// How a run ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// Its answer was made whole.
-    Whole,
-    /// It was cancelled, or whoever waited for it went away.
+    /// Its answer was completed.
+    Completed,
+    /// It was cancelled, or its caller disconnected.
     Abandoned,
-    /// The endpoint crashed, or lost the answer by a fault.
-    Cut,
+    /// The endpoint crashed, or a fault dropped the response.
+    Interrupted,
 }
 
-type Told = Box<dyn Fn(Event) + Send + Sync>;
+type Callback = Box<dyn Fn(Event) + Send + Sync>;
 
-/// The place of at most one observer; clones are the same place.
+/// A slot for at most one observer; clones share it.
 #[derive(Clone, Default)]
-pub(crate) struct Place(Arc<OnceLock<Told>>);
+pub(crate) struct ObserverSlot(Arc<OnceLock<Callback>>);
 
-impl Place {
-    /// Sets the observer; the first one stays.
-    pub(crate) fn set(&self, told: impl Fn(Event) + Send + Sync + 'static) {
-        let _first_stays = self.0.set(Box::new(told));
+impl ObserverSlot {
+    /// Sets the observer unless one is already set.
+    pub(crate) fn set(&self, callback: impl Fn(Event) + Send + Sync + 'static) {
+        let _already_set = self.0.set(Box::new(callback));
     }
 
-    pub(crate) fn tell(&self, event: Event) {
-        if let Some(told) = self.0.get() {
-            told(event);
+    pub(crate) fn notify(&self, event: Event) {
+        if let Some(callback) = self.0.get() {
+            callback(event);
         }
     }
 }
 
-impl fmt::Debug for Place {
+impl fmt::Debug for ObserverSlot {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let taken = self.0.get().is_some();
-        f.debug_struct("Place").field("taken", &taken).finish()
+        let is_set = self.0.get().is_some();
+        f.debug_struct("Place").field("taken", &is_set).finish()
     }
 }
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -1,9 +1,9 @@
-//! The stand-in of a plain service: it executes any call and counts.
+//! The stand-in of a plain service: it executes any call and counts executions.
 //!
-//! An answer is JSON with the digest of the request's body ([`crate::digest`])
+//! A response is JSON with the digest of the request's body ([`crate::digest`])
 //! and how often the same path and `Idempotency-Key` have been executed. The
-//! service does nothing about repeated keys: keeping an order from running
-//! twice is the fleet's task, and [`Running::runs`] tells whether it did.
+//! service doesn't deduplicate keys: the fleet has to keep an order from
+//! running twice, and [`Running::runs`] shows whether it did.
 
 mod core;
 
@@ -18,20 +18,20 @@
 use crate::observe::Event;
 use crate::serve::{Error, Server};
 
-/// What can go wrong with a plain service.
+/// Faults of a plain service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
     /// The time that an execution takes.
     #[serde(rename = "slow_ms", with = "millis")]
     pub slow: Duration,
-    /// Probability that a call is executed and its answer is lost.
+    /// Probability that a call is executed but its response is lost.
     pub lose_answers: f64,
-    /// Probability that a call is refused with 503, unexecuted.
+    /// Probability that a call is refused with 503, without execution.
     pub refuse: f64,
-    /// Refuse new work and say so in the report.
+    /// Refuse new requests and report the standing `leaving`.
     pub leaving: bool,
-    /// A call whose body holds this text crashes the service.
+    /// A call whose body contains this text crashes the service.
     pub crash_marker: Option<String>,
     /// How long the service is down after a crash.
     #[serde(rename = "down_for_ms", with = "millis")]
@@ -66,7 +66,7 @@
     pub started: Moment,
 }
 
-/// A plain service that listens; it stops when dropped.
+/// A plain service that is listening; it stops when dropped.
 #[derive(Debug)]
 pub struct Running {
     server: Server,
@@ -89,25 +89,25 @@
 }
 
 impl Running {
-    /// Returns where it listens.
+    /// Returns the address that it listens on.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Returns the handle of its faults.
+    /// Returns the handle that reads and changes its faults.
     #[must_use]
     pub const fn faults(&self) -> &Handle<Faults> {
         self.core.faults()
     }
 
-    /// Returns its present life; each crash begins a greater one.
+    /// Returns the current incarnation; each crash increases it.
     #[must_use]
     pub fn incarnation(&self) -> u64 {
         self.core.incarnation()
     }
 
-    /// Returns every execution so far, in the order in which they began.
+    /// Returns all executions so far, in order of their start.
     #[must_use]
     pub fn executions(&self) -> Vec<Execution> {
         self.core.executions()
@@ -119,18 +119,19 @@
         self.core.runs(call, key)
     }
 
-    /// Tells `told` what it does from now on; the first observer stays.
-    pub fn observe(&self, told: impl Fn(Event) + Send + Sync + 'static) {
-        self.core.observe(told);
+    /// Calls `callback` for each event from now on. Only the first observer is
+    /// used; later calls have no effect.
+    pub fn observe(&self, callback: impl Fn(Event) + Send + Sync + 'static) {
+        self.core.observe(callback);
     }
 
-    /// Breaks all connections off and refuses new ones for a time; then it is
-    /// back in a new life.
+    /// Aborts all connections and refuses new ones for `down_for`; then
+    /// listens again under a new incarnation.
     pub fn crash(&self, down_for: Duration) {
         self.core.crash(down_for);
     }
 
-    /// Stops it and frees its port.
+    /// Stops it and waits until its port is free.
     pub async fn stop(self) {
         self.server.stop().await;
     }
--- a/crates/standin/src/plain/core.rs
+++ b/crates/standin/src/plain/core.rs
@@ -1,4 +1,4 @@
-//! What the calls to one plain service share.
+//! State shared by the calls to one plain service, and their handling.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -12,19 +12,19 @@
 use super::{Execution, Faults};
 use crate::answer::{self, Answer};
 use crate::digest;
-use crate::endpoint::{leaving, marked, trace};
+use crate::endpoint::{contains_marker, leaving_response, traceparent};
 use crate::faults::{Handle, lock};
-use crate::observe::{End, Event, Place};
-use crate::serve::{Body, Broken, Switch};
+use crate::observe::{End, Event, ObserverSlot};
+use crate::serve::{Body, ConnectionAborted, Switch};
 
-/// One plain service; its clones are the same service.
+/// One plain service; clones share its state.
 #[derive(Clone, Debug)]
 pub(super) struct Core {
     clock: Clock,
     faults: Handle<Faults>,
     switch: Switch,
     state: Arc<Mutex<State>>,
-    observer: Place,
+    observer: ObserverSlot,
 }
 
 #[derive(Debug)]
@@ -65,7 +65,7 @@
                 running: 0,
                 executions: Vec::new(),
             })),
-            observer: Place::default(),
+            observer: ObserverSlot::default(),
         }
     }
 
@@ -89,8 +89,8 @@
         lock(&self.state).runs(call, Some(key))
     }
 
-    pub(super) fn observe(&self, told: impl Fn(Event) + Send + Sync + 'static) {
-        self.observer.set(told);
+    pub(super) fn observe(&self, callback: impl Fn(Event) + Send + Sync + 'static) {
+        self.observer.set(callback);
     }
 
     pub(super) async fn handle(self, request: Request<Incoming>) -> Answer {
@@ -124,9 +124,9 @@
     async fn call(self, request: Request<Incoming>) -> Answer {
         let faults = self.faults.get();
         if faults.leaving {
-            let trace = trace(request.headers());
-            self.observer.tell(Event::Refused { trace });
-            return Ok(leaving());
+            let trace = traceparent(request.headers());
+            self.observer.notify(Event::Refused { trace });
+            return Ok(leaving_response());
         }
         let (head, body) = request.into_parts();
         let body = answer::read(body).await?;
@@ -144,37 +144,37 @@
             call,
             key,
             request,
-            digest: digest::of(&body),
+            digest: digest::body_digest(&body),
             started: self.clock.now(),
         };
-        let (run, right) = self.begin(trace(&head.headers), execution);
-        let mut running = Executing::new(&self, run);
-        if marked(&body, faults.crash_marker.as_deref()) {
-            running.end = End::Cut;
+        let (run, correct_answer) = self.record_start(traceparent(&head.headers), execution);
+        let mut running = ExecutionGuard::new(&self, run);
+        if contains_marker(&body, faults.crash_marker.as_deref()) {
+            running.end = End::Interrupted;
             self.crash(faults.down_for);
-            return Err(Broken);
+            return Err(ConnectionAborted);
         }
         sleep(faults.slow).await;
         if self.faults.hits(faults.lose_answers) {
-            running.end = End::Cut;
-            return Err(Broken);
+            running.end = End::Interrupted;
+            return Err(ConnectionAborted);
         }
-        running.end = End::Whole;
+        running.end = End::Completed;
         drop(running);
         Ok(answer::bytes(
             StatusCode::OK,
             "application/json",
-            right.into(),
+            correct_answer.into(),
         ))
     }
 
-    /// Notes an execution; returns its number and its right answer.
-    fn begin(&self, trace: Option<String>, execution: Execution) -> (u64, String) {
+    /// Records an execution; returns its number and its correct answer.
+    fn record_start(&self, trace: Option<String>, execution: Execution) -> (u64, String) {
         let mut state = lock(&self.state);
         state.executions.push(execution);
         let run = state.executions.len() as u64;
         let answer = state.last_answer();
-        self.observer.tell(Event::Started {
+        self.observer.notify(Event::Started {
             run,
             trace,
             work: 1,
@@ -187,26 +187,26 @@
         let incarnation = {
             let mut state = lock(&self.state);
             let incarnation = state.incarnation;
-            self.observer.tell(Event::Lost { incarnation });
+            self.observer.notify(Event::Crashed { incarnation });
             state.incarnation += 1;
             state.incarnation
         };
         let observer = self.observer.clone();
-        let joined = Event::Joined { incarnation };
+        let restarted = Event::Restarted { incarnation };
         self.switch
-            .down_for(down_for, move || observer.tell(joined));
+            .down_for(down_for, move || observer.notify(restarted));
     }
 }
 
-/// Counts an execution as running until it is dropped.
-struct Executing {
+/// Counts an execution as running until dropped, then reports its end.
+struct ExecutionGuard {
     state: Arc<Mutex<State>>,
-    observer: Place,
+    observer: ObserverSlot,
     run: u64,
     end: End,
 }
 
-impl Executing {
+impl ExecutionGuard {
     fn new(core: &Core, run: u64) -> Self {
         let state = Arc::clone(&core.state);
         lock(&state).running += 1;
@@ -219,10 +219,10 @@
     }
 }
 
-impl Drop for Executing {
+impl Drop for ExecutionGuard {
     fn drop(&mut self) {
         lock(&self.state).running -= 1;
         let (run, end) = (self.run, self.end);
-        self.observer.tell(Event::Ended { run, end });
+        self.observer.notify(Event::Ended { run, end });
     }
 }
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -1,8 +1,8 @@
-//! The HTTP/1.1 server under each stand-in, which can go down and come back.
+//! The HTTP/1.1 server of each stand-in, which can simulate a crash and restart.
 //!
-//! A crashed process refuses connections, so a stand-in that is down must as
-//! well: accepting and closing would look like a request of unknown fate. The
-//! port is kept meanwhile by a socket that is bound but doesn't listen.
+//! A crashed process refuses connections, so a stand-in that is down must refuse
+//! them too: accepting and closing would look like a request whose outcome is
+//! unknown. A socket that is bound but not listening reserves the port meanwhile.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,33 +19,32 @@
 use tokio::sync::watch;
 use tokio::task::{JoinHandle, JoinSet};
 
-/// The body of an answer.
-pub(crate) type Body = UnsyncBoxBody<Bytes, Broken>;
+/// The body of a response.
+pub(crate) type Body = UnsyncBoxBody<Bytes, ConnectionAborted>;
 
-/// Connections that may wait to be accepted.
-const BACKLOG: u32 = 1024;
-/// The pause between tries to get the port back.
-const REBIND_PAUSE: Duration = Duration::from_millis(5);
+const LISTEN_BACKLOG: u32 = 1024;
+/// The pause after a failed bind or accept.
+const RETRY_PAUSE: Duration = Duration::from_millis(5);
 
 /// Why a stand-in can't start.
 #[derive(Debug, displaydoc::Display)]
 pub enum Error {
     /// cannot listen on {address} ({cause}); choose a free port, or port 0
     Listen {
-        /// Where it was to listen.
+        /// The address to listen on.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         cause: std::io::Error,
     },
 }
 
 impl std::error::Error for Error {}
 
-/// the connection is broken off
+/// the stand-in aborted the connection
 #[derive(Debug, displaydoc::Display)]
-pub(crate) struct Broken;
+pub(crate) struct ConnectionAborted;
 
-impl std::error::Error for Broken {}
+impl std::error::Error for ConnectionAborted {}
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
@@ -66,8 +65,8 @@
         }
     }
 
-    /// Breaks all connections off and refuses new ones for a time. Calls `up`
-    /// right before it listens again.
+    /// Aborts all connections and refuses new ones for `time`. Calls `up` right
+    /// before the server listens again.
     pub(crate) fn down_for(&self, time: Duration, up: impl FnOnce() + Send + 'static) {
         self.state.send_replace(State::Down);
         let state = Arc::clone(&self.state);
@@ -87,7 +86,7 @@
 }
 
 impl Server {
-    /// Starts to serve `handler` at an address.
+    /// Binds an address and serves requests with `handler`.
     pub(crate) async fn start<H, A>(
         address: SocketAddr,
         switch: Switch,
@@ -95,7 +94,7 @@
     ) -> Result<Self, Error>
     where
         H: Fn(Request<Incoming>) -> A + Clone + Send + Sync + 'static,
-        A: Future<Output = Result<Response<Body>, Broken>> + Send + 'static,
+        A: Future<Output = Result<Response<Body>, ConnectionAborted>> + Send + 'static,
     {
         let listener = TcpListener::bind(address)
             .await
@@ -114,7 +113,7 @@
     /// Stops and waits until the port is free.
     pub(crate) async fn stop(mut self) {
         self.task.abort();
-        // An aborted task reports that it was cancelled; nothing else matters.
+        // The only possible error is the cancellation requested above.
         let _cancelled = (&mut self.task).await;
     }
 }
@@ -128,54 +127,54 @@
 async fn run<H, A>(mut listener: TcpListener, address: SocketAddr, switch: Switch, handler: H)
 where
     H: Fn(Request<Incoming>) -> A + Clone + Send + Sync + 'static,
-    A: Future<Output = Result<Response<Body>, Broken>> + Send + 'static,
+    A: Future<Output = Result<Response<Body>, ConnectionAborted>> + Send + 'static,
 {
     let mut state = switch.state.subscribe();
     loop {
         accept(&listener, &mut state, &handler).await;
         drop(listener);
-        listener = stay_down(address, &mut state).await;
+        listener = wait_until_up(address, &mut state).await;
     }
 }
 
-/// Accepts connections until the state is down; dropping the set breaks them
-/// off.
+/// Accepts connections until the state is down; dropping the set then aborts
+/// them.
 async fn accept<H, A>(listener: &TcpListener, state: &mut watch::Receiver<State>, handler: &H)
 where
     H: Fn(Request<Incoming>) -> A + Clone + Send + Sync + 'static,
-    A: Future<Output = Result<Response<Body>, Broken>> + Send + 'static,
+    A: Future<Output = Result<Response<Body>, ConnectionAborted>> + Send + 'static,
 {
     let mut connections = JoinSet::new();
     loop {
         tokio::select! {
             biased;
-            () = reach(state, State::Down) => return,
+            () = wait_for_state(state, State::Down) => return,
             Some(_) = connections.join_next() => {}
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
                     connections.spawn(serve(stream, handler.clone()));
                 }
-                // A caller that gave up, or no free file descriptor: later
-                // calls may do better.
-                Err(_) => tokio::time::sleep(REBIND_PAUSE).await,
+                // The caller has disconnected, or no file descriptor is free:
+                // a later accept may succeed.
+                Err(_) => tokio::time::sleep(RETRY_PAUSE).await,
             },
         }
     }
 }
 
-async fn reach(state: &mut watch::Receiver<State>, wanted: State) {
-    // No error can come: the sender lives as long as the server's switch.
+async fn wait_for_state(state: &mut watch::Receiver<State>, wanted: State) {
+    // This cannot fail: the server's switch keeps the sender alive.
     drop(state.wait_for(|&state| state == wanted).await);
 }
 
-async fn stay_down(address: SocketAddr, state: &mut watch::Receiver<State>) -> TcpListener {
+async fn wait_until_up(address: SocketAddr, state: &mut watch::Receiver<State>) -> TcpListener {
     let mut reserved = reserve(address);
-    reach(state, State::Up).await;
+    wait_for_state(state, State::Up).await;
     loop {
-        if let Some(listener) = reserved.and_then(|socket| socket.listen(BACKLOG).ok()) {
+        if let Some(listener) = reserved.and_then(|socket| socket.listen(LISTEN_BACKLOG).ok()) {
             return listener;
         }
-        tokio::time::sleep(REBIND_PAUSE).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
         reserved = reserve(address);
     }
 }
@@ -195,9 +194,9 @@
 async fn serve<H, A>(stream: TcpStream, handler: H)
 where
     H: Fn(Request<Incoming>) -> A,
-    A: Future<Output = Result<Response<Body>, Broken>>,
+    A: Future<Output = Result<Response<Body>, ConnectionAborted>>,
 {
-    // Small frames of a token stream must not wait for an acknowledgement.
+    // Without TCP_NODELAY small frames of a token stream wait for an acknowledgement.
     let _best_effort = stream.set_nodelay(true);
     let served = http1::Builder::new()
         .timer(TokioTimer::new())
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -1,7 +1,7 @@
 //! The stand-in of the rate-limited weight store.
 //!
-//! It has every version of every model, but for those in
-//! [`Faults::missing`]; the weights are a few bytes that name them.
+//! It has every version of every model except those in [`Faults::missing`]; the
+//! weights are a short text that names the version.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 use crate::faults::{Handle, lock, millis};
 use crate::serve::{Error, Server, Switch};
 
-/// What can go wrong with the weight store.
+/// Faults of the weight store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
@@ -28,7 +28,7 @@
     pub slow: Duration,
     /// Answer 503 to everything.
     pub down: bool,
-    /// Pulls a second; more get 429.
+    /// Pulls per second; more get 429.
     pub rate: f64,
     /// Versions that it doesn't have, each as `model/weights`.
     pub missing: BTreeSet<String>,
@@ -45,7 +45,7 @@
     }
 }
 
-/// A weight store that listens; it stops when dropped.
+/// A weight store that is listening; it stops when dropped.
 #[derive(Debug)]
 pub struct Running {
     server: Server,
@@ -55,8 +55,7 @@
 #[derive(Clone, Debug)]
 struct Core {
     faults: Handle<Faults>,
-    // The moment from which on the next pull is within the rate, and the
-    // pulls that were answered.
+    // When the next pull is within the rate, and the pulls answered so far.
     state: Arc<Mutex<State>>,
 }
 
@@ -85,13 +84,13 @@
 }
 
 impl Running {
-    /// Returns where it listens.
+    /// Returns the address that it listens on.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Returns the handle of its faults.
+    /// Returns the handle that reads and changes its faults.
     #[must_use]
     pub const fn faults(&self) -> &Handle<Faults> {
         &self.core.faults
@@ -103,7 +102,7 @@
         lock(&self.core.state).pulls.clone()
     }
 
-    /// Stops it and frees its port.
+    /// Stops it and waits until its port is free.
     pub async fn stop(self) {
         self.server.stop().await;
     }
--- a/crates/standin/tests/engine.rs
+++ b/crates/standin/tests/engine.rs
@@ -13,9 +13,9 @@
 
 const TIMEOUT: Duration = Duration::from_secs(20);
 const STREAM: &str = r#"{"model":"route-writer","stream":true,"max_tokens":5}"#;
-const WHOLE: &str = r#"{"model":"route-writer","max_tokens":5}"#;
+const UNSTREAMED: &str = r#"{"model":"route-writer","max_tokens":5}"#;
 
-fn quick() -> Settings {
+fn fast_settings() -> Settings {
     Settings {
         models: ["route-writer@7".to_owned()].into(),
         decode: 5_000.0,
@@ -74,13 +74,13 @@
 }
 
 fn expected(body: &str, from: u32) -> String {
-    let digest = digest::of(body.as_bytes());
+    let digest = digest::body_digest(body.as_bytes());
     (from..5).map(|n| digest::word(&digest, n)).collect()
 }
 
 #[tokio::test]
-async fn a_stream_has_every_word_of_its_own_request() {
-    let running = start(quick(), Faults::default()).await;
+async fn stream_has_every_word_of_its_own_request() {
+    let running = start(fast_settings(), Faults::default()).await;
     let response = chat(&running, "r1", STREAM).await.expect("an answer");
     assert_eq!(response.headers()["x-request-id"], "r1");
     let stream = text(response).await.expect("a whole stream");
@@ -90,20 +90,20 @@
 }
 
 #[tokio::test]
-async fn a_whole_answer_counts_what_the_cache_took_off() {
-    let running = start(quick(), Faults::default()).await;
-    let first = parsed(chat(&running, "r1", WHOLE).await.expect("an answer")).await;
-    let second = parsed(chat(&running, "r2", WHOLE).await.expect("an answer")).await;
+async fn unstreamed_answer_reports_cached_tokens() {
+    let running = start(fast_settings(), Faults::default()).await;
+    let first = parsed(chat(&running, "r1", UNSTREAMED).await.expect("an answer")).await;
+    let second = parsed(chat(&running, "r2", UNSTREAMED).await.expect("an answer")).await;
     let cached = |answer: &Value| answer["usage"]["prompt_tokens_details"]["cached_tokens"].clone();
     assert_eq!(cached(&first), 0);
     assert_eq!(cached(&second), second["usage"]["prompt_tokens"]);
     let content = &second["choices"][0]["message"]["content"];
-    assert_eq!(*content, expected(WHOLE, 0));
+    assert_eq!(*content, expected(UNSTREAMED, 0));
 }
 
 #[tokio::test]
 async fn a_stream_resumes_after_the_last_event_seen() {
-    let running = start(quick(), Faults::default()).await;
+    let running = start(fast_settings(), Faults::default()).await;
     let response = chat(&running, "r1", STREAM).await.expect("an answer");
     text(response).await.expect("a whole stream");
     let headers = [("x-request-id", "r1"), ("last-event-id", "3")];
@@ -115,12 +115,12 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_goes_away_cancels_its_request() {
+async fn disconnected_caller_cancels_its_request() {
     let running = start(
         Settings {
             decode: 0.01,
             hold: Duration::ZERO,
-            ..quick()
+            ..fast_settings()
         },
         Faults::default(),
     )
@@ -138,7 +138,7 @@
     let running = start(
         Settings {
             decode: 0.01,
-            ..quick()
+            ..fast_settings()
         },
         Faults::default(),
     )
@@ -152,9 +152,9 @@
 }
 
 #[tokio::test]
-async fn a_marked_request_takes_its_engine_down_into_a_new_life() {
+async fn crash_marker_restarts_the_engine_as_a_new_incarnation() {
     let running = start(
-        quick(),
+        fast_settings(),
         Faults {
             crash_marker: Some("poison".to_owned()),
             down_for: Duration::from_millis(20),
@@ -168,22 +168,22 @@
     assert_eq!(running.runs()[0].end, Some(End::Crashed));
     assert_eq!(running.incarnation(), 2);
     let back = loop {
-        match chat(&running, "r2", WHOLE).await {
+        match chat(&running, "r2", UNSTREAMED).await {
             Ok(response) => break parsed(response).await,
             Err(_) => tokio::time::sleep(Duration::from_millis(5)).await,
         }
     };
-    assert_eq!(back["digest"], digest::of(WHOLE.as_bytes()));
+    assert_eq!(back["digest"], digest::body_digest(UNSTREAMED.as_bytes()));
 }
 
 #[tokio::test]
 async fn faults_truncate_and_cross_answers() {
-    let running = start(quick(), Faults::default()).await;
+    let running = start(fast_settings(), Faults::default()).await;
     text(chat(&running, "r1", STREAM).await.expect("an answer"))
         .await
         .expect("a whole stream");
     running.faults().change(|faults| faults.cross = 1.0);
-    let crossed = chat(&running, "r2", WHOLE).await.expect("an answer");
+    let crossed = chat(&running, "r2", UNSTREAMED).await.expect("an answer");
     assert_eq!(crossed.headers()["x-request-id"], "r1");
     running.faults().set(Faults {
         truncate: 1.0,
@@ -195,7 +195,7 @@
 
 #[tokio::test]
 async fn an_old_fencing_number_is_refused_or_ignored() {
-    let running = start(quick(), Faults::default()).await;
+    let running = start(fast_settings(), Faults::default()).await;
     let order = async |fence: u64, weights: &str| {
         let load = json!({ "model": "captions", "weights": weights });
         let body = json!({ "fence": fence, "load": load }).to_string();
@@ -212,13 +212,13 @@
     assert_eq!(taken, [true, false, true]);
 }
 
-// One context takes 15 tokens of 20, so a second chat's pushes the first out.
+// One context uses 15 of 20 tokens, so that of a second chat evicts the first.
 #[tokio::test]
-async fn cache_events_tell_of_evictions() {
+async fn cache_events_report_evictions() {
     let running = start(
         Settings {
             cache_tokens: 20,
-            ..quick()
+            ..fast_settings()
         },
         Faults::default(),
     )
@@ -226,7 +226,7 @@
     for prefix in ["chat-1", "chat-2"] {
         let headers = [("x-prefix-key", prefix)];
         let path = "/v1/chat/completions";
-        let done = call(running.address(), Method::POST, path, &headers, WHOLE).await;
+        let done = call(running.address(), Method::POST, path, &headers, UNSTREAMED).await;
         text(done.expect("an answer")).await.expect("a whole body");
     }
     let path = "/v1/cache-events?from=0";
@@ -246,19 +246,19 @@
     assert_eq!(kinds, all);
 }
 
-/// An engine that keeps a finished stream for its caller to resume must not
-/// keep the slot as well: the next request would wait for the whole hold, and
-/// an engine of 16 slots would run eight requests a second at most.
+/// A finished stream that is retained for resumption must release its slot.
+/// Otherwise the next request waits for the whole hold, and an engine of 16 slots
+/// runs at most eight requests per second.
 #[tokio::test]
-async fn a_finished_stream_that_is_held_leaves_its_slot() {
+async fn finished_stream_releases_its_slot() {
     let settings = Settings {
         slots: 1,
         hold: 2 * TIMEOUT,
-        ..quick()
+        ..fast_settings()
     };
     let running = start(settings, Faults::default()).await;
     for id in ["first", "second"] {
-        let response = chat(&running, id, WHOLE).await;
+        let response = chat(&running, id, UNSTREAMED).await;
         assert_eq!(response.expect("an answer").status(), StatusCode::OK);
     }
 }
--- a/crates/standin/tests/list.rs
+++ b/crates/standin/tests/list.rs
@@ -47,7 +47,7 @@
     let running = start().await;
     running.set(endpoint("runner-1"));
     running.set(endpoint("runner-2"));
-    running.leaving("runner-2");
+    running.mark_leaving("runner-2");
     running.remove("runner-1");
     let listing = fetch(&running).await;
     assert_eq!(listing.endpoints.len(), 1);
@@ -59,10 +59,10 @@
     );
 }
 
-// One entry is written by a newer platform and lacks a field. The fleet must
-// not lose all its endpoints over it.
+// An entry from a newer platform lacks a field. It must not make the whole list
+// unreadable, which would remove all endpoints.
 #[tokio::test]
-async fn an_unreadable_entry_hides_no_other() {
+async fn unreadable_entry_does_not_hide_others() {
     let running = start().await;
     running.set(endpoint("runner-1"));
     running.set(Entry {
@@ -78,7 +78,7 @@
 }
 
 #[tokio::test]
-async fn a_lagging_list_shows_the_past() {
+async fn lagging_list_shows_earlier_entries() {
     let running = start().await;
     running.set(endpoint("runner-1"));
     assert_eq!(fetch(&running).await.endpoints.len(), 1);
@@ -104,7 +104,7 @@
 }
 
 #[tokio::test]
-async fn a_watch_follows_entries_that_come_change_and_go() {
+async fn watch_reports_added_changed_and_removed_entries() {
     let running = start().await;
     running.set(endpoint("runner-1"));
     running.set(endpoint("runner-2"));
@@ -113,18 +113,18 @@
     assert_eq!(names(&listing), ["runner-1", "runner-2"]);
 
     running.remove("runner-1");
-    running.leaving("runner-2");
+    running.mark_leaving("runner-2");
     running.set(endpoint("runner-3"));
     let listing = watch.next(TIMEOUT).await.expect("what changed");
     assert_eq!(names(&listing), ["runner-2", "runner-3"]);
     assert_eq!(listing.endpoints[0].standing, Standing::Leaving);
 }
 
-// The list is restarted and has forgotten everything. A router that held on
-// to its old revision would show endpoints that have gone, for ever.
+// The list restarts without its state. A router that kept its old revision would
+// retain removed endpoints indefinitely.
 #[tokio::test]
-async fn a_watch_begins_again_after_the_list_was_restarted() {
-    // Nobody else listens on this address, and takes the port meanwhile.
+async fn watch_restarts_after_a_list_restart() {
+    // No other process listens on this address and could take the port meanwhile.
     let first = start_at("127.0.0.2:0").await;
     first.set(endpoint("runner-1"));
     let mut follower = watch(&first);
@@ -139,10 +139,12 @@
     assert_eq!(names(&listing), ["runner-9"]);
 }
 
-/// Guards against a restarted list that takes a revision of its earlier life for its own.
+/// Guards against a restarted list that mistakes a revision of an earlier incarnation for
+/// its own.
 #[tokio::test]
-async fn a_restart_soon_after_many_changes_hides_nothing_that_went() {
-    // More changes than milliseconds pass, so that numbers of both lives would overlap.
+async fn restart_soon_after_many_changes_hides_no_removal() {
+    // More changes than elapsed milliseconds, so that revisions derived from a clock would
+    // overlap between the incarnations.
     const CHANGES: usize = 2_000;
     let first = start_at("127.0.0.3:0").await;
     (0..CHANGES).for_each(|_| first.set(endpoint("runner-1")));
@@ -158,7 +160,7 @@
     assert_eq!(names(&listing), ["runner-9"]);
 }
 
-// The connection of before is gone, which the first call may meet.
+// The first call may fail on the connection from before the restart.
 async fn after_a_restart(follower: &mut Watch) -> Listing {
     match follower.next(TIMEOUT).await {
         Ok(listing) => listing,
