--- a/crates/standin/tests/log.rs
+++ b/crates/standin/tests/log.rs
@@ -43,7 +43,7 @@
 }
 
 #[tokio::test]
-async fn a_truncated_stream_says_what_is_first() {
+async fn truncated_stream_reports_its_first_offset() {
     let (running, client) = start(Faults::default()).await;
     for _ in 0..5 {
         running.append("bundles", Bytes::from_static(b"bundle"));
@@ -54,11 +54,11 @@
     assert_eq!((page.first, page.next, page.records.len()), (3, 5, 2));
 }
 
-// An order's claim reaches the log, the answer doesn't reach the router. If
-// the client reported a failure like any other, the router would say "not run"
-// while the claim stands.
+// The log appends an order's claim but the response is lost. If the client
+// reported an ordinary failure, the router would answer "not run" although the
+// claim exists.
 #[tokio::test]
-async fn an_append_whose_answer_is_lost_is_of_unknown_fate() {
+async fn append_with_a_lost_response_has_unknown_outcome() {
     let (running, client) = start(Faults {
         lose_answers: 1.0,
         ..Faults::default()
@@ -70,7 +70,7 @@
 }
 
 #[tokio::test]
-async fn refused_appends_certainly_took_no_effect() {
+async fn refused_appends_took_no_effect() {
     let (running, client) = start(Faults {
         rate: 0.001,
         ..Faults::default()
--- a/crates/standin/tests/log_client.rs
+++ b/crates/standin/tests/log_client.rs
@@ -12,7 +12,7 @@
 use godwitpost_standin::log::{self, Faults, Running};
 
 const MS: Duration = Duration::from_millis(1);
-const LONG: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 const CLAIM: Bytes = Bytes::from_static(b"claim 17 of order k1");
 
 struct Fixture {
@@ -26,7 +26,7 @@
         let address = "127.0.0.1:0".parse().expect("an address");
         let log = log::start(address, faults).await.expect("a free port");
         let connector = Connector::new(Pool::default());
-        let client = Client::new(connector, log.address(), LONG);
+        let client = Client::new(connector, log.address(), TIMEOUT);
         let clock = Clock::start();
         let timer = Timer::new(clock.now());
         tokio::spawn(timer.clone().drive(clock));
@@ -55,25 +55,25 @@
     }
 }
 
-// The log takes a claim and the answer is lost. The writer must neither
-// report a failure, for the claim stands, nor leave a second record.
+// The log appends a claim but the response is lost. The writer must neither
+// report a failure, because the claim exists, nor append a second record.
 #[tokio::test]
-async fn a_lost_answer_is_settled_by_reading_back() {
+async fn lost_response_is_resolved_by_reading_back() {
     let fixture = Fixture::start(Faults {
         lose_answers: 1.0,
         ..Faults::default()
     })
     .await;
     fixture.log.append("claims", Bytes::from_static(b"another"));
-    let deadline = fixture.timer.now() + LONG;
+    let deadline = fixture.timer.now() + TIMEOUT;
     let appended = fixture.writer(10).append("claims", CLAIM, deadline).await;
     assert_eq!(appended.expect("a settled append").offset, 1);
     assert_eq!(fixture.log.records("claims").len(), 2);
 }
 
-// The connection breaks and the append takes effect later, after the writer
-// has looked in vain and tried again. Every record of it that shows up must
-// be the same, so that a fold can count it once.
+// The connection breaks and the append takes effect only after the writer has
+// read back without finding it and retried. All its records must be equal, so
+// that readers can deduplicate them.
 #[tokio::test]
 async fn a_late_effect_leaves_only_equal_records() {
     let fixture = Fixture::start(Faults {
@@ -82,7 +82,7 @@
         ..Faults::default()
     })
     .await;
-    let deadline = fixture.timer.now() + LONG;
+    let deadline = fixture.timer.now() + TIMEOUT;
     let appended = fixture.writer(10).append("claims", CLAIM, deadline).await;
     appended.expect("a settled append");
     let records = fixture.log.records("claims");
@@ -90,10 +90,10 @@
     assert!(records.iter().all(|record| record.body == CLAIM));
 }
 
-// Reads lag behind, so reading back shows nothing of an append that took
-// effect. "Not appended" would be a lie; only unknown is true.
+// Reads lag, so reading back does not show an append that took effect. The
+// writer must report an unknown outcome, not "not appended".
 #[tokio::test]
-async fn a_stale_read_never_turns_a_lost_answer_into_a_no() {
+async fn stale_read_leaves_a_lost_response_unknown() {
     let fixture = Fixture::start(Faults {
         lose_answers: 1.0,
         stale_reads: Duration::from_hours(1),
@@ -106,18 +106,18 @@
     assert!(!fixture.log.records("claims").is_empty());
 }
 
-// The log dies while an append is under way and comes back without it. The
-// broken connection says nothing; only the stream, read after the log is back,
-// tells that the record has to be appended again.
+// The log crashes during an append and restarts without it. The broken
+// connection leaves the outcome open; only reading the stream after the restart
+// shows that the record has to be appended again.
 #[tokio::test]
-async fn an_append_cut_off_by_a_crash_is_settled_once_the_log_is_back() {
+async fn append_interrupted_by_a_crash_is_resolved_after_restart() {
     let fixture = Fixture::start(Faults {
-        slow: LONG,
+        slow: TIMEOUT,
         ..Faults::default()
     })
     .await;
     let writer = fixture.writer(10);
-    let deadline = fixture.timer.now() + LONG;
+    let deadline = fixture.timer.now() + TIMEOUT;
     let waiting = tokio::spawn(async move { writer.append("claims", CLAIM, deadline).await });
     // Long enough for the append to have reached the slow log.
     tokio::time::sleep(50 * MS).await;
@@ -129,7 +129,7 @@
 }
 
 #[tokio::test]
-async fn an_append_outlasts_an_outage_within_its_deadline() {
+async fn append_survives_an_outage_within_its_deadline() {
     let fixture = Fixture::start(Faults {
         down: true,
         ..Faults::default()
@@ -139,7 +139,7 @@
     let soon = fixture.timer.now() + 30 * MS;
     let given_up = writer.append("claims", CLAIM, soon).await;
     assert!(matches!(given_up, Err(Error::NotAppended(_))));
-    let later = fixture.timer.now() + LONG;
+    let later = fixture.timer.now() + TIMEOUT;
     let waiting = tokio::spawn(async move { writer.append("claims", CLAIM, later).await });
     tokio::time::sleep(30 * MS).await;
     fixture.log.faults().change(|faults| faults.down = false);
@@ -148,10 +148,10 @@
     assert_eq!(fixture.log.records("claims").len(), 1);
 }
 
-// The log is down for minutes under a stream of claims. Without a bound they
-// would pile up until the router is out of memory.
+// The log is down for minutes while claims arrive. Without a bound they would
+// accumulate until the router runs out of memory.
 #[tokio::test]
-async fn a_full_writer_refuses_the_newest_at_once() {
+async fn full_writer_rejects_new_records_at_once() {
     let fixture = Fixture::start(Faults {
         down: true,
         ..Faults::default()
@@ -159,7 +159,7 @@
     .await;
     let writer = fixture.writer(1);
     let first = writer.clone();
-    let deadline = fixture.timer.now() + LONG;
+    let deadline = fixture.timer.now() + TIMEOUT;
     let waiting = tokio::spawn(async move { first.append("claims", CLAIM, deadline).await });
     tokio::task::yield_now().await;
     let second = writer.append("claims", CLAIM, deadline).await;
@@ -170,10 +170,11 @@
     third.expect("room again");
 }
 
-// An instance was paused for longer than the log keeps records. What it lost
-// must show, or it would take a stream without its winner for the truth.
+// An instance was paused for longer than the log retains records. The follower
+// must report the gap; otherwise the instance would treat a stream whose winning
+// claim has expired as complete.
 #[tokio::test]
-async fn a_follower_reports_what_expired_before_what_is_left() {
+async fn follower_reports_expired_records_before_the_rest() {
     let fixture = Fixture::start(Faults::default()).await;
     for _ in 0..5 {
         fixture.log.append("claims", CLAIM);
@@ -192,7 +193,7 @@
 }
 
 #[tokio::test]
-async fn a_follower_goes_on_after_an_outage_where_it_was() {
+async fn follower_resumes_where_it_was_after_an_outage() {
     let fixture = Fixture::start(Faults::default()).await;
     let mut follower = fixture.follower();
     fixture.log.append("claims", CLAIM);
@@ -207,11 +208,11 @@
     assert_eq!(records[0].offset, 1);
 }
 
-// Everything at once: answers lost, effects late, appends over the rate. Each
-// record that the writer calls appended must be there, and each that it calls
-// not appended must not be, now or once the late effects are in.
+// All faults at once: lost responses, late effects, appends over the rate. Each
+// record reported as appended must exist, and each reported as not appended must
+// not, even after the late effects.
 #[tokio::test]
-async fn every_verdict_holds_on_a_log_with_all_its_faults() {
+async fn writer_results_are_correct_under_all_faults() {
     const RECORDS: usize = 300;
     let fixture = Fixture::start(Faults {
         lose_answers: 0.2,
@@ -249,7 +250,7 @@
             }
         }
     }
-    // 300 records don't fit into 300 ms of 100 a second.
+    // 300 records exceed 300 ms at 100 per second.
     assert!(refused > 0 && records.len() > 50);
 }
 
--- a/crates/standin/tests/plain.rs
+++ b/crates/standin/tests/plain.rs
@@ -48,11 +48,11 @@
     assert!(running.executions().is_empty());
 }
 
-// A request crashes the service that runs it. The caller sees a broken
-// connection, the port refuses for a while, and then someone else listens on
-// the same address: a new incarnation.
+// A request crashes the service that runs it: the connection breaks, the port
+// refuses connections for a while, and then a new incarnation listens on the same
+// address.
 #[tokio::test]
-async fn a_marked_call_crashes_the_service_into_a_new_life() {
+async fn crash_marker_restarts_the_service_as_a_new_incarnation() {
     let running = start(Faults {
         crash_marker: Some("poison".to_owned()),
         down_for: Duration::from_millis(50),
