--- a/crates/capacity/src/role/metrics.rs
+++ b/crates/capacity/src/role/metrics.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use godwitpost_process::metrics::{LABELLED, Metrics};
+use godwitpost_process::metrics::{MAX_LABELLED_WORKSPACES, Metrics};
 use godwitpost_types::outcome::Outcome;
 
 use super::{Cost, Measure};
@@ -41,7 +41,7 @@
 
 #[expect(clippy::cast_precision_loss, reason = "a small constant")]
 const fn most() -> f64 {
-    LABELLED as f64 + 1.0
+    MAX_LABELLED_WORKSPACES as f64 + 1.0
 }
 
 fn seen(workspaces: u32) -> Metrics {
--- a/crates/direct/src/serve.rs
+++ b/crates/direct/src/serve.rs
@@ -30,7 +30,7 @@
     Limits {
         head_bytes: MAX_HEAD_BYTES,
         head_time: IDLE_AND_HEAD_TIMEOUT,
-        head_within: None,
+        head_timeout: None,
     }
 }
 
@@ -45,7 +45,7 @@
             .head_time
     };
     Limits {
-        head_within: Some(Arc::new(head_timeout)),
+        head_timeout: Some(Arc::new(head_timeout)),
         ..internal_limits()
     }
 }
--- a/crates/process/src/logging.rs
+++ b/crates/process/src/logging.rs
@@ -1,14 +1,14 @@
-//! Logs with named fields, through simplelog, that never hold a request up.
+//! Logging of records with fields that never delays a request.
 //!
-//! simplelog writes only a record's message, so a logger of
-//! our own stands in front of it and appends the record's key-value pairs as `name=value`.
-//! Behind it [`queue`] takes whole lines to a thread that writes them: a
-//! reader of standard output that stops reading costs lines, never time.
+//! simplelog writes only the message of a record, so this module wraps it and
+//! appends the key-value pairs of the record as `name=value`. Its output goes
+//! through [`queue`] to a thread that writes the lines: if the reader of standard
+//! output stops reading, lines are dropped instead of blocking.
 //!
-//! Levels: `error` for what an operator must mend, `warn` for what the process
-//! worked around and for requests that failed, `info` for changes of state and
-//! the decisions on a request, `debug` for detail. No secret and no caller's
-//! text is logged at any level.
+//! Levels: `error` for problems that an operator must fix, `warn` for problems that
+//! the process worked around and for failed requests, `info` for state changes and
+//! decisions on a request, `debug` for details. Secrets and text of callers are
+//! never logged.
 
 pub mod queue;
 
@@ -20,20 +20,20 @@
 
 use self::queue::{Lines, Queue};
 
-/// Appends a record's fields to its message.
-struct Fields {
+/// A logger that appends the fields of a record to its message.
+struct FieldLogger {
     inner: Box<WriteLogger<Lines>>,
     queue: Queue,
 }
 
 /// Sets up the process's log, to standard output.
 ///
-/// Only a binary calls this; a library logs to whatever is set up. The queue
-/// that is returned counts the lines that were dropped.
+/// Called only by binaries; libraries use the logger that is set up. The returned
+/// queue counts dropped lines.
 ///
 /// # Errors
 ///
-/// Returns an error if a log was set up before.
+/// Returns an error if a logger is already set up.
 pub fn start(level: LevelFilter) -> Result<Queue, log::SetLoggerError> {
     let queue = Queue::start(std::io::stdout());
     let config = ConfigBuilder::new()
@@ -41,7 +41,7 @@
         .set_thread_level(LevelFilter::Off)
         .set_target_level(LevelFilter::Error)
         .build();
-    log::set_boxed_logger(Box::new(Fields {
+    log::set_boxed_logger(Box::new(FieldLogger {
         inner: WriteLogger::new(level, config, queue.lines()),
         queue: queue.clone(),
     }))?;
@@ -52,13 +52,13 @@
 /// Returns the record's message followed by its fields.
 #[must_use]
 pub fn line(record: &Record<'_>) -> String {
-    let mut text = Text(record.args().to_string());
+    let mut text = FieldWriter(record.args().to_string());
     // The visitor below never fails.
     drop(record.key_values().visit(&mut text));
     text.0
 }
 
-impl Log for Fields {
+impl Log for FieldLogger {
     fn enabled(&self, metadata: &Metadata<'_>) -> bool {
         self.inner.enabled(metadata)
     }
@@ -80,12 +80,12 @@
     }
 }
 
-struct Text(String);
+struct FieldWriter(String);
 
-impl<'kvs> VisitSource<'kvs> for Text {
+impl<'kvs> VisitSource<'kvs> for FieldWriter {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
         let value = value.to_string();
-        // Quotes keep a value with spaces, such as an error, one field.
+        // Values with spaces, such as errors, are quoted to keep them one field.
         if value.contains([' ', '"', '\n']) {
             write!(self.0, " {key}={value:?}")?;
         } else {
--- a/crates/process/src/logging/queue.rs
+++ b/crates/process/src/logging/queue.rs
@@ -1,9 +1,9 @@
-//! Log lines on their way to a writer that may be slow or stuck.
+//! A bounded queue of log lines for a writer that may be slow or blocked.
 //!
-//! Whoever logs only appends to a queue of fixed size. When it is half full,
-//! ordinary lines are dropped, so that there is room left for warnings and
-//! errors, which are what explains a failure. What was dropped is counted and
-//! said in a line of its own as soon as the writer moves again.
+//! Logging only appends to the queue. When it is half full, lines below warnings
+//! are dropped to leave room for warnings and errors, which explain failures.
+//! Dropped lines are counted and reported in a separate line as soon as the writer
+//! continues.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -13,17 +13,17 @@
 
 use log::Level;
 
-/// Lines that wait at most. Lines have some 250 bytes, so this is half a
-/// megabyte, and two seconds of a busy instance's decisions.
-pub const CAPACITY: usize = 2_048;
+/// Maximum number of waiting lines. With about 250 bytes per line this is half a
+/// megabyte, or the decisions of a busy instance in two seconds.
+pub const MAX_QUEUED_LINES: usize = 2_048;
 
-/// Bytes that go to the writer at once; the size of a Linux pipe.
-const BATCH: usize = 64 << 10;
+/// Number of bytes after which a batch goes to the writer; the size of a Linux pipe.
+const MAX_BATCH_BYTES: usize = 64 << 10;
 
-/// How often [`Queue::flush`] looks whether all is written.
-const LOOK: Duration = Duration::from_millis(1);
+/// How often [`Queue::flush`] checks whether all lines are written.
+const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// The way of lines to the writer; its clones are one queue.
+/// A queue of lines for the writer. Clones share the queue.
 #[derive(Clone, Debug)]
 pub struct Queue {
     sender: SyncSender<Vec<u8>>,
@@ -32,7 +32,7 @@
 
 #[derive(Debug, Default)]
 struct Shared {
-    // Lines sent and not yet written.
+    // Lines queued and not yet written.
     waiting: AtomicUsize,
     dropped: AtomicU64,
 }
@@ -42,9 +42,9 @@
     ///
     /// # Panics
     ///
-    /// Panics if the system allows no thread, at the start of a process.
+    /// Panics if the thread can't be started.
     pub fn start(writer: impl Write + Send + 'static) -> Self {
-        let (sender, receiver) = sync_channel(CAPACITY);
+        let (sender, receiver) = sync_channel(MAX_QUEUED_LINES);
         let shared = Arc::new(Shared::default());
         let counted = Arc::clone(&shared);
         std::thread::Builder::new()
@@ -54,29 +54,29 @@
         Self { sender, shared }
     }
 
-    /// Returns whether a line of this level may be formatted now; counts it
+    /// Returns whether the queue has room for a line of this level; counts the line
     /// as dropped if not.
     #[must_use]
     pub fn admits(&self, level: Level) -> bool {
-        let most = if level <= Level::Warn {
-            CAPACITY
+        let limit = if level <= Level::Warn {
+            MAX_QUEUED_LINES
         } else {
-            CAPACITY / 2
+            MAX_QUEUED_LINES / 2
         };
-        let admitted = self.shared.waiting.load(Ordering::Relaxed) < most;
+        let admitted = self.shared.waiting.load(Ordering::Relaxed) < limit;
         if !admitted {
             self.shared.dropped.fetch_add(1, Ordering::Relaxed);
         }
         admitted
     }
 
-    /// Returns how many lines were dropped so far.
+    /// Returns the number of lines dropped so far.
     #[must_use]
     pub fn dropped(&self) -> u64 {
         self.shared.dropped.load(Ordering::Relaxed)
     }
 
-    /// Returns a writer whose whole lines go into the queue.
+    /// Returns a writer that queues complete lines.
     #[must_use]
     pub fn lines(&self) -> Lines {
         Lines {
@@ -85,12 +85,12 @@
         }
     }
 
-    /// Waits until all lines are written, for `wait` at most. Blocks: it is
-    /// for the end of a process.
+    /// Blocks until all lines are written, but at most for `wait`. Intended for the
+    /// end of a process.
     pub fn flush(&self, wait: Duration) {
         let start = Instant::now();
         while self.shared.waiting.load(Ordering::Acquire) > 0 && start.elapsed() < wait {
-            std::thread::sleep(LOOK);
+            std::thread::sleep(FLUSH_POLL_INTERVAL);
         }
     }
 
@@ -105,7 +105,7 @@
     }
 }
 
-/// Cuts what is written to it into lines for the queue.
+/// Splits its input into lines for the queue.
 #[derive(Debug)]
 pub struct Lines {
     queue: Queue,
@@ -126,25 +126,25 @@
     }
 }
 
-// Ends when the last sender is gone.
+// Returns when the last sender is dropped.
 fn write(mut writer: impl Write, lines: &Receiver<Vec<u8>>, shared: &Shared) {
-    let mut told = 0;
+    let mut reported = 0;
     while let Ok(mut batch) = lines.recv() {
         let mut count = 1;
-        while batch.len() < BATCH
+        while batch.len() < MAX_BATCH_BYTES
             && let Ok(line) = lines.try_recv()
         {
             batch.extend_from_slice(&line);
             count += 1;
         }
         let dropped = shared.dropped.load(Ordering::Relaxed);
-        if dropped > told {
-            let since = dropped - told;
-            told = dropped;
+        if dropped > reported {
+            let since = dropped - reported;
+            reported = dropped;
             batch.extend_from_slice(format!("log lines dropped count={since}\n").as_bytes());
         }
-        // A reader that is gone has no use for the lines, and there is no
-        // other place to say so.
+        // If the reader is gone, the error can't be reported anywhere; the lines
+        // only count as dropped.
         if writer.write_all(&batch).is_err() {
             shared.dropped.fetch_add(count as u64, Ordering::Relaxed);
         }
--- a/crates/process/src/logging/queue/tests.rs
+++ b/crates/process/src/logging/queue/tests.rs
@@ -4,7 +4,7 @@
 
 use log::Level;
 
-use super::{CAPACITY, Queue};
+use super::{MAX_QUEUED_LINES, Queue};
 
 /// A writer that writes nothing until it is told to.
 struct Stuck {
@@ -38,11 +38,11 @@
     let (written, _kept) = channel();
     let queue = Queue::start(Stuck { go: stuck, written });
     let start = Instant::now();
-    for _ in 0..3 * CAPACITY {
+    for _ in 0..3 * MAX_QUEUED_LINES {
         log(&queue, Level::Info, "request served");
     }
     assert!(start.elapsed() < Duration::from_secs(2));
-    assert!(queue.dropped() >= 2 * CAPACITY as u64);
+    assert!(queue.dropped() >= 2 * MAX_QUEUED_LINES as u64);
 }
 
 /// Ordinary lines filled the queue and the one line that explained the failed
@@ -52,7 +52,7 @@
     let (go, stuck) = channel();
     let (written, kept) = channel();
     let queue = Queue::start(Stuck { go: stuck, written });
-    for _ in 0..2 * CAPACITY {
+    for _ in 0..2 * MAX_QUEUED_LINES {
         log(&queue, Level::Info, "request served");
     }
     log(&queue, Level::Warn, "request failed");
--- a/crates/process/src/metrics.rs
+++ b/crates/process/src/metrics.rs
@@ -1,12 +1,12 @@
-//! Metrics by OpenTelemetry, shown as Prometheus text to operators.
+//! OpenTelemetry metrics, exported as Prometheus text.
 //!
-//! Each label set of a histogram costs memory, and the letter's 8,900
-//! workspaces in several classes would cost tens of megabytes. So the first
-//! [`LABELLED`] workspaces that send requests get a label of their own and
+//! Each label set of a histogram costs memory, and 8,900 workspaces in several
+//! classes would take tens of megabytes. Therefore the first
+//! [`MAX_LABELLED_WORKSPACES`] workspaces that send requests get their own label, and
 //! the others share one.
 //!
-//! A request's label set is resolved once, to instruments bound to it: else
-//! each record would allocate the set, hash its strings and look it up.
+//! The label set of a request is resolved once to bound instruments. Otherwise each
+//! measurement would allocate the set, hash its strings and look it up.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicI64, Ordering};
@@ -23,21 +23,21 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Registry, TextEncoder};
 
-/// Workspaces with a label of their own. A histogram of 14 buckets takes
-/// about 200 bytes for each of them, class and outcome; with 3 classes and 3
-/// outcomes 64 workspaces take about 115 KB.
-pub const LABELLED: usize = 64;
+/// Maximum number of workspaces with their own label. A histogram of 14 buckets takes
+/// about 200 bytes per workspace, class and outcome. With 3 classes and 3 outcomes,
+/// 64 workspaces take about 115 KB.
+pub const MAX_LABELLED_WORKSPACES: usize = 64;
 
 /// The label of all other workspaces.
-const OTHERS: &str = "(others)";
+const OTHER_WORKSPACES: &str = "(others)";
 
-/// Upper ends of the latency buckets in seconds. The letter asks for the
-/// first token within 0.8 s, which is an end of its own.
-const SECONDS: [f64; 14] = [
+/// Upper bounds of the latency buckets in seconds. 0.8 s is the objective for the
+/// first token, so it has its own bound.
+const BUCKET_SECONDS: [f64; 14] = [
     0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 10.0, 30.0, 120.0,
 ];
 
-/// Where control bytes go.
+/// The kind of control traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Traffic {
     /// Between instances.
@@ -52,7 +52,7 @@
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    // Dropping it would stop the instruments.
+    // Retained because dropping it would stop the instruments.
     provider: SdkMeterProvider,
     first_byte: Histogram<f64>,
     whole: Histogram<f64>,
@@ -93,7 +93,7 @@
                 .f64_histogram(name)
                 .with_unit("s")
                 .with_description(text)
-                .with_boundaries(SECONDS.to_vec())
+                .with_boundaries(BUCKET_SECONDS.to_vec())
                 .build()
         };
         let counter = |name: &'static str, text: &'static str| {
@@ -104,7 +104,7 @@
         let requests = counter("godwitpost.requests", "Requests by outcome and status");
         let in_flight = Arc::new(AtomicI64::new(0));
         let observed = Arc::clone(&in_flight);
-        // Read when somebody asks for metrics; a request only counts.
+        // Read when metrics are exported; a request only updates the counter.
         meter
             .i64_observable_up_down_counter("godwitpost.in_flight")
             .with_description("Requests in flight")
@@ -139,24 +139,24 @@
         }
     }
 
-    /// Returns the meter for instruments beside those of requests.
+    /// Returns the meter for additional instruments.
     #[must_use]
     pub fn meter(&self) -> Meter {
         self.provider.meter("godwitpost")
     }
 
-    /// Counts a request whose answer's head is known.
+    /// Records a request whose response head is known.
     pub fn head(&self, labels: &Labels, outcome: Outcome, status: u16, took: Duration) {
         labels.0.first_byte.record(took.as_secs_f64());
         labels.count(&self.requests, outcome, status);
     }
 
-    /// Counts a request whose answer ended.
+    /// Records a request whose response has ended.
     pub fn end(labels: &Labels, took: Duration) {
         labels.0.whole.record(took.as_secs_f64());
     }
 
-    /// Counts a message of a stranger.
+    /// Counts a message without a valid seal on the peer port.
     pub fn stranger(&self) {
         self.strangers.add(1, &[]);
     }
@@ -181,7 +181,7 @@
         self.claims.add(bytes, &[]);
     }
 
-    /// Moves the number of requests in flight.
+    /// Adds to the number of requests in flight.
     pub fn in_flight(&self, by: i64) {
         self.in_flight.fetch_add(by, Ordering::Relaxed);
     }
@@ -195,10 +195,10 @@
     #[must_use]
     pub fn labels(&self, workspace: &str, class: &str) -> Labels {
         let mut labelled = self.labelled.lock().unwrap_or_else(PoisonError::into_inner);
-        // The label of the others is one beside the workspaces' own.
-        let most = LABELLED + usize::from(labelled.contains_key(OTHERS));
-        let own = labelled.contains_key(workspace) || labelled.len() < most;
-        let workspace = if own { workspace } else { OTHERS };
+        // The shared label does not count towards the limit.
+        let limit = MAX_LABELLED_WORKSPACES + usize::from(labelled.contains_key(OTHER_WORKSPACES));
+        let own = labelled.contains_key(workspace) || labelled.len() < limit;
+        let workspace = if own { workspace } else { OTHER_WORKSPACES };
         let known = labelled.get(workspace).and_then(|known| known.get(class));
         if let Some(labels) = known {
             return labels.clone();
--- a/crates/process/src/metrics/tests.rs
+++ b/crates/process/src/metrics/tests.rs
@@ -2,20 +2,20 @@
 
 use godwitpost_types::outcome::Outcome;
 
-use super::{LABELLED, Metrics};
+use super::{MAX_LABELLED_WORKSPACES, Metrics};
 
 // With 8,900 workspaces a label set each would outgrow the memory allowed.
 #[test]
 fn workspaces_beyond_the_limit_share_a_label() {
     let metrics = Metrics::new("otaru-1");
-    for n in 0..LABELLED + 5 {
+    for n in 0..MAX_LABELLED_WORKSPACES + 5 {
         let labels = metrics.labels(&format!("w{n}"), "draft");
         metrics.head(&labels, Outcome::Ran, 200, Duration::from_millis(3));
     }
     let text = metrics.text();
-    let last = format!("workspace=\"w{}\"", LABELLED - 1);
+    let last = format!("workspace=\"w{}\"", MAX_LABELLED_WORKSPACES - 1);
     assert!(text.contains(&last), "{text}");
-    assert!(!text.contains(&format!("workspace=\"w{LABELLED}\"")));
+    assert!(!text.contains(&format!("workspace=\"w{MAX_LABELLED_WORKSPACES}\"")));
     let others = text
         .lines()
         .find(|line| line.starts_with("godwitpost_requests_total") && line.contains("(others)"));
--- a/crates/process/src/serve.rs
+++ b/crates/process/src/serve.rs
@@ -1,9 +1,8 @@
 //! Listening sockets and the connections on them.
 //!
-//! Ports differ in what they answer and share how connections are kept: bounded
-//! buffers, a bounded time for a head, and an orderly end. At a shutdown a
-//! connection between two requests is closed, and a busy one finishes its
-//! request, whose answer says `Connection: close`.
+//! All ports share the handling of connections: bounded buffers, a time limit for
+//! heads, and a graceful shutdown. At a shutdown idle connections are closed, and a
+//! busy one finishes its request, whose response has `Connection: close`.
 
 mod pace;
 mod silence;
@@ -24,23 +23,23 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-pub use self::pace::Within;
-use self::pace::{Answer, Paced, Requests};
+pub use self::pace::HeadTimeout;
+use self::pace::{HeadTimeoutStream, Requests, TrackedBody};
 
 /// An error of a response's body.
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Bounds on what the other side of a connection may do.
+/// Limits on the client of a connection.
 #[derive(Clone)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head.
     pub head_bytes: usize,
-    /// How long a connection may take to send its next head. hyper counts the
-    /// time that a connection is idle, too.
+    /// How long a connection may take to send its next head. hyper includes the time
+    /// for which the connection is idle.
     pub head_time: Duration,
-    /// How long a head may take once its first byte came; `None` if only the
-    /// other bound holds.
-    pub head_within: Option<Within>,
+    /// How long a head may take after its first byte; `None` if only the other limit
+    /// applies.
+    pub head_timeout: Option<HeadTimeout>,
 }
 
 impl fmt::Debug for Limits {
@@ -49,43 +48,44 @@
             .field("head_bytes", &self.head_bytes)
             .field("head_time", &self.head_time)
             .field(
-                "head_within",
-                &self.head_within.as_ref().map(|within| within()),
+                "head_timeout",
+                &self.head_timeout.as_ref().map(|timeout| timeout()),
             )
             .finish()
     }
 }
 
-/// How long a connection may stay open before its first byte. Balancers open
-/// some ahead of need; common servers close them after a minute.
-const SILENCE: Duration = Duration::from_mins(1);
+/// How long a connection may stay open before its first byte. Load balancers open
+/// some in advance; common servers close them after a minute.
+const FIRST_BYTE_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// The pause after a connection could not be accepted, as when files run out.
+/// The pause after a failure to accept a connection, for example because of a lack
+/// of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Bytes that hyper buffers beyond the limit of a head, so that a head just
-/// above the limit gets an answer that says so.
-const BEYOND: usize = 16 << 10;
+/// Bytes that hyper buffers beyond the limit of a head, so that a head slightly above
+/// the limit still gets a response that reports it.
+const HEAD_BUFFER_MARGIN: usize = 16 << 10;
 
 /// A bound port.
 #[derive(Debug)]
 pub struct Port {
-    /// The address, with the port that was free if 0 was asked for.
+    /// The address, with the assigned port if port 0 was requested.
     pub address: SocketAddr,
     listener: std::net::TcpListener,
 }
 
 impl Port {
-    /// Binds an address; port 0 takes a free one.
+    /// Binds an address. Port 0 selects a free port.
     ///
     /// # Errors
     ///
-    /// Returns an error if the address is taken or not this machine's.
+    /// Returns an error if the address is in use or not an address of this machine.
     pub fn bind(address: SocketAddr) -> std::io::Result<Self> {
         let domain = socket2::Domain::for_address(address);
         let socket = socket2::Socket::new(domain, socket2::Type::STREAM, None)?;
-        // A replaced instance must not wait for its predecessor's connections
-        // to time out.
+        // An instance must be able to start before the connections of the one it
+        // replaces have timed out.
         socket.set_reuse_address(true)?;
         socket.set_nonblocking(true)?;
         socket.bind(&address.into())?;
@@ -98,11 +98,11 @@
     }
 }
 
-/// Connections that wait to be accepted; the default limit of Linux.
+/// Maximum number of connections waiting to be accepted; the default limit of Linux.
 const BACKLOG: i32 = 4096;
 
-/// Accepts connections until `closing` says so or is dropped, then ends them
-/// in order.
+/// Accepts connections until `closing` is true or dropped, then shuts down
+/// gracefully.
 ///
 /// Returns when the last connection has ended.
 pub async fn run<H, F, B>(port: Port, limits: Limits, mut closing: watch::Receiver<bool>, handle: H)
@@ -119,7 +119,7 @@
         }
     };
     let builder = Arc::new(builder(&limits));
-    let within = limits.head_within;
+    let head_timeout = limits.head_timeout;
     let graceful = GracefulShutdown::new();
     loop {
         let accepted = tokio::select! {
@@ -129,8 +129,15 @@
         match accepted {
             Ok((stream, _)) => {
                 let closing = closing.clone();
-                let paced = within.clone();
-                connection(stream, closing, &builder, &graceful, paced, handle.clone());
+                let timeout = head_timeout.clone();
+                spawn_connection(
+                    stream,
+                    closing,
+                    &builder,
+                    &graceful,
+                    timeout,
+                    handle.clone(),
+                );
             }
             Err(error) => {
                 log::warn!(error:% = error; "connection not accepted");
@@ -142,38 +149,42 @@
     graceful.shutdown().await;
 }
 
-fn connection<H, F, B>(
+fn spawn_connection<H, F, B>(
     stream: TcpStream,
     closing: watch::Receiver<bool>,
     builder: &Arc<auto::Builder<TokioExecutor>>,
     graceful: &GracefulShutdown,
-    within: Option<Within>,
+    head_timeout: Option<HeadTimeout>,
     handle: H,
 ) where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Response<B>> + Send + 'static,
     B: Body<Data = Bytes, Error = BoxError> + Send + 'static,
 {
-    // Tokens are small and must not wait for an acknowledgement.
+    // Small frames of tokens must not be delayed until the previous one is
+    // acknowledged.
     drop(stream.set_nodelay(true));
-    silence::keep_alive(&stream, silence::UNREAD);
+    silence::enable_keep_alive(&stream, silence::UNACKNOWLEDGED_TIMEOUT);
     let requests = Arc::<Requests>::default();
-    let noted = Arc::clone(&requests);
+    let tracked = Arc::clone(&requests);
     let service = service_fn(move |request: Request<Incoming>| {
-        let open = noted.begin(request.version() == Version::HTTP_2);
-        // Boxed: hyper keeps room for this future as long as the connection is
-        // open, and 10,000 idle ones took 40 KB each for it.
+        let open = tracked.begin(request.version() == Version::HTTP_2);
+        // Boxed, because hyper reserves space for this future while the connection
+        // is open. Without the box, 10,000 idle connections took 40 KB each.
         let answer = Box::pin(handle(request));
-        async move { Ok::<_, Infallible>(answer.await.map(|body| Answer::new(body, open))) }
+        async move { Ok::<_, Infallible>(answer.await.map(|body| TrackedBody::new(body, open))) }
     });
     let builder = Arc::clone(builder);
     let watcher = graceful.watcher();
     tokio::spawn(async move {
-        if !silence::first_byte(&stream, SILENCE, closing).await {
+        if !silence::first_byte(&stream, FIRST_BYTE_TIMEOUT, closing).await {
             return;
         }
         let connection = builder
-            .serve_connection(TokioIo::new(Paced::new(stream, requests, within)), service)
+            .serve_connection(
+                TokioIo::new(HeadTimeoutStream::new(stream, requests, head_timeout)),
+                service,
+            )
             .into_owned();
         if let Err(error) = watcher.watch(connection).await {
             log::debug!(error:% = error; "connection ended");
@@ -187,11 +198,13 @@
         .http1()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.head_time)
-        .max_buf_size(limits.head_bytes + BEYOND);
+        .max_buf_size(limits.head_bytes + HEAD_BUFFER_MARGIN);
     builder
         .http2()
         .timer(TokioTimer::new())
-        .max_header_list_size(u32::try_from(limits.head_bytes + BEYOND).unwrap_or(u32::MAX));
+        .max_header_list_size(
+            u32::try_from(limits.head_bytes + HEAD_BUFFER_MARGIN).unwrap_or(u32::MAX),
+        );
     builder
 }
 
--- a/crates/process/src/serve/pace.rs
+++ b/crates/process/src/serve/pace.rs
@@ -1,11 +1,10 @@
-//! The time in which a request's head has to arrive once it has begun.
+//! Limits the time from the first byte of a request's head to its end.
 //!
-//! hyper bounds the time from the end of one answer to the end of the next
-//! head, and so takes a connection that rests for one whose head is slow. A
-//! client that sends a byte now and then could hold a connection and its
-//! buffers for as long as others may rest. So the connection itself looks at
-//! when bytes come: the first one outside a request begins a head, and the
-//! request that follows ends it.
+//! hyper limits the time from the end of one response to the end of the next head, so
+//! it can't distinguish an idle connection from a slow head. A client that sends a
+//! byte now and then could hold a connection and its buffers for as long as others
+//! may be idle. Therefore this stream observes when bytes arrive: the first byte
+//! outside a request starts a head, and the next request ends it.
 
 use std::io::{Error, ErrorKind, Result};
 use std::pin::Pin;
@@ -19,12 +18,12 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// Returns the time in which a head has to arrive; asked anew for each.
-pub type Within = Arc<dyn Fn() -> Duration + Send + Sync>;
+/// Returns the time limit of a head; called for each head.
+pub type HeadTimeout = Arc<dyn Fn() -> Duration + Send + Sync>;
 
-/// What a client that was too slow is told. Nothing else is being written: no
-/// request of its is open.
-const TOO_SLOW: &[u8] =
+/// The response to a head that took too long. Nothing else is being written, because
+/// no request is open.
+const HEAD_TIMEOUT_RESPONSE: &[u8] =
     b"HTTP/1.1 408 Request Timeout\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
 
 /// The requests of one connection.
@@ -32,43 +31,43 @@
 pub(super) struct Requests {
     begun: AtomicU64,
     ended: AtomicU64,
-    // Whether several are open at once, as with HTTP/2: then bytes say nothing
-    // of heads.
-    mixed: AtomicBool,
+    // Whether several may be open at once, as with HTTP/2. Received bytes then don't
+    // show when a head starts.
+    multiplexed: AtomicBool,
 }
 
 impl Requests {
-    /// Notes a request; it is open until what is returned is dropped.
-    pub(super) fn begin(self: &Arc<Self>, mixed: bool) -> Open {
+    /// Records a request, which is open until the returned guard is dropped.
+    pub(super) fn begin(self: &Arc<Self>, multiplexed: bool) -> OpenRequest {
         self.begun.fetch_add(1, Ordering::Relaxed);
-        self.mixed.fetch_or(mixed, Ordering::Relaxed);
-        Open(Arc::clone(self))
+        self.multiplexed.fetch_or(multiplexed, Ordering::Relaxed);
+        OpenRequest(Arc::clone(self))
     }
 
     fn is_open(&self) -> bool {
         let ended = self.ended.load(Ordering::Relaxed);
-        self.mixed.load(Ordering::Relaxed) || self.begun.load(Ordering::Relaxed) > ended
+        self.multiplexed.load(Ordering::Relaxed) || self.begun.load(Ordering::Relaxed) > ended
     }
 }
 
 /// An open request.
 #[derive(Debug)]
-pub(super) struct Open(Arc<Requests>);
+pub(super) struct OpenRequest(Arc<Requests>);
 
-impl Drop for Open {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
         self.0.ended.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-/// A body whose request is open until it ends.
-pub(super) struct Answer<B> {
+/// A response body whose request is open until it is dropped.
+pub(super) struct TrackedBody<B> {
     body: Pin<Box<B>>,
-    _open: Open,
+    _open: OpenRequest,
 }
 
-impl<B> Answer<B> {
-    pub(super) fn new(body: B, open: Open) -> Self {
+impl<B> TrackedBody<B> {
+    pub(super) fn new(body: B, open: OpenRequest) -> Self {
         Self {
             body: Box::pin(body),
             _open: open,
@@ -76,7 +75,7 @@
     }
 }
 
-impl<B: Body> Body for Answer<B> {
+impl<B: Body> Body for TrackedBody<B> {
     type Data = B::Data;
     type Error = B::Error;
 
@@ -96,42 +95,48 @@
     }
 }
 
-/// A connection whose heads have a limited time.
-pub(super) struct Paced {
+/// A stream that limits the time of request heads.
+pub(super) struct HeadTimeoutStream {
     stream: TcpStream,
     requests: Arc<Requests>,
-    within: Option<Within>,
-    // How many requests there had been when the head began that is on its way.
+    head_timeout: Option<HeadTimeout>,
+    // The number of requests at the start of the current head.
     head: Option<u64>,
     timer: Pin<Box<Sleep>>,
 }
 
-impl Paced {
-    pub(super) fn new(stream: TcpStream, requests: Arc<Requests>, within: Option<Within>) -> Self {
+impl HeadTimeoutStream {
+    pub(super) fn new(
+        stream: TcpStream,
+        requests: Arc<Requests>,
+        head_timeout: Option<HeadTimeout>,
+    ) -> Self {
         Self {
             stream,
             requests,
-            within,
+            head_timeout,
             head: None,
             timer: Box::pin(sleep_until(Instant::now())),
         }
     }
 
-    // Notes bytes that came.
-    fn came(&mut self) {
-        let Some(within) = &self.within else { return };
+    // Records that bytes arrived.
+    fn record_bytes(&mut self) {
+        let Some(head_timeout) = &self.head_timeout else {
+            return;
+        };
         if self.requests.is_open() {
             return;
         }
         let begun = self.requests.begun.load(Ordering::Relaxed);
         if self.head != Some(begun) {
             self.head = Some(begun);
-            self.timer.as_mut().reset(Instant::now() + within());
+            self.timer.as_mut().reset(Instant::now() + head_timeout());
         }
     }
 
-    // Whether a head is on its way for too long.
-    fn late(&mut self, cx: &mut Context<'_>) -> bool {
+    // Returns whether the current head has exceeded its time limit.
+    fn head_timed_out(&mut self, cx: &mut Context<'_>) -> bool {
         let begun = self.requests.begun.load(Ordering::Relaxed);
         self.head == Some(begun)
             && !self.requests.is_open()
@@ -139,7 +144,7 @@
     }
 }
 
-impl AsyncRead for Paced {
+impl AsyncRead for HeadTimeoutStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -147,15 +152,15 @@
     ) -> Poll<Result<()>> {
         let before = buf.filled().len();
         match Pin::new(&mut self.stream).poll_read(cx, buf) {
-            Poll::Pending if self.late(cx) => {
-                // As much of it as fits; the connection ends either way.
-                drop(self.stream.try_write(TOO_SLOW));
+            Poll::Pending if self.head_timed_out(cx) => {
+                // Writes as much as fits; the connection ends either way.
+                drop(self.stream.try_write(HEAD_TIMEOUT_RESPONSE));
                 Poll::Ready(Err(Error::new(ErrorKind::TimedOut, "head too slow")))
             }
             Poll::Pending => Poll::Pending,
             Poll::Ready(read) => {
                 if buf.filled().len() > before {
-                    self.came();
+                    self.record_bytes();
                 }
                 Poll::Ready(read)
             }
@@ -163,7 +168,7 @@
     }
 }
 
-impl AsyncWrite for Paced {
+impl AsyncWrite for HeadTimeoutStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/process/src/serve/silence.rs
+++ b/crates/process/src/serve/silence.rs
@@ -1,10 +1,11 @@
-//! Connections on which nothing comes.
+//! Detects connections that receive nothing.
 //!
-//! A caller's machine may die, or its network go, without a word to us. Such a
-//! half-open connection looks like an idle one, and hyper's time-out for heads
-//! only runs once a head has begun. Left alone they pile up until no file is
-//! free and nobody can connect. So a connection has a limited time until its
-//! first byte, and the kernel probes those that fall silent later.
+//! A caller's machine or network may fail without closing the connection. Such a
+//! half-open connection looks idle, and hyper's time-out for heads only starts with
+//! the first byte of a head. Half-open connections would accumulate until there are
+//! no file descriptors left and nobody can connect. Therefore the first byte of a
+//! connection has a time limit, and the kernel probes connections that become silent
+//! later.
 
 use std::time::Duration;
 
@@ -15,36 +16,36 @@
 #[cfg(test)]
 mod tests;
 
-/// How long a connection may be silent before the kernel probes its peer.
-const PROBED_AFTER: Duration = Duration::from_mins(1);
+/// How long a connection may be silent before the kernel probes the peer.
+const KEEP_ALIVE_IDLE: Duration = Duration::from_mins(1);
 
-/// The time between probes; the kernel gives up after nine by default.
-const PROBED_EVERY: Duration = Duration::from_secs(10);
+/// The time between probes. By default the kernel gives up after nine.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// How long a peer may leave what was sent to it unread. A stream that nobody
-/// reads holds a slot of its endpoint, so it can't wait for ever; a phone that
-/// changes its network comes back within seconds.
-pub(super) const UNREAD: Duration = Duration::from_mins(1);
+/// How long sent data may stay unacknowledged by the peer. A stream that nobody reads
+/// occupies a slot of its endpoint, so it must end eventually; a phone that changes
+/// its network reconnects within seconds.
+pub(super) const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Has the kernel end the connection if its peer is gone or, for longer than
-/// `unread`, takes nothing of what was sent to it.
-pub(super) fn keep_alive(stream: &TcpStream, unread: Duration) {
+/// Makes the kernel close the connection if the peer is gone or accepts no sent data
+/// for longer than `unacknowledged`.
+pub(super) fn enable_keep_alive(stream: &TcpStream, unacknowledged: Duration) {
     let probes = TcpKeepalive::new()
-        .with_time(PROBED_AFTER)
-        .with_interval(PROBED_EVERY);
+        .with_time(KEEP_ALIVE_IDLE)
+        .with_interval(KEEP_ALIVE_INTERVAL);
     let socket = SockRef::from(stream);
     let set = socket
         .set_tcp_keepalive(&probes)
-        .and_then(|()| socket.set_tcp_user_timeout(Some(unread)));
+        .and_then(|()| socket.set_tcp_user_timeout(Some(unacknowledged)));
     if let Err(error) = set {
         log::debug!(error:% = error; "keep-alive not set");
     }
 }
 
-/// Waits for a connection's first byte; returns whether it came.
+/// Waits for the first byte of a connection and returns whether it arrived.
 ///
-/// A connection that has said nothing when `closing` turns true has asked for
-/// nothing, so it may be closed.
+/// A connection that has sent nothing when `closing` becomes true has no request, so
+/// it may be closed.
 pub(super) async fn first_byte(
     stream: &TcpStream,
     wait: Duration,
@@ -52,7 +53,7 @@
 ) -> bool {
     let mut byte = [0];
     tokio::select! {
-        // A request that came with the word to close is still answered.
+        // A request that arrives at the same time as `closing` is still handled.
         biased;
         peeked = stream.peek(&mut byte) => peeked.is_ok_and(|bytes| bytes > 0),
         _ = closing.wait_for(|closing| *closing) => false,
--- a/crates/process/src/serve/silence/tests.rs
+++ b/crates/process/src/serve/silence/tests.rs
@@ -4,7 +4,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use super::{first_byte, keep_alive};
+use super::{enable_keep_alive, first_byte};
 
 const LONG: Duration = Duration::from_hours(1);
 
@@ -57,7 +57,7 @@
 #[tokio::test]
 async fn a_stream_that_nobody_reads_ends() {
     let (_caller, mut accepted) = pair().await;
-    keep_alive(&accepted, Duration::from_millis(300));
+    enable_keep_alive(&accepted, Duration::from_millis(300));
     let chunk = vec![0; 1 << 16];
     let error = loop {
         if let Err(error) = accepted.write_all(&chunk).await {
--- a/crates/process/src/serve/tests.rs
+++ b/crates/process/src/serve/tests.rs
@@ -44,7 +44,7 @@
     let limits = Limits {
         head_bytes: 16 << 10,
         head_time: IDLE,
-        head_within: Some(Arc::new(|| WITHIN)),
+        head_timeout: Some(Arc::new(|| WITHIN)),
     };
     let answer = |_| async { Response::new(Nothing) };
     tokio::spawn(async move {
@@ -129,7 +129,7 @@
     let limits = Limits {
         head_bytes: 16 << 10,
         head_time: IDLE,
-        head_within: Some(Arc::new(|| WITHIN)),
+        head_timeout: Some(Arc::new(|| WITHIN)),
     };
     let answer = |_| async {
         tokio::time::sleep(WITHIN * 2).await;
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -18,7 +18,7 @@
 /// Returns the limits of a port that accepts heads of up to `head_bytes`.
 pub(crate) const fn limits(head_bytes: usize) -> Limits {
     Limits {
-        head_within: None,
+        head_timeout: None,
         head_bytes,
         head_time: HEAD_TIMEOUT,
     }
