--- a/crates/history/src/check.rs
+++ b/crates/history/src/check.rs
@@ -1,9 +1,9 @@
-//! The promises of the product, each checked by a module of its own.
+//! The guarantees of the router, each checked by its own module.
 //!
 //! A check reads a well-formed [`History`] and returns every violation it
-//! finds, each with the events that show it, in their order. A check finds
-//! nothing in a history that kept its promise, whatever faults happened in
-//! it: a fault excuses only what the promise leaves open.
+//! finds, each with the events that show it, in order. A check finds nothing in
+//! a history that kept its guarantee, whatever faults it contains: a fault
+//! excuses only what the guarantee leaves open.
 
 use std::fmt;
 use std::time::Duration;
@@ -24,27 +24,29 @@
 #[cfg(test)]
 mod tests;
 
-/// The time after which a leaving endpoint gets nothing new: the brief's "a
-/// few seconds", taken as three.
+/// The time after which a leaving endpoint may receive no new requests.
+///
+/// The requirement is "a few seconds", taken as three.
 pub const LEAVING_GRACE: Duration = Duration::from_secs(3);
 
-/// The time in which an accepted bundle is in force everywhere: the six
-/// seconds that the users ask for at their size in two years.
+/// The time in which an accepted bundle must be in force on every instance.
+///
+/// Users require six seconds at the fleet size that they expect in two years.
 pub const MAX_ROLL_TIME: Duration = Duration::from_secs(6);
 
-/// What a check holds the run to.
+/// The limits that a run is checked against.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// How long an announcement of leaving may take to reach the routers.
+    /// When a leaving announcement must have taken effect at the routers.
     pub leaving: Deadline,
-    /// How long a roll may take to reach all instances.
+    /// When a roll must have reached all instances.
     pub roll: Deadline,
     /// The load bound of each service that has one.
     pub load: Vec<load::Limit>,
 }
 
 impl Limits {
-    /// Returns the brief's limits for a run whose clock is driven.
+    /// Returns the required limits, for a run with a simulated clock.
     #[must_use]
     pub const fn driven(load: Vec<load::Limit>) -> Self {
         Self {
@@ -54,7 +56,7 @@
         }
     }
 
-    /// Returns limits for a live run, which takes no verdict from its clock.
+    /// Returns the limits for a live run, whose results must not depend on its clock.
     #[must_use]
     pub const fn live(load: Vec<load::Limit>) -> Self {
         Self {
@@ -65,21 +67,22 @@
     }
 }
 
-/// When something must have taken effect.
+/// When a change must have taken effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Deadline {
-    /// By so long after it was announced; for runs with a driven clock.
+    /// Within this time after the announcement; for runs with a simulated clock.
     Within(Duration),
-    /// By the settled mark that the run recorded; for live runs.
+    /// By the settled event that the run recorded, such as
+    /// [`LeavingSettled`](crate::event::What::LeavingSettled); for live runs.
     SettledEvent,
 }
 
-/// One broken promise, with the events that show it.
+/// A violation of a guarantee, with the events that show it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation<B> {
-    /// How the promise was broken.
+    /// How the guarantee was broken.
     pub breach: B,
-    /// The events that show it, in their order.
+    /// The events that show it, in order.
     pub events: Vec<Event>,
 }
 
@@ -102,7 +105,7 @@
     }
 }
 
-/// How one of the promises was broken.
+/// How one of the guarantees was broken.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Breach {
     /// whole answer: {0}
@@ -121,7 +124,7 @@
     Load(load::Breach),
 }
 
-/// Runs every check and returns what they found, promise by promise.
+/// Runs every check and returns the violations, grouped by guarantee.
 #[must_use]
 pub fn all(history: &History<'_>, limits: &Limits) -> Vec<Violation<Breach>> {
     let mut found = Vec::new();
--- a/crates/history/src/check/at_most_once.rs
+++ b/crates/history/src/check/at_most_once.rs
@@ -1,8 +1,9 @@
-//! An unrepeatable request runs at most once, and nothing runs unasked.
+//! Checks that an unrepeatable job runs at most once, and that no request runs
+//! before a caller sent it.
 //!
-//! All calls of one job count together, whichever instance they came in by
-//! and however often the caller resent them. A run that was cut counts too:
-//! the endpoint may have done what was asked before the cut.
+//! All calls of a job count together, whichever instance received them and
+//! however often the caller resent them. A run that was cut off counts too: the
+//! endpoint may have done the work before the cut.
 
 use std::collections::BTreeSet;
 
@@ -15,7 +16,7 @@
 #[cfg(test)]
 mod tests;
 
-/// How the promise of at most one run was broken.
+/// How the guarantee of at most one run was broken.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Breach {
     /// unrepeatable job {job} of {workspace} ran {runs} times
@@ -24,10 +25,10 @@
         workspace: String,
         /// The job.
         job: String,
-        /// How often it ran.
+        /// The number of runs.
         runs: usize,
     },
-    /// run {run} is of call {call}, which nobody had sent
+    /// run {run} belongs to call {call}, which had not been sent
     NotRequested {
         /// The run.
         run: RunId,
@@ -36,7 +37,8 @@
     },
 }
 
-/// Returns the jobs that ran too often, and the runs nobody asked for.
+/// Returns the unrepeatable jobs that ran more than once, and the runs without a
+/// call before them.
 #[must_use]
 pub fn check(history: &History<'_>) -> Vec<Violation<Breach>> {
     let mut found = runs_not_requested(history);
--- a/crates/history/src/check/at_most_once/tests.rs
+++ b/crates/history/src/check/at_most_once/tests.rs
@@ -11,8 +11,8 @@
         .collect()
 }
 
-/// A print order's connection breaks, the shop resends through another
-/// instance, and the guides are printed and billed double.
+/// The connection of an unrepeatable request breaks, its caller resends it through
+/// another instance, and the job runs twice.
 #[test]
 fn a_job_run_twice_over_two_calls_is_found() {
     let script = Script::new()
@@ -39,8 +39,8 @@
     );
 }
 
-/// Near misses: a repeatable draft runs again after its engine was lost, and
-/// two orders of one shop have keys of their own.
+/// Two allowed cases: a repeatable request runs again after its endpoint was lost,
+/// and two unrepeatable requests of one workspace have different jobs.
 #[test]
 fn repeats_of_drafts_and_two_orders_are_allowed() {
     let script = Script::new()
--- a/crates/history/src/check/graceful.rs
+++ b/crates/history/src/check/graceful.rs
@@ -1,10 +1,10 @@
-//! A graceful stop cuts no request in flight.
+//! Checks that a graceful stop cuts off no request in flight.
 //!
-//! A call is the stop's to keep if it passed the stopping instance, as its
-//! entry or on its way to an endpoint, and lasted into the stop. A broken
-//! answer is excused only by a fault on the same way: an instance killed, an
-//! endpoint lost, a run that the endpoint itself cut. A call that found no
-//! listener any more was never in flight.
+//! A stop must preserve a call that passed through the stopping instance, as
+//! its entry instance or on its path to an endpoint, and that was still open
+//! when the stop began. A broken answer is excused only by a fault on the same
+//! path: a killed instance, a lost endpoint, or a run that the endpoint itself
+//! cut off. A call that could not connect was never in flight.
 
 use displaydoc::Display;
 
@@ -15,10 +15,10 @@
 #[cfg(test)]
 mod tests;
 
-/// How the promise of a graceful stop was broken.
+/// How the guarantee of a graceful stop was broken.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Breach {
-    /// the graceful stop of {instance} cut call {call}
+    /// the graceful stop of {instance} cut off call {call}
     Cut {
         /// The instance.
         instance: Name,
@@ -38,7 +38,7 @@
     ended: Option<&'a Event>,
 }
 
-/// Returns the calls that graceful stops cut, and the stops without an end.
+/// Returns the calls that graceful stops cut off, and the stops that never ended.
 #[must_use]
 pub fn check(history: &History<'_>) -> Vec<Violation<Breach>> {
     let stops = stops(history);
@@ -62,7 +62,8 @@
                 begun: event,
                 ended: None,
             }),
-            // A kill ends a stop too; what it cuts is the kill's doing.
+            // A kill ends a stop too; the calls that it cuts off are not
+            // attributed to the stop.
             What::StopEnded { instance } | What::InstanceKilled { instance } => {
                 let open = stops
                     .iter_mut()
--- a/crates/history/src/check/graceful/tests.rs
+++ b/crates/history/src/check/graceful/tests.rs
@@ -17,8 +17,8 @@
     }
 }
 
-/// A router is stopped during a long draft; it closes its listeners and exits
-/// while the stream still runs, and the editor's captions vanish.
+/// A stopped router closes its listeners and exits while a long response is still
+/// streaming, which cuts off the caller.
 #[test]
 fn a_stream_cut_by_a_stop_is_found() {
     let script = Script::new().send_repeatable(1, "a").start_run(1, 1, "e1");
@@ -26,8 +26,8 @@
     assert_eq!(breaches(&script), [cut(1)]);
 }
 
-/// The stopping instance is not the caller's entry but the one that holds the
-/// connection to the engine.
+/// The stopping instance is not the caller's entry instance but the one connected
+/// to the endpoint.
 #[test]
 fn a_forwarded_stream_cut_by_a_stop_is_found() {
     let script = Script::new().send_repeatable(1, "b").dispatch(1, "a", 1);
@@ -43,8 +43,9 @@
     assert_eq!(breaches(&Script::new().begin_stop("a")), [never_ended]);
 }
 
-/// Near misses: a stream that an endpoint's loss cut during the stop, one
-/// that a kill during the stop cut, and a call sent after the stop had ended.
+/// Three allowed cases: a stream cut off by the loss of its endpoint during the
+/// stop, one cut off by a kill during the stop, and a call sent after the stop
+/// ended.
 #[test]
 fn cuts_with_another_cause_are_allowed() {
     let lost = Script::new()
--- a/crates/history/src/check/in_force.rs
+++ b/crates/history/src/check/in_force.rs
@@ -1,10 +1,12 @@
-//! An accepted bundle is in force on every router in seconds and for good.
+//! Checks that an accepted bundle is in force on every router within seconds
+//! and stays in force.
 //!
-//! An instance's version never goes back, over restarts as well: one that
-//! comes up with an older version than it held before would send work under
-//! a bundle that the fleet has left. A request keeps the version it came in
-//! under, so a dispatch may be older than what is in force by then, never
-//! older than what was in force at its entry instance when it was sent.
+//! The version of an instance never decreases, not even over restarts: an
+//! instance that starts with an older version than it had before would route
+//! requests under a bundle that the fleet has replaced. A request keeps the
+//! version under which its entry instance received it. A dispatch may therefore
+//! use an older version than the one in force by then, but never an older one
+//! than was in force at the entry instance when the request was sent.
 
 use std::collections::BTreeMap;
 
@@ -19,19 +21,19 @@
 #[cfg(test)]
 mod tests;
 
-/// How the promise about bundles was broken.
+/// How the guarantee about bundles was broken.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Breach {
     /// {instance} went back from version {from} to {to}
     VersionRegressed {
         /// The instance.
         instance: Name,
-        /// The version it held.
+        /// The version in force before.
         from: Version,
-        /// The version it went back to.
+        /// The older version in force now.
         to: Version,
     },
-    /// {instance} has version {version} in force, which the log never accepted so
+    /// {instance} has a bundle of version {version} in force that the log did not accept
     Unaccepted {
         /// The instance.
         instance: Name,
@@ -45,7 +47,7 @@
         /// The version.
         version: Version,
     },
-    /// {instance} dispatched call {call} under version {version}, older than its entry held
+    /// {instance} dispatched call {call} under version {version}, older than the version at its entry instance
     OldDispatch {
         /// The instance.
         instance: Name,
@@ -56,7 +58,8 @@
     },
 }
 
-/// Returns where versions went back, were not accepted, or came too late.
+/// Returns the instances whose version decreased, was not accepted or came into
+/// force too late, and the dispatches under outdated versions.
 #[must_use]
 pub fn check(history: &History<'_>, deadline: Deadline) -> Vec<Violation<Breach>> {
     let mut found = Vec::new();
@@ -85,15 +88,16 @@
     found
 }
 
-// A version in force at an instance, with the event in which it came.
+// A version in force at an instance, with the event in which it came into force.
 type VersionInForce<'a> = (&'a Event, Version);
 
 fn accepted_bundles<'a>(history: &History<'a>) -> BTreeMap<Version, (&'a Event, &'a Accepted)> {
     let mut accepted = BTreeMap::new();
     for event in history.events() {
         if let What::BundleAccepted(bundle) = &event.what {
-            // Of two with one version the first in the log wins; a second
-            // record of the same bundle keeps it from expiring.
+            // Of two bundles with the same version, the first in the log
+            // wins. A bundle is also recorded again to keep it from
+            // expiring.
             accepted
                 .entry(bundle.version)
                 .and_modify(|first: &mut (&'a Event, &'a Accepted)| {
@@ -107,8 +111,8 @@
     accepted
 }
 
-// An operator may learn that the log took its bundle after a router has read
-// it, so the two events may stand in either order.
+// A router may read a bundle before the operator learns that the log stored it,
+// so the two events can be recorded in either order.
 fn check_accepted(
     accepted: &BTreeMap<Version, (&Event, &Accepted)>,
     now: &InForce,
@@ -182,8 +186,8 @@
         .last()
 }
 
-// An instance owes a version if it ran from the acceptance to the end of the
-// time for the roll; one that started or stopped in between owes nothing.
+// An instance must have a version in force if it ran from the acceptance to the
+// end of the roll; instances that started or stopped in between are exempt.
 fn check_rolls(history: &History<'_>, deadline: Deadline) -> Vec<Violation<Breach>> {
     let mut found = Vec::new();
     for (version, (event, _)) in accepted_bundles(history) {
@@ -205,8 +209,8 @@
     found
 }
 
-// The first event at which the time for the roll is over; `None` if the
-// history ends before, when nothing can be said.
+// Returns the first event after the deadline of the roll, or `None` if the
+// history ends before the deadline and the roll can't be checked.
 fn roll_end<'a>(
     history: &History<'a>,
     version: Version,
--- a/crates/history/src/check/in_force/tests.rs
+++ b/crates/history/src/check/in_force/tests.rs
@@ -32,8 +32,8 @@
     }
 }
 
-/// A router restarts with an empty memory while the log is down, takes the
-/// bundle of a peer that lags, and weighs work by last month's shares.
+/// A router restarts without state while the log is down, takes the bundle of a
+/// lagging peer, and routes by outdated shares.
 #[test]
 fn a_version_that_goes_back_is_found() {
     let script = rolled()
@@ -48,8 +48,8 @@
     assert_eq!(breaches(&script, IN_ROLL_TIME), [back]);
 }
 
-/// Two operators roll version 2 at the same moment; the second in the log
-/// loses everywhere, so no instance may hold it.
+/// Two operators roll version 2 at the same time. The second bundle in the log
+/// loses, so it must not be in force on any instance.
 #[test]
 fn the_loser_of_two_rolls_in_force_is_found() {
     let mut script = rolled().accept_bundle(2, 2).bundle_in_force("b", 2);
@@ -73,12 +73,12 @@
 fn a_roll_that_does_not_reach_all_in_time_is_found() {
     let script = rolled().wait(6001).bundle_in_force("a", 2);
     assert_eq!(breaches(&script, IN_ROLL_TIME), [late()]);
-    let script = rolled().push(What::RollSettled { version: 2 });
+    let script = rolled().record(What::RollSettled { version: 2 });
     assert_eq!(breaches(&script, Deadline::SettledEvent), [late()]);
 }
 
-/// Near misses: in force at the last moment, and an instance that died or
-/// came up while the roll went on, or was still in time when the run ended.
+/// Allowed cases: a version that comes into force at the last moment, an instance
+/// that died or started during the roll, and a run that ended before the deadline.
 #[test]
 fn a_roll_in_time_is_allowed() {
     let last_moment = rolled()
@@ -107,8 +107,8 @@
     assert_eq!(breaches(&script, IN_ROLL_TIME), [old]);
 }
 
-/// Near miss: a request that waited in a queue during the roll keeps the
-/// version that it came in under.
+/// Allowed case: a request that was queued during the roll keeps the version under
+/// which its entry instance received it.
 #[test]
 fn a_dispatch_under_the_version_at_entry_is_allowed() {
     let script = Script::new()
--- a/crates/history/src/check/leaving.rs
+++ b/crates/history/src/check/leaving.rs
@@ -1,8 +1,8 @@
-//! A leaving endpoint gets nothing new after a few seconds.
+//! Checks that a leaving endpoint receives no new requests after a few seconds.
 //!
-//! The announcement is of one life of the endpoint: what comes back under the
-//! same name with a greater incarnation is somebody else. A request that the
-//! endpoint refused counts as work it was given.
+//! An announcement applies to one incarnation of the endpoint; a greater
+//! incarnation under the same name is another endpoint. A request that the
+//! endpoint refused counts as received.
 
 use std::collections::BTreeMap;
 
@@ -17,10 +17,10 @@
 #[cfg(test)]
 mod tests;
 
-/// How the promise to leave an endpoint alone was broken.
+/// How the guarantee about leaving endpoints was broken.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Breach {
-    /// leaving endpoint {endpoint} was given call {call} after its grace
+    /// leaving endpoint {endpoint} was given call {call} after its grace period
     NewWork {
         /// The endpoint.
         endpoint: Name,
@@ -31,7 +31,7 @@
 
 type EndpointIncarnation<'a> = (&'a str, Incarnation);
 
-/// Returns the work that leaving endpoints were given too late.
+/// Returns the requests that leaving endpoints received too late.
 #[must_use]
 pub fn check(history: &History<'_>, deadline: Deadline) -> Vec<Violation<Breach>> {
     let mut announced: BTreeMap<EndpointIncarnation<'_>, &Event> = BTreeMap::new();
@@ -57,7 +57,7 @@
                     Deadline::Within(grace) => announced
                         .get(&endpoint_incarnation)
                         .filter(|leaving| clock::since(event.at, leaving.at) > grace),
-                    // One sent before the mark may have been on its way.
+                    // A call sent before the settled event may have been in flight.
                     Deadline::SettledEvent => settled
                         .get(&endpoint_incarnation)
                         .filter(|settled_event| sent_after(history, run.call, settled_event)),
--- a/crates/history/src/check/leaving/tests.rs
+++ b/crates/history/src/check/leaving/tests.rs
@@ -26,8 +26,8 @@
     }
 }
 
-/// An engine announces that it leaves; a router whose list lags sends it a
-/// draft four seconds later, which dies with the engine.
+/// An endpoint announces that it is leaving. A router with an outdated list sends
+/// it a request more than three seconds later, which is lost with the endpoint.
 #[test]
 fn new_work_after_the_grace_is_found() {
     let script = Script::new()
@@ -50,26 +50,26 @@
     };
     let script = Script::new()
         .announce_leaving("e1")
-        .push(settled())
+        .record(settled())
         .send_repeatable(1, "a");
-    let script = script.push(What::RunRefused(run));
+    let script = script.record(What::RunRefused(run));
     assert_eq!(breaches(&script, Deadline::SettledEvent), [new_work(1)]);
 }
 
-/// Near misses: work within the grace, a call that was on its way when the
-/// mark was set, and work for the next life of the same name, which is
-/// somebody else.
+/// Three allowed cases: a request within the grace period, a call that was in
+/// flight when the settled event was recorded, and a request for the next
+/// incarnation under the same name.
 #[test]
 fn work_within_the_grace_or_for_the_next_incarnation_is_allowed() {
     let script = Script::new()
         .send_repeatable(1, "a")
         .send_repeatable(2, "a")
         .announce_leaving("e1");
-    let script = script.wait(3000).push(settled()).start_run(1, 1, "e1");
+    let script = script.wait(3000).record(settled()).start_run(1, 1, "e1");
     let script = script
         .join_endpoint("e1", 2)
         .wait(60_000)
-        .push(What::RunStarted(Run {
+        .record(What::RunStarted(Run {
             run: 2,
             call: 2,
             endpoint: "e1".into(),
--- a/crates/history/src/check/load.rs
+++ b/crates/history/src/check/load.rs
@@ -1,14 +1,14 @@
-//! No endpoint carries more than a set multiple of the mean load.
+//! Checks that no endpoint carries more than a set multiple of the mean load.
 //!
 //! The load of an endpoint is the estimated work of its runs in flight. The
-//! bound is judged at each event that raises a load, which is enough for
-//! every instant: between two such events loads only fall. That a mean falls
-//! because others finish gives no endpoint new work, so it is no breach; the
-//! next admission is judged under the new mean.
+//! bound is checked at each event that raises a load. This covers every
+//! instant, because loads only fall between two such events. A mean that falls
+//! because other runs finish gives no endpoint new work, so it is no violation;
+//! the next admission is checked against the new mean.
 //!
-//! A mean of a few requests can't be a bound: with one request on ten
-//! endpoints the mean is a tenth. Below the floor a load passes whatever the
-//! mean is.
+//! The mean of a few requests is no useful bound: with one request on ten
+//! endpoints the mean is a tenth. A load up to the floor is therefore allowed
+//! whatever the mean is.
 
 use std::collections::BTreeMap;
 
@@ -21,7 +21,7 @@
 #[cfg(test)]
 mod tests;
 
-/// What the endpoints of one service are held to.
+/// The load limit for the endpoints of one service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limit {
     /// The service.
@@ -49,7 +49,7 @@
 /// How the load bound was broken.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Breach {
-    /// endpoint {endpoint} carried {work} of {total} on {endpoints} endpoints
+    /// endpoint {endpoint} carried {work} of the total work {total} on {endpoints} endpoints
     AboveBound {
         /// The endpoint.
         endpoint: Name,
@@ -57,12 +57,13 @@
         work: u64,
         /// The work on all endpoints of the service.
         total: u64,
-        /// How many endpoints the service had.
+        /// The number of endpoints of the service.
         endpoints: usize,
     },
 }
 
-/// Returns the instants at which an endpoint was put above the bound.
+/// Returns a violation for each endpoint found above the bound when its load rose
+/// or was sampled.
 #[must_use]
 pub fn check(history: &History<'_>, limit: &Limit) -> Vec<Violation<Breach>> {
     let mut loads = EndpointLoads::default();
@@ -70,7 +71,7 @@
     for event in history.events() {
         match loads.apply_event(&limit.service, event) {
             Check::Endpoint(endpoint) => found.extend(loads.check_endpoint(limit, endpoint, event)),
-            Check::Sample(sample) => found.extend(check_sample(limit, sample, event)),
+            Check::LoadSample(sample) => found.extend(check_sample(limit, sample, event)),
             Check::Nothing => {}
         }
     }
@@ -79,7 +80,7 @@
 
 enum Check<'a> {
     Endpoint(&'a str),
-    Sample(&'a Sample),
+    LoadSample(&'a Sample),
     Nothing,
 }
 
@@ -97,7 +98,7 @@
                 service: served,
                 ..
             } if served == service => {
-                // What an earlier life ran ended with it.
+                // The runs of an earlier incarnation ended with it.
                 self.remove_endpoint(endpoint);
                 self.work.insert(endpoint, 0);
                 Check::Nothing
@@ -111,7 +112,7 @@
                 self.end_run(end.run);
                 Check::Nothing
             }
-            What::LoadSampled(sample) if sample.service == service => Check::Sample(sample),
+            What::LoadSampled(sample) if sample.service == service => Check::LoadSample(sample),
             _ => Check::Nothing,
         }
     }
@@ -139,8 +140,9 @@
         }
     }
 
-    // A leaving endpoint still carries what it has, so it stays in the mean
-    // until it is lost: leaving it out would blame the others for its work.
+    // A leaving endpoint still carries its work, so it counts in the mean until
+    // it is lost. Without it, the mean could fall and other endpoints could
+    // appear to be above the bound.
     fn check_endpoint(
         &self,
         limit: &Limit,
--- a/crates/history/src/check/load/tests.rs
+++ b/crates/history/src/check/load/tests.rs
@@ -32,8 +32,8 @@
         .send_repeatable(1, "a")
 }
 
-/// A fete's chats all have their context on one engine; it is given them all
-/// and drowns while its neighbour idles.
+/// Many requests have their context cached on one endpoint, which is overloaded
+/// with all of them while the other endpoint is nearly idle.
 #[test]
 fn work_above_the_bound_is_found() {
     let script = two()
@@ -43,8 +43,8 @@
     assert_eq!(breaches(&script), [above(180, 200)]);
 }
 
-/// An engine whose earlier life ended starts from nothing, so its old runs
-/// neither count nor free anything when they end.
+/// A new incarnation of an endpoint starts without load: runs of the earlier one
+/// don't count, and their ends don't reduce the load.
 #[test]
 fn an_earlier_incarnation_does_not_count() {
     let script = two()
@@ -62,15 +62,15 @@
 #[test]
 fn a_sample_above_the_bound_is_found() {
     let work = [("e1".to_owned(), 180), ("e2".to_owned(), 20)];
-    let script = two().push(What::LoadSampled(Sample {
+    let script = two().record(What::LoadSampled(Sample {
         service: "drafting".into(),
         work: work.into(),
     }));
     assert_eq!(breaches(&script), [above(180, 200)]);
 }
 
-/// Near misses: exactly at the bound, below the floor under a tiny mean, and
-/// above a mean that fell because the neighbour finished.
+/// Allowed cases: a load exactly at the bound, one at the floor with a small mean,
+/// and one above a mean that fell because the other endpoint finished a run.
 #[test]
 fn work_at_the_bound_or_floor_is_allowed() {
     let at_bound = two()
--- a/crates/history/src/check/not_run.rs
+++ b/crates/history/src/check/not_run.rs
@@ -1,10 +1,11 @@
-//! When a caller is told that its request was not run, it was not run.
+//! Checks that a request whose caller was told *not run* never runs.
 //!
-//! The word holds for ever: a run that starts after it was said breaks it as
-//! one before does. For an unrepeatable job the word is about the job, for
-//! the caller will place it anew on the strength of it: no call of the job
-//! that was sent before the word was heard may have run or run later. A call
-//! sent after it is a new wish of the caller's and may run.
+//! The outcome *not run* is final: a run that starts after the answer violates
+//! it as much as one that started before. For an unrepeatable job the outcome
+//! covers the whole job, because the caller may place the job again on the
+//! strength of it: no call of the job that was sent before the answer was
+//! received may have run or may run later. A call sent after the answer is a
+//! new request and may run.
 
 use displaydoc::Display;
 use godwitpost_types::outcome::Outcome;
@@ -16,17 +17,17 @@
 #[cfg(test)]
 mod tests;
 
-/// How the word *not run* was broken.
+/// How the outcome *not run* was contradicted.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Breach {
-    /// call {call} was told that it was not run, and run {run} was before
+    /// call {call} was answered as not run, but run {run} had started before
     RanBefore {
         /// The call.
         call: CallId,
         /// The run.
         run: RunId,
     },
-    /// call {call} was told that it was not run, and run {run} came after
+    /// call {call} was answered as not run, but run {run} started afterwards
     RanAfter {
         /// The call.
         call: CallId,
@@ -35,7 +36,7 @@
     },
 }
 
-/// Returns each run that breaks the word given to a caller.
+/// Returns each run that contradicts the outcome *not run* given to a caller.
 #[must_use]
 pub fn check(history: &History<'_>) -> Vec<Violation<Breach>> {
     history
--- a/crates/history/src/check/not_run/tests.rs
+++ b/crates/history/src/check/not_run/tests.rs
@@ -12,7 +12,7 @@
         .collect()
 }
 
-/// A shop is told that its print order was not run though it had been.
+/// A caller is told *not run* although its unrepeatable request ran before.
 #[test]
 fn a_run_before_a_not_run_answer_is_found() {
     let script = Script::new()
@@ -22,8 +22,8 @@
     assert_eq!(breaches(&script), [Breach::RanBefore { call: 1, run: 5 }]);
 }
 
-/// A caller's time runs out in a queue and it is told *not run*; the entry is
-/// still queued and runs a moment later.
+/// A request times out in a queue and its caller is told *not run*, but the request
+/// stays queued and runs later.
 #[test]
 fn a_run_after_a_not_run_answer_is_found() {
     let script = Script::new()
@@ -33,8 +33,8 @@
     assert_eq!(breaches(&script), [Breach::RanAfter { call: 1, run: 5 }]);
 }
 
-/// A shop resends its order through another instance, which tells it *not
-/// run*; the first call was paused with its claim held, wakes and runs.
+/// A caller resends an unrepeatable request through another instance, which answers
+/// *not run*. The first call, paused while it holds the claim, resumes and runs.
 #[test]
 fn a_run_of_an_earlier_call_of_the_job_is_found() {
     let script = Script::new()
@@ -46,7 +46,7 @@
     assert_eq!(breaches(&script), [Breach::RanAfter { call: 2, run: 5 }]);
 }
 
-/// Near miss: the caller is told *not run* and places the order again.
+/// Allowed case: the caller is told *not run* and places the request again.
 #[test]
 fn a_run_of_a_later_call_is_allowed() {
     let script = Script::new()
@@ -58,7 +58,7 @@
     assert_eq!(breaches(&script), []);
 }
 
-/// Near miss: another workspace has an order under the same key.
+/// Allowed case: another workspace uses the same job name.
 #[test]
 fn the_same_job_name_elsewhere_is_allowed() {
     let mut script = Script::new()
--- a/crates/history/src/check/tests.rs
+++ b/crates/history/src/check/tests.rs
@@ -10,7 +10,7 @@
 
 use godwitpost_types::outcome::Outcome;
 
-/// How one call of a generated run goes.
+/// The course of one call in a generated run.
 #[derive(Clone, Copy, Debug)]
 enum CallKind {
     Repeatable,
@@ -28,7 +28,7 @@
     ]
 }
 
-/// The steps of one call in a run that keeps every promise.
+/// Returns the events of one call in a run that keeps every guarantee.
 fn call_events(call: u64, kind: CallKind) -> Vec<Event> {
     let order = format!("order-{call}");
     let entry = format!("router-{call}");
@@ -50,7 +50,7 @@
     script.events
 }
 
-/// Interleaves the calls as the picks say; each keeps its own order.
+/// Interleaves the calls by `picks`, keeping the order of events within each call.
 fn interleaved(kinds: &[CallKind], picks: &[Index]) -> Vec<Event> {
     let mut calls: Vec<_> = (1..)
         .zip(kinds)
@@ -151,7 +151,8 @@
     }
 }
 
-/// A person who reads a violation must find the events without the file.
+/// The text of a violation contains its events, so a reader does not need the
+/// history file.
 #[test]
 fn a_violation_quotes_its_events() {
     let script = Script::new()
@@ -164,7 +165,7 @@
     let mut lines = text.lines();
     assert_eq!(
         lines.next().unwrap(),
-        "not run: call 1 was told that it was not run, and run 9 came after"
+        "not run: call 1 was answered as not run, but run 9 started afterwards"
     );
     assert!(
         lines
--- a/crates/history/src/check/whole.rs
+++ b/crates/history/src/check/whole.rs
@@ -1,9 +1,9 @@
-//! Every caller gets the whole answer to its own request and nobody else's.
+//! Checks that every caller gets the whole answer to its own request.
 //!
-//! An answer that a caller took for whole must be one that an endpoint ended
-//! as whole for that same request. A broken answer is no lie, for the caller
-//! sees it broken; but without a fault on its way it is a broken promise, and
-//! so is a call that never comes to an end.
+//! An answer that a caller received as whole must be one that an endpoint ended
+//! as whole for the same request. A cut answer can't be mistaken for a whole
+//! one, because the caller sees the cut, but it is a violation unless a fault on its path
+//! explains it. A call that never ends is a violation too.
 
 use displaydoc::Display;
 use godwitpost_types::outcome::Outcome;
@@ -15,7 +15,7 @@
 #[cfg(test)]
 mod tests;
 
-/// How the promise of a whole answer of one's own was broken.
+/// How the guarantee of a whole answer to the caller's own request was broken.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Breach {
     /// call {call} got the answer to call {other}
@@ -25,27 +25,27 @@
         /// The call whose answer it got.
         other: CallId,
     },
-    /// call {call} took for whole an answer that no endpoint ended as whole
+    /// call {call} received as whole an answer that no endpoint ended as whole
     Altered {
         /// The call.
         call: CallId,
     },
-    /// call {call} was told that it ran, and no endpoint ran it
+    /// call {call} was answered as run, but no endpoint ran it
     NeverRan {
         /// The call.
         call: CallId,
     },
-    /// call {call} got a whole answer that doesn't tell the request's fate
+    /// call {call} got a whole answer that does not state the request's outcome
     MissingOutcome {
         /// The call.
         call: CallId,
     },
-    /// call {call} was cut with no fault on its way
+    /// call {call} was cut off without a fault on its path
     Cut {
         /// The call.
         call: CallId,
     },
-    /// call {call} never came to an end
+    /// call {call} never ended
     Unanswered {
         /// The call.
         call: CallId,
@@ -129,8 +129,8 @@
     Some(Violation::new(Breach::Altered { call: id }, evidence))
 }
 
-// An endpoint records the end of its answer before it sends the last byte,
-// so a caller that has the whole answer stands after it in the history.
+// An endpoint records the end of its answer before it sends the last byte, so
+// the caller's receipt of the whole answer comes later in the history.
 fn sent_answer(run: &Execution<'_>, answer: &Digest, got_event: &Event) -> bool {
     run.ended.is_some_and(|(event, end)| {
         event.order < got_event.order
@@ -139,7 +139,8 @@
     })
 }
 
-/// Returns a fault on the way of a call that excuses its broken answer.
+/// Returns a fault on the path of a call that excuses its cut answer, if there is
+/// one.
 pub(super) fn find_fault<'a>(
     history: &History<'a>,
     call: &Call<'a>,
--- a/crates/history/src/check/whole/tests.rs
+++ b/crates/history/src/check/whole/tests.rs
@@ -21,8 +21,8 @@
     running.run_completed(1, 1).run_completed(2, 2)
 }
 
-/// Two editors ask at once; late answers on reused connections change places
-/// and each editor reads the other's draft.
+/// Two concurrent calls receive each other's answers, as when late answers arrive
+/// on reused connections.
 #[test]
 fn a_crossed_answer_is_found() {
     let script = two_running().got_whole_answer(1);
@@ -33,8 +33,8 @@
     );
 }
 
-/// An engine dies in mid-answer; a router that closes the caller's stream
-/// properly makes half a caption look like a whole one.
+/// An endpoint dies in the middle of an answer. A router that then ends the
+/// caller's stream properly makes the partial answer look whole.
 #[test]
 fn half_an_answer_taken_for_whole_is_found() {
     let script = Script::new().send_repeatable(1, "a").start_run(1, 1, "e1");
@@ -73,8 +73,8 @@
     assert_eq!(breaches(&script), [Breach::MissingOutcome { call: 2 }]);
 }
 
-/// Near miss: the answer breaks, visibly, because its endpoint or the router
-/// it passed died. The caller knows, so no promise is broken.
+/// Allowed case: the answer is cut off because its endpoint or a router on its
+/// path died. The caller sees the cut, so no guarantee is broken.
 #[test]
 fn a_cut_by_a_fault_on_the_way_is_allowed() {
     let lost = Script::new()
@@ -85,7 +85,7 @@
     assert_eq!(breaches(&lost), []);
     let broken_off = Script::new().send_repeatable(1, "a").start_run(1, 1, "e1");
     let broken_off = broken_off
-        .push(What::AnswerCut { run: 1 })
+        .record(What::AnswerCut { run: 1 })
         .got_cut_answer(1);
     assert_eq!(breaches(&broken_off.run_completed(1, 1)), []);
     let forwarded = Script::new()
@@ -98,8 +98,8 @@
     );
 }
 
-/// An endpoint's run that ends since a router hung up is no fault of the
-/// endpoint: it must not excuse the router's cut.
+/// A run that ends because a router closed the connection is not an endpoint
+/// fault, so it must not excuse the answer that the router cut off.
 #[test]
 fn a_cut_with_a_run_abandoned_by_the_router_is_found() {
     let script = Script::new().send_repeatable(1, "a").start_run(1, 1, "e1");
@@ -109,8 +109,8 @@
     assert_eq!(breaches(&script), [Breach::Cut { call: 1 }]);
 }
 
-/// The fault must lie on the way: the death of another router or of an
-/// earlier life of the entry instance excuses nothing.
+/// The fault must be on the path: a kill of another router, or of the entry
+/// instance before the call was sent, excuses nothing.
 #[test]
 fn a_cut_with_a_fault_elsewhere_is_found() {
     let other = Script::new()
@@ -126,8 +126,8 @@
     assert_eq!(breaches(&earlier), [Breach::Cut { call: 1 }]);
 }
 
-/// Near miss: an order is resent with its key and gets the answer of the run
-/// that the first call started.
+/// Allowed case: an unrepeatable request is resent with its key and gets the answer
+/// of the run that the first call started.
 #[test]
 fn a_replayed_answer_is_allowed() {
     let script = Script::new()
--- a/crates/history/src/event.rs
+++ b/crates/history/src/event.rs
@@ -1,4 +1,4 @@
-//! What may happen in a run, as those who saw it recorded it.
+//! The events of a run, as recorded by the participants that observed them.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,19 +10,19 @@
 
 /// The name of an instance, endpoint, service or workspace in a history.
 pub type Name = String;
-/// One HTTP request as a caller sent it; a resend is another call.
+/// The id of one HTTP request as a caller sent it; a resend is another call.
 pub type CallId = u64;
-/// One run of a request at an endpoint, unique in the history.
+/// The id of one run of a request at an endpoint, unique in the history.
 pub type RunId = u64;
-/// What tells two answers or bundles apart, such as a digest of the bytes.
+/// A value that distinguishes answers or bundles, such as a digest of the bytes.
 pub type Digest = String;
 
-/// Something that happened, with its place in the history.
+/// An event with its position in the history.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// Its place: of two events, the one with the smaller number was first.
+    /// The position in the history; smaller numbers come first.
     pub order: u64,
-    /// When it was recorded, on the clock of the run.
+    /// The time of recording, on the clock of the run.
     #[serde(rename = "at_us", with = "micros")]
     pub at: Moment,
     /// What happened.
@@ -36,56 +36,58 @@
 pub enum What {
     /// A caller is about to send a request.
     CallerSent(Sent),
-    /// A caller's request came to its end.
+    /// A call ended for its caller.
     CallerGot(Got),
-    /// An instance had a part in sending a request to an endpoint.
+    /// An instance took part in sending a request to an endpoint.
     Dispatched(Dispatch),
     /// An endpoint starts to run a request.
     RunStarted(Run),
-    /// A fault at an endpoint is about to break off the answer of a run.
+    /// A fault at an endpoint is about to cut off the answer of a run.
     AnswerCut {
-        /// The run, which may go on and end as whole.
+        /// The run, which may continue and end as [`End::Whole`].
         run: RunId,
     },
     /// An endpoint stopped running a request.
     RunEnded(RunEnd),
-    /// An endpoint was given a request and refused to run it.
+    /// An endpoint received a request and refused to run it.
     RunRefused(Run),
-    /// An endpoint became ready for work.
+    /// An endpoint became ready for requests.
     EndpointJoined {
         /// Its name.
         endpoint: Name,
-        /// Its life on that name.
+        /// Its incarnation under that name.
         incarnation: Incarnation,
         /// The service that it serves.
         service: Name,
     },
-    /// An endpoint announced that it leaves.
+    /// An endpoint announced that it is leaving.
     EndpointLeaving {
         /// Its name.
         endpoint: Name,
-        /// The life that ends.
+        /// The incarnation that ends.
         incarnation: Incarnation,
     },
-    /// The announcement has had its time; from here nothing new may come.
+    /// The time for the announcement to take effect is over; no request may be
+    /// sent to the endpoint after this event.
     LeavingSettled {
         /// The endpoint's name.
         endpoint: Name,
-        /// The life that ends.
+        /// The incarnation that ends.
         incarnation: Incarnation,
     },
-    /// An endpoint went without finishing what it ran.
+    /// An endpoint was lost without finishing its runs.
     EndpointLost {
         /// Its name.
         endpoint: Name,
-        /// The life that ended.
+        /// The incarnation that ended.
         incarnation: Incarnation,
     },
-    /// The log took a bundle that the fold accepts.
+    /// The log stored a bundle that the fold accepts.
     BundleAccepted(Accepted),
-    /// A version came into force at an instance.
+    /// A bundle version came into force at an instance.
     BundleInForce(InForce),
-    /// A roll has had its time; from here the version holds everywhere.
+    /// The time for a roll is over; after this event the version must be in force
+    /// on every instance.
     RollSettled {
         /// The version that was rolled.
         version: Version,
@@ -110,7 +112,7 @@
         /// Its name.
         instance: Name,
     },
-    /// The work that a service's endpoints carry at one instant.
+    /// The work on the endpoints of a service was sampled at one instant.
     LoadSampled(Sample),
 }
 
@@ -119,9 +121,10 @@
 pub struct Sent {
     /// The call.
     pub call: CallId,
-    /// What is asked for; a resend of an unrepeatable request has the same.
+    /// The name of the requested job; a resend of an unrepeatable request has
+    /// the same name.
     pub job: String,
-    /// The workspace that asks.
+    /// The workspace that sends the request.
     pub workspace: Name,
     /// The instance that it is sent to.
     pub instance: Name,
@@ -134,13 +137,13 @@
 pub struct Got {
     /// The call.
     pub call: CallId,
-    /// What the caller was told of the request's fate, if it was told.
+    /// The outcome of the request as stated to the caller, if it was stated.
     pub outcome: Option<Outcome>,
-    /// The status of the answer, if a head came.
+    /// The status of the answer, if the caller received its head.
     pub status: Option<u16>,
     /// How the answer ended.
     pub end: End,
-    /// What tells the endpoint's answer apart; `None` if a router answered.
+    /// The digest of the endpoint's answer; `None` if a router answered.
     pub answer: Option<Digest>,
 }
 
@@ -148,11 +151,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum End {
-    /// It came to its framed end.
+    /// The answer was complete according to its framing.
     Whole,
-    /// The connection broke before.
+    /// The connection broke before the end of the answer.
     Cut,
-    /// The one who waited for it gave up.
+    /// The receiver stopped waiting for the answer.
     Abandoned,
     /// No connection could be made, so nothing was sent.
     Unreached,
@@ -163,9 +166,10 @@
 pub struct Dispatch {
     /// The call.
     pub call: CallId,
-    /// The instance, which took the request in or owns the endpoint.
+    /// The instance, which received the request from its caller or owns the
+    /// endpoint.
     pub instance: Name,
-    /// The bundle version it is handled under.
+    /// The bundle version under which it handles the request.
     pub version: Version,
 }
 
@@ -178,7 +182,7 @@
     pub call: CallId,
     /// The endpoint.
     pub endpoint: Name,
-    /// The endpoint's life.
+    /// The endpoint's incarnation.
     pub incarnation: Incarnation,
     /// Estimated work in tokens; 1 where the service has no estimate.
     pub work: u64,
@@ -189,13 +193,13 @@
 pub struct RunEnd {
     /// The run.
     pub run: RunId,
-    /// How the answer that it sent ended.
+    /// How the answer of the endpoint ended.
     pub end: End,
-    /// What tells its whole answer apart.
+    /// The digest of its whole answer.
     pub answer: Option<Digest>,
 }
 
-/// A bundle that the log took.
+/// A bundle that the log stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Accepted {
     /// Its version.
@@ -222,7 +226,7 @@
 pub struct Sample {
     /// The service.
     pub service: Name,
-    /// The work on each of its endpoints that may get new work.
+    /// The work on each of its endpoints that may receive new requests.
     pub work: BTreeMap<Name, u64>,
 }
 
@@ -233,7 +237,8 @@
     }
 }
 
-/// Moments in the file as whole microseconds, which people can subtract.
+/// Serializes moments as whole microseconds, which readers of the file can
+/// subtract.
 mod micros {
     use std::time::Duration;
 
--- a/crates/history/src/file.rs
+++ b/crates/history/src/file.rs
@@ -1,4 +1,4 @@
-//! Histories as files of JSON lines, one event a line.
+//! Reads and writes histories as JSON lines, one event per line.
 
 use std::io::{self, BufRead, Write};
 
@@ -9,21 +9,21 @@
 #[cfg(test)]
 mod tests;
 
-/// Why a history could not be read.
+/// An error in reading a history.
 #[derive(Debug, Display)]
 pub enum Error {
     /// line {line} of the history can't be read ({cause}): check the file's path and rights
     Read {
         /// The number of the line, from 1.
         line: usize,
-        /// What the reader said.
+        /// The error of the reader.
         cause: io::Error,
     },
-    /// line {line} of the history is no event ({cause}): cut the file before this line or record the run again
+    /// line {line} of the history is not a valid event ({cause}): cut the file before this line or record the run again
     Parse {
         /// The number of the line, from 1.
         line: usize,
-        /// What the parser said.
+        /// The error of the parser.
         cause: serde_json::Error,
     },
 }
@@ -48,7 +48,7 @@
 /// # Errors
 ///
 /// Returns [`Error`] with the number of the first line that can't be read or
-/// is no event.
+/// is not a valid event.
 pub fn read(from: impl BufRead) -> Result<Vec<Event>, Error> {
     from.lines()
         .enumerate()
--- a/crates/history/src/file/tests.rs
+++ b/crates/history/src/file/tests.rs
@@ -20,7 +20,7 @@
         .answered_by_router(2, Outcome::Unknown)
         .accept_bundle(1, 0)
         .bundle_in_force("a", 1);
-    let script = script.push(What::LoadSampled(Sample {
+    let script = script.record(What::LoadSampled(Sample {
         service: "drafting".into(),
         work,
     }));
@@ -38,8 +38,8 @@
     assert_eq!(String::from_utf8(file).unwrap(), format!("{line}\n"));
 }
 
-/// A run that was killed leaves half a line, which must not pass for a
-/// shorter history.
+/// A run that is killed can leave an incomplete last line. The file must not be
+/// read as a shorter history.
 #[test]
 fn a_truncated_last_line_is_refused_with_its_number() {
     let script = Script::new().start_instance("a").start_instance("b");
--- a/crates/history/src/history.rs
+++ b/crates/history/src/history.rs
@@ -1,8 +1,8 @@
-//! A well-formed history with the indexes that the checks read.
+//! A well-formed history with the indexes that the checks use.
 //!
-//! A checker that skips what it does not understand would pass a broken
-//! recording, so a history is refused as a whole when its events contradict
-//! each other: the fault then lies with who recorded it.
+//! A checker that skipped events it doesn't understand would accept a broken
+//! recording. A history with contradictory events is therefore rejected as a
+//! whole: the fault lies with the code that recorded it.
 
 use std::collections::BTreeMap;
 
@@ -13,38 +13,38 @@
 #[cfg(test)]
 mod tests;
 
-/// Why events are no history.
+/// A contradiction between the events of a history.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Error {
-    /// event {order} follows {before}: sort the events by order number and drop copies
+    /// event {order} follows event {before}: sort the events by order number and remove duplicates
     Unordered {
         /// The event's order number.
         order: u64,
-        /// The order number before it.
+        /// The order number of the event before it.
         before: u64,
     },
-    /// event {order} tells of call {call} a second time: give each call its own id
+    /// event {order} sends or ends call {call} a second time: give each call a unique id
     DuplicateCall {
         /// The event's order number.
         order: u64,
         /// The call.
         call: CallId,
     },
-    /// event {order} ends call {call}, which nobody sent: record a call before sending it
+    /// event {order} ends call {call}, which was not sent before: record a call before sending it
     UnknownCall {
         /// The event's order number.
         order: u64,
         /// The call.
         call: CallId,
     },
-    /// event {order} tells of run {run} a second time: give each run its own id
+    /// event {order} starts or ends run {run} a second time: give each run a unique id
     DuplicateRun {
         /// The event's order number.
         order: u64,
         /// The run.
         run: RunId,
     },
-    /// event {order} ends run {run}, which never started: record a run before it starts
+    /// event {order} ends run {run}, which was not started before: record a run before it starts
     UnknownRun {
         /// The event's order number.
         order: u64,
@@ -55,29 +55,29 @@
 
 impl std::error::Error for Error {}
 
-/// A call with its beginning and, unless it is open, its end.
+/// A call with the event that sent it and, once it ended, the event that ended it.
 #[derive(Clone, Copy, Debug)]
 pub struct Call<'a> {
-    /// The event in which it was sent.
+    /// The event that sent it.
     pub sent_event: &'a Event,
-    /// What was sent.
+    /// The request as sent.
     pub sent: &'a Sent,
-    /// The event in which it ended, and how.
+    /// The event that ended it, and the result that the caller saw.
     pub got: Option<(&'a Event, &'a Got)>,
 }
 
-/// A run with its beginning and, unless it still runs, its end.
+/// A run with the event that started it and, once it ended, the event that ended it.
 #[derive(Clone, Copy, Debug)]
 pub struct Execution<'a> {
-    /// The event in which it started.
+    /// The event that started it.
     pub started_event: &'a Event,
-    /// What started.
+    /// The run as started.
     pub started: &'a Run,
-    /// The event in which it ended, and how.
+    /// The event that ended it, and how it ended.
     pub ended: Option<(&'a Event, &'a RunEnd)>,
 }
 
-/// A well-formed history.
+/// A well-formed history, indexed by call, run and job.
 #[derive(Clone, Debug)]
 pub struct History<'a> {
     events: &'a [Event],
@@ -90,11 +90,11 @@
 }
 
 impl<'a> History<'a> {
-    /// Indexes events.
+    /// Validates and indexes events.
     ///
     /// # Errors
     ///
-    /// Returns [`Error`] for the first event that contradicts those before.
+    /// Returns [`Error`] for the first event that contradicts the ones before it.
     pub fn new(events: &'a [Event]) -> Result<Self, Error> {
         check_order(events)?;
         let mut history = Self {
@@ -112,41 +112,41 @@
         Ok(history)
     }
 
-    /// Returns all events in their order.
+    /// Returns all events in order.
     #[must_use]
     pub const fn events(&self) -> &'a [Event] {
         self.events
     }
 
-    /// Returns all calls by their ids.
+    /// Returns all calls, sorted by id.
     pub fn calls(&self) -> impl Iterator<Item = &Call<'a>> {
         self.calls.values()
     }
 
-    /// Returns a call, unless nobody sent it.
+    /// Returns the call with this id, if it was sent.
     #[must_use]
     pub fn call(&self, call: CallId) -> Option<&Call<'a>> {
         self.calls.get(&call)
     }
 
-    /// Returns all runs by their ids.
+    /// Returns all runs, sorted by id.
     pub fn runs(&self) -> impl Iterator<Item = &Execution<'a>> {
         self.runs.values()
     }
 
-    /// Returns a run, unless it never started.
+    /// Returns the run with this id, if it started.
     #[must_use]
     pub fn run(&self, run: RunId) -> Option<&Execution<'a>> {
         self.runs.get(&run)
     }
 
-    /// Returns the runs of one call's request.
+    /// Returns the runs that endpoints started for a call.
     pub fn runs_of_call(&self, call: CallId) -> impl Iterator<Item = &Execution<'a>> {
         let ids = self.runs_by_call.get(&call).into_iter().flatten();
         ids.filter_map(|id| self.runs.get(id))
     }
 
-    /// Returns the calls that asked for the same job as `sent`, itself too.
+    /// Returns the calls for the same job as `sent`, including `sent` itself.
     #[must_use]
     pub fn calls_of_job(&self, sent: &Sent) -> Vec<&Call<'a>> {
         let job = (sent.workspace.as_str(), sent.job.as_str());
@@ -156,8 +156,9 @@
 
     /// Returns the runs that count as runs of `sent`.
     ///
-    /// A job that may run at most once is one thing however often it is sent,
-    /// so the runs of all its calls count; else a call counts for itself.
+    /// An unrepeatable job may run at most once however often it is sent, so
+    /// the runs of all its calls count. For a repeatable job only the runs of
+    /// this call count.
     #[must_use]
     pub fn runs_attributed_to(&self, sent: &Sent) -> Vec<&Execution<'a>> {
         if !sent.unrepeatable {
@@ -169,8 +170,10 @@
             .collect()
     }
 
-    /// Returns the event that took `instance` down for a call that lasted
-    /// from `from` to `to` (order numbers), if one did.
+    /// Returns the last kill of `instance` that can have affected a call that
+    /// lasted from `from` to `to` (order numbers).
+    ///
+    /// A kill does not count if the instance started again before `from`.
     #[must_use]
     pub fn find_kill(&self, instance: &str, from: u64, to: u64) -> Option<&'a Event> {
         let mut kill = None;
@@ -188,15 +191,15 @@
         kill
     }
 
-    /// Returns the event in which a fault at the endpoint broke off the answer
-    /// of `run`, if one did.
+    /// Returns the first event in which a fault at the endpoint cut off the
+    /// answer of `run`, if there is one.
     #[must_use]
     pub fn find_answer_cut(&self, run: RunId) -> Option<&'a Event> {
         self.answer_cuts.get(&run).copied()
     }
 
-    /// Returns the event in which `endpoint` was lost between two order
-    /// numbers, if it was.
+    /// Returns the first event after `from` and up to `to` (order numbers) in
+    /// which `endpoint` was lost, if there is one.
     #[must_use]
     pub fn find_endpoint_loss(&self, endpoint: &str, from: u64, to: u64) -> Option<&'a Event> {
         self.events_until(to).find(|event| {
@@ -205,7 +208,7 @@
         })
     }
 
-    /// Returns the instances that a call passed, its entry instance first.
+    /// Returns the instances on the path of a call, starting with its entry instance.
     #[must_use]
     pub fn path(&self, call: &Call<'a>) -> Vec<&'a Name> {
         let dispatches = self.dispatches_by_call.get(&call.sent.call);
--- a/crates/history/src/history/tests.rs
+++ b/crates/history/src/history/tests.rs
@@ -5,8 +5,8 @@
     History::new(&script.events).unwrap_err()
 }
 
-/// A recorder that uses an id twice would hide a violation behind it, so the
-/// history is refused before any check reads it.
+/// A recorder that uses an id twice could hide a violation, so such a history is
+/// rejected before any check reads it.
 #[test]
 fn contradictions_are_refused() {
     let twice = Script::new()
--- a/crates/history/src/lib.rs
+++ b/crates/history/src/lib.rs
@@ -1,17 +1,16 @@
-//! Histories of concurrent runs, and the checker that reads them.
+//! Records histories of concurrent runs and checks them.
 //!
-//! Callers, routers, endpoints and the log of one run write what they do into
-//! a [`recorder::Recorder`], which gives every [`event::Event`] its place in
-//! one total order. Afterwards [`check::all`] reads the history and looks for
-//! each promise of the product whether the run broke it, quoting the events
-//! that show it.
+//! Callers, routers, endpoints and the log of a run record their actions with
+//! a [`recorder::Recorder`], which places every [`event::Event`] in one total
+//! order. After the run, [`check::all`] reads the history, checks each of the
+//! router's guarantees and reports every violation with the events that show
+//! it.
 //!
-//! The order of events decides, so a verdict does not hang on how fast the
-//! machine was: *before* and *after* mean the order in which events were
-//! recorded. Who records follows two rules. What may cause something is
-//! recorded before it is done (a caller records that it sends, then sends),
-//! what was caused is recorded once it is seen. So a cause always stands
-//! before its effects, however the threads interleave.
+//! *Before* and *after* mean the order in which events were recorded, so a
+//! result does not depend on the speed of the machine. Recording follows two
+//! rules. A possible cause is recorded before the action: a caller records that
+//! it sends, then sends. An effect is recorded once it is observed. A cause
+//! therefore always precedes its effects, however the threads interleave.
 
 pub mod check;
 pub mod event;
--- a/crates/history/src/recorder.rs
+++ b/crates/history/src/recorder.rs
@@ -1,8 +1,8 @@
-//! The recorder that all threads of a run write into.
+//! A recorder shared by all threads of a run.
 //!
-//! One mutex gives the order: an event's number and its moment are taken
-//! under the lock, so both grow together and the order is total. The lock is
-//! held for a push, which is cheap against the network calls around it.
+//! An event's number and time are taken under one mutex, so both increase
+//! together and the order is total. The lock is held for one push, which is
+//! cheap compared with the network calls around it.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -13,7 +13,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Takes down what happens in a run; clones write into the same history.
+/// Records the events of a run; clones append to the same history.
 #[derive(Clone)]
 pub struct Recorder {
     clock: Arc<dyn Fn() -> Moment + Send + Sync>,
@@ -21,9 +21,9 @@
 }
 
 impl Recorder {
-    /// Returns an empty recorder that takes moments from `clock`.
+    /// Returns an empty recorder that reads the time from `clock`.
     ///
-    /// A test passes its driven clock; a live run the router's.
+    /// A test passes its simulated clock; a live run passes the router's clock.
     pub fn new(clock: impl Fn() -> Moment + Send + Sync + 'static) -> Self {
         Self {
             clock: Arc::new(clock),
@@ -31,9 +31,9 @@
         }
     }
 
-    /// Records that something happened.
+    /// Appends an event with the next number and the current time.
     ///
-    /// The caller records a cause before it acts, and an effect once seen.
+    /// Record a cause before the action and an effect once it is observed.
     pub fn record(&self, what: What) {
         let mut events = self.lock();
         let order = events.len() as u64;
@@ -41,26 +41,26 @@
         events.push(Event { order, at, what });
     }
 
-    /// Returns the events so far, in their order.
+    /// Returns the events recorded so far, in order.
     #[must_use]
     pub fn events(&self) -> Vec<Event> {
         self.lock().clone()
     }
 
-    /// Returns how many events were recorded.
+    /// Returns the number of recorded events.
     #[must_use]
     pub fn len(&self) -> usize {
         self.lock().len()
     }
 
-    /// Returns whether nothing was recorded.
+    /// Returns whether no event was recorded.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.lock().is_empty()
     }
 
-    // A thread that panicked inside `push` left the vector whole, and its
-    // panic is reported where it happened, so the history stays readable.
+    // A panic of another thread while it held the lock leaves the vector
+    // intact and is reported by that thread, so the history stays readable.
     fn lock(&self) -> MutexGuard<'_, Vec<Event>> {
         self.events.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/history/src/recorder/tests.rs
+++ b/crates/history/src/recorder/tests.rs
@@ -7,8 +7,8 @@
 use crate::event::What;
 use crate::script::sent;
 
-/// Eight callers record at once; the history numbers every event, keeps each
-/// caller's own order, and its moments never go back.
+/// When eight threads record concurrently, every event has a number, each
+/// thread's events stay in order, and time never goes backwards.
 #[test]
 fn threads_share_one_order() {
     const THREADS: u64 = 8;
--- a/crates/history/src/script.rs
+++ b/crates/history/src/script.rs
@@ -1,4 +1,4 @@
-//! Histories written out by tests, one step a line.
+//! Builds histories for tests, one event per step.
 
 use std::time::Duration;
 
@@ -8,8 +8,10 @@
     Accepted, CallId, Dispatch, End, Event, Got, InForce, Run, RunEnd, RunId, Sent, What,
 };
 
-/// A history in the making; every endpoint serves `drafting`, every call is
-/// from `otaru`, an answer to call 7 is `answer-7`.
+/// A builder of histories.
+///
+/// Every endpoint serves `drafting`, every call is from workspace `otaru`, and the
+/// digest of the answer to call 7 is `answer-7`.
 #[derive(Default)]
 pub(crate) struct Script {
     pub(crate) events: Vec<Event>,
@@ -26,7 +28,7 @@
         self
     }
 
-    pub(crate) fn push(mut self, what: What) -> Self {
+    pub(crate) fn record(mut self, what: What) -> Self {
         let order = self.events.len() as u64;
         self.events.push(Event {
             order,
@@ -36,18 +38,18 @@
         self
     }
 
-    /// A repeatable call is sent.
+    /// A caller sends a repeatable request.
     pub(crate) fn send_repeatable(self, call: CallId, instance: &str) -> Self {
-        self.push(sent(call, &format!("draft-{call}"), instance, false))
+        self.record(sent(call, &format!("draft-{call}"), instance, false))
     }
 
-    /// An unrepeatable call is sent.
+    /// A caller sends an unrepeatable request.
     pub(crate) fn send_unrepeatable(self, call: CallId, job: &str, instance: &str) -> Self {
-        self.push(sent(call, job, instance, true))
+        self.record(sent(call, job, instance, true))
     }
 
     pub(crate) fn dispatch(self, call: CallId, instance: &str, version: u64) -> Self {
-        self.push(What::Dispatched(Dispatch {
+        self.record(What::Dispatched(Dispatch {
             call,
             instance: instance.into(),
             version,
@@ -65,7 +67,7 @@
         endpoint: &str,
         work: u64,
     ) -> Self {
-        self.push(What::RunStarted(Run {
+        self.record(What::RunStarted(Run {
             run,
             call,
             endpoint: endpoint.into(),
@@ -81,16 +83,16 @@
 
     pub(crate) fn run_ended(self, run: RunId, end: End, answer: &str) -> Self {
         let answer = Some(answer.to_owned());
-        self.push(What::RunEnded(RunEnd { run, end, answer }))
+        self.record(What::RunEnded(RunEnd { run, end, answer }))
     }
 
-    /// A caller got the whole answer to its call.
+    /// A caller receives the whole answer to its call.
     pub(crate) fn got_whole_answer(self, call: CallId) -> Self {
         self.got(call, Outcome::Ran, End::Whole, &format!("answer-{call}"))
     }
 
     pub(crate) fn got(self, call: CallId, outcome: Outcome, end: End, answer: &str) -> Self {
-        self.push(What::CallerGot(Got {
+        self.record(What::CallerGot(Got {
             call,
             outcome: Some(outcome),
             status: Some(200),
@@ -99,9 +101,9 @@
         }))
     }
 
-    /// A router told a caller its request's fate without an endpoint's answer.
+    /// A router answers a caller with an outcome, without an endpoint's answer.
     pub(crate) fn answered_by_router(self, call: CallId, outcome: Outcome) -> Self {
-        self.push(What::CallerGot(Got {
+        self.record(What::CallerGot(Got {
             call,
             outcome: Some(outcome),
             status: Some(503),
@@ -116,26 +118,26 @@
 
     pub(crate) fn start_instance(self, instance: &str) -> Self {
         let instance = instance.to_owned();
-        self.push(What::InstanceStarted { instance })
+        self.record(What::InstanceStarted { instance })
     }
 
     pub(crate) fn begin_stop(self, instance: &str) -> Self {
         let instance = instance.to_owned();
-        self.push(What::StopBegun { instance })
+        self.record(What::StopBegun { instance })
     }
 
     pub(crate) fn end_stop(self, instance: &str) -> Self {
         let instance = instance.to_owned();
-        self.push(What::StopEnded { instance })
+        self.record(What::StopEnded { instance })
     }
 
     pub(crate) fn kill_instance(self, instance: &str) -> Self {
         let instance = instance.to_owned();
-        self.push(What::InstanceKilled { instance })
+        self.record(What::InstanceKilled { instance })
     }
 
     pub(crate) fn join_endpoint(self, endpoint: &str, incarnation: u64) -> Self {
-        self.push(What::EndpointJoined {
+        self.record(What::EndpointJoined {
             endpoint: endpoint.into(),
             incarnation,
             service: "drafting".into(),
@@ -143,21 +145,21 @@
     }
 
     pub(crate) fn announce_leaving(self, endpoint: &str) -> Self {
-        self.push(What::EndpointLeaving {
+        self.record(What::EndpointLeaving {
             endpoint: endpoint.into(),
             incarnation: 1,
         })
     }
 
     pub(crate) fn lose_endpoint(self, endpoint: &str) -> Self {
-        self.push(What::EndpointLost {
+        self.record(What::EndpointLost {
             endpoint: endpoint.into(),
             incarnation: 1,
         })
     }
 
     pub(crate) fn accept_bundle(self, version: u64, offset: u64) -> Self {
-        self.push(What::BundleAccepted(Accepted {
+        self.record(What::BundleAccepted(Accepted {
             version,
             root: format!("root-{version}"),
             offset,
@@ -165,7 +167,7 @@
     }
 
     pub(crate) fn bundle_in_force(self, instance: &str, version: u64) -> Self {
-        self.push(What::BundleInForce(InForce {
+        self.record(What::BundleInForce(InForce {
             instance: instance.into(),
             version,
             root: format!("root-{version}"),
