--- a/crates/operator/src/cli.rs
+++ b/crates/operator/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: one definition for each flag, and what they mean.
+//! Parses the command line into a [`Command`].
 
 use std::ffi::OsString;
 use std::net::SocketAddr;
@@ -16,10 +16,10 @@
 #[cfg(test)]
 mod tests;
 
-/// What the command line asks for.
+/// A parsed command line.
 #[derive(Clone, Debug)]
-pub enum Next {
-    /// Write a new key to this file.
+pub enum Command {
+    /// Generate a key and write it to this file.
     Keygen(PathBuf),
     /// Check this bundle.
     Check(PathBuf),
@@ -43,7 +43,7 @@
         /// Who signs.
         signer: Signer,
     },
-    /// Start a fleet whose log has lost its bundle.
+    /// Restart a fleet whose log no longer has its bundle.
     Anew {
         /// The bundle.
         bundle: PathBuf,
@@ -59,25 +59,25 @@
         /// The fleet's log.
         log: Log,
     },
-    /// Show what is in force.
+    /// Show the version in force.
     Show {
         /// The fleet's log.
         log: Log,
-        /// The instance list, if instances are to be asked.
+        /// The address of the instance list, to query instances too.
         list: Option<SocketAddr>,
         /// Whether to print the bundle itself.
         yaml: bool,
     },
-    /// Show what differs.
+    /// Show the differences between two bundles.
     Diff {
         /// The older side.
         old: Side,
         /// The newer side.
         new: Side,
-        /// The fleet's log, where a side is a version.
+        /// The fleet's log, needed if a side is a version.
         log: Option<Log>,
     },
-    /// Roll the content of an older version.
+    /// Roll the content of an older version as a new one.
     Rollback {
         /// That version.
         to: Version,
@@ -86,15 +86,15 @@
         /// Who signs.
         signer: Signer,
     },
-    /// Tell what the logs say of a request.
+    /// Show the log lines about a request.
     Story {
         /// The request's id.
         request: String,
         /// The logs.
         files: Vec<PathBuf>,
     },
-    /// Print this text and end with this exit code.
-    Say(String, u8),
+    /// Print this text and exit with this code.
+    Print(String, u8),
 }
 
 /// The fleet's log.
@@ -124,86 +124,86 @@
     File(PathBuf),
 }
 
-/// Reads a command line.
+/// Parses a command line.
 #[must_use]
-pub fn parse(args: impl IntoIterator<Item = OsString>) -> Next {
+pub fn parse(args: impl IntoIterator<Item = OsString>) -> Command {
     match flags::command().try_get_matches_from(args) {
-        Ok(matches) => next(&matches),
+        Ok(matches) => command(&matches),
         Err(error) => {
             let code = if error.use_stderr() {
                 EXIT_USAGE
             } else {
                 EXIT_DONE
             };
-            Next::Say(error.render().to_string(), code)
+            Command::Print(error.render().to_string(), code)
         }
     }
 }
 
-fn next(matches: &ArgMatches) -> Next {
+fn command(matches: &ArgMatches) -> Command {
     match matches.subcommand() {
-        Some(("keygen", m)) => Next::Keygen(path(m, "out")),
-        Some(("check", m)) => Next::Check(path(m, "bundle")),
-        Some(("sign", m)) => with_log(m, |log| Next::Sign {
+        Some(("keygen", m)) => Command::Keygen(path(m, "out")),
+        Some(("check", m)) => Command::Check(path(m, "bundle")),
+        Some(("sign", m)) => with_log(m, |log| Command::Sign {
             bundle: path(m, "bundle"),
             out: path(m, "out"),
             log,
             signer: signer(m),
         }),
         Some(("roll", m)) => with_log(m, |log| match m.get_one::<PathBuf>("signed") {
-            Some(record) => Next::RollSigned {
+            Some(record) => Command::RollSigned {
                 record: record.clone(),
                 log,
             },
-            None => Next::Roll {
+            None => Command::Roll {
                 bundle: path(m, "bundle"),
                 log,
                 signer: signer(m),
             },
         }),
-        Some(("anew", m)) => with_log(m, |log| Next::Anew {
+        Some(("anew", m)) => with_log(m, |log| Command::Anew {
             bundle: path(m, "bundle"),
             log,
             signer: signer(m),
         }),
-        Some(("show", m)) => with_log(m, |log| Next::Show {
+        Some(("show", m)) => with_log(m, |log| Command::Show {
             log,
             list: m.get_one("list").copied(),
             yaml: m.get_flag("yaml"),
         }),
-        Some(("rollback", m)) => with_log(m, |log| Next::Rollback {
+        Some(("rollback", m)) => with_log(m, |log| Command::Rollback {
             to: m.get_one("to").copied().unwrap_or_default(),
             log,
             signer: signer(m),
         }),
         Some(("diff", m)) => diff(m),
-        Some(("story", m)) => Next::Story {
+        Some(("story", m)) => Command::Story {
             request: m.get_one::<String>("id").cloned().unwrap_or_default(),
             files: m.get_many("file").into_iter().flatten().cloned().collect(),
         },
-        _ => Next::Say(flags::command().render_help().to_string(), EXIT_USAGE),
+        _ => Command::Print(flags::command().render_help().to_string(), EXIT_USAGE),
     }
 }
 
-fn with_log(matches: &ArgMatches, next: impl FnOnce(Log) -> Next) -> Next {
+fn with_log(matches: &ArgMatches, build: impl FnOnce(Log) -> Command) -> Command {
     match log_of(matches) {
-        Some(log) => next(log),
-        None => Next::Say(
+        Some(log) => build(log),
+        None => Command::Print(
             "write --log, --fleet and --root-key\n".to_owned(),
             EXIT_USAGE,
         ),
     }
 }
 
-fn diff(matches: &ArgMatches) -> Next {
+fn diff(matches: &ArgMatches) -> Command {
     let (old, new) = (side_of(matches, "old"), side_of(matches, "new"));
     let log = log_of(matches);
     let needs = |side: &Side| matches!(side, Side::Version(_));
     if log.is_none() && (needs(&old) || needs(&new)) {
         let text = "a version is read from the log; write --log, --fleet and --root-key\n";
-        return Next::Say(text.to_owned(), EXIT_USAGE);
+        return Command::Print(text.to_owned(), EXIT_USAGE);
     }
-    Next::Diff { old, new, log }
+    Command::Diff { old, new, log }
 }
 
 fn side_of(matches: &ArgMatches, id: &str) -> Side {
@@ -222,7 +222,7 @@
         settings: Settings {
             fleet: matches.get_one::<String>("fleet").cloned()?,
             roots,
-            patience: Duration::from_secs(u64::from(seconds)),
+            roll_timeout: Duration::from_secs(u64::from(seconds)),
         },
     })
 }
--- a/crates/operator/src/cli/flags.rs
+++ b/crates/operator/src/cli/flags.rs
@@ -1,4 +1,4 @@
-//! Each command and each flag, with its names and its help.
+//! The definitions of commands and flags, with their help texts.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/operator/src/cli/tests.rs
+++ b/crates/operator/src/cli/tests.rs
@@ -1,15 +1,15 @@
 use super::flags::command;
-use super::{Next, Side, parse};
+use super::{Command, Side, parse};
 
 const KEY: &str = "11qYAYKxCrfVS/7TyWQHOg7hcvPapiMlrwIaaPcHURo=";
 
-fn args(line: &str) -> Next {
+fn args(line: &str) -> Command {
     parse(line.split_whitespace().map(Into::into))
 }
 
 fn said(line: &str) -> (String, u8) {
     match args(line) {
-        Next::Say(text, code) => (text, code),
+        Command::Print(text, code) => (text, code),
         other => panic!("{line} gave {other:?}"),
     }
 }
@@ -25,12 +25,12 @@
         "godwitpost-bundle roll b.yaml --operator asahikawa --key k --log 127.0.0.1:1 \
          --fleet kitakaze --root-key {KEY} --root-key {KEY} --patience 3"
     );
-    let Next::Roll { log, signer, .. } = args(&line) else {
+    let Command::Roll { log, signer, .. } = args(&line) else {
         panic!("{line}")
     };
     assert_eq!(log.settings.fleet, "kitakaze");
     assert_eq!(log.settings.roots.len(), 2);
-    assert_eq!(log.settings.patience.as_secs(), 3);
+    assert_eq!(log.settings.roll_timeout.as_secs(), 3);
     assert_eq!(signer.operator, "asahikawa");
 }
 
@@ -38,7 +38,7 @@
 fn a_signed_record_needs_no_key() {
     let rest = format!("--log 127.0.0.1:1 --fleet kitakaze --root-key {KEY}");
     let line = format!("godwitpost-bundle roll --signed r {rest}");
-    assert!(matches!(args(&line), Next::RollSigned { .. }));
+    assert!(matches!(args(&line), Command::RollSigned { .. }));
     let both = format!("godwitpost-bundle roll b.yaml --signed r {rest}");
     assert_eq!(said(&both).1, 2);
     let neither = format!("godwitpost-bundle roll b.yaml {rest}");
@@ -48,7 +48,7 @@
 #[test]
 fn a_side_is_a_version_or_a_file() {
     let rest = format!("--log 127.0.0.1:1 --fleet kitakaze --root-key {KEY}");
-    let Next::Diff { old, new, .. } = args(&format!("godwitpost-bundle diff 3 b.yaml {rest}"))
+    let Command::Diff { old, new, .. } = args(&format!("godwitpost-bundle diff 3 b.yaml {rest}"))
     else {
         panic!("it is a diff")
     };
--- a/crates/operator/src/diff.rs
+++ b/crates/operator/src/diff.rs
@@ -1,4 +1,4 @@
-//! What differs between two bundles, entry by entry.
+//! Differences between two bundles, by entry.
 
 use std::fmt;
 
@@ -14,7 +14,7 @@
     pub name: String,
     /// Its value before; `None` if it is new.
     pub old: Option<String>,
-    /// Its value after; `None` if it is gone.
+    /// Its value after; `None` if it was removed.
     pub new: Option<String>,
 }
 
--- a/crates/operator/src/error.rs
+++ b/crates/operator/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed, and the exit code that says so.
+//! Errors of commands and their exit codes.
 
 use std::io;
 use std::path::PathBuf;
@@ -11,7 +11,7 @@
 use godwitpost_client::log::read;
 use godwitpost_types::id::Version;
 
-/// Exit code when all was done.
+/// Exit code on success.
 pub const EXIT_DONE: u8 = 0;
 /// Exit code when a file or the platform failed and nothing was rolled.
 pub const EXIT_FAILED: u8 = 1;
@@ -19,9 +19,9 @@
 pub const EXIT_USAGE: u8 = 2;
 /// Exit code when the bundle was refused or lost a race; nothing was rolled.
 pub const EXIT_REFUSED: u8 = 3;
-/// Exit code when the fate of a roll is unknown; run the same command again.
+/// Exit code when the outcome of a roll is unknown; run the same command again.
 pub const EXIT_UNKNOWN: u8 = 4;
-/// Exit code of `show` when a live instance does not hold the bundle.
+/// Exit code of `show` when a live instance does not have the bundle in force.
 pub const EXIT_BEHIND: u8 = 5;
 
 /// Why a command failed.
@@ -44,7 +44,7 @@
     Append(String),
     /// the log no longer keeps what leads to the bundle in force, and no checkpoint covers it; wait until an instance appends one, or if none holds a bundle any more use `anew`
     Gap,
-    /// the log tells what is in force, version {0}; use roll
+    /// the log still has the bundle in force, version {0}; use roll
     NotLost(Version),
     /// nothing is in force yet; roll version 1 with a root key
     Empty,
@@ -69,9 +69,9 @@
     Refused(Refusal),
     /// version {version} by {winner} came first, so yours was not rolled; make your change in the output of `show --yaml` and roll it as version {next}
     Lost {
-        /// The version that both wanted to be.
+        /// The version that both rolled.
         version: Version,
-        /// Who rolled the one in force.
+        /// The operator whose version is in force.
         winner: String,
         /// The version to roll next.
         next: Version,
@@ -81,13 +81,13 @@
     /// version {0} is in force with a part of the change ({1}); roll the file again as version {2}
     Partial(Version, Box<Self>, Version),
     /// version {0} is not on the log any more; roll its file with the next version number
-    Forgotten(Version),
+    VersionNotOnLog(Version),
     /// {0} is no signed record; write one with sign
-    Unsigned(PathBuf),
+    NotARecord(PathBuf),
     /// no instance list ({0}); try again when the list is up
     List(String),
     /// {0}
-    NoLine(String),
+    NoLogLine(String),
 }
 
 impl std::error::Error for Error {}
@@ -106,10 +106,10 @@
             | Self::Append(_)
             | Self::Gap
             | Self::Empty
-            | Self::Forgotten(_)
-            | Self::Unsigned(_)
+            | Self::VersionNotOnLog(_)
+            | Self::NotARecord(_)
             | Self::List(_)
-            | Self::NoLine(_) => EXIT_FAILED,
+            | Self::NoLogLine(_) => EXIT_FAILED,
             Self::Mistakes(..) => EXIT_USAGE,
             Self::Version { .. }
             | Self::Same(_)
--- a/crates/operator/src/fleet.rs
+++ b/crates/operator/src/fleet.rs
@@ -13,71 +13,78 @@
 
 use crate::error::Error;
 
-/// Records asked for at once: at most 64 MB, were all of the largest size.
-const PAGE: usize = 256;
+/// A page is at most 64 MB, if all records have the maximum size.
+const PAGE_RECORDS: usize = 256;
 
-/// Which fleet, and whose first signature to trust.
+/// The fleet and the keys that are trusted to sign its first version.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The fleet's name.
     pub fleet: String,
-    /// The public keys that the routers' settings name.
+    /// The root public keys, as in the routers' settings.
     pub roots: Vec<Digest>,
-    /// How long a roll may take until its fate is called unknown.
-    pub patience: Duration,
+    /// How long a roll may take before its outcome is reported as unknown.
+    pub roll_timeout: Duration,
 }
 
-/// The stream and the fold of what was read of it.
+/// The stream and the fold of the records read so far.
 #[derive(Debug)]
 pub struct Fleet {
     log: Client,
     fold: Fold,
     end: Offset,
-    patience: Duration,
+    roll_timeout: Duration,
 }
 
-/// What came of one record.
+/// A record and the result of folding it.
 #[derive(Clone, Debug)]
 pub struct Read {
     /// Its bytes.
     pub body: Bytes,
-    /// What the fold said.
+    /// The result of the fold.
     pub next: Next,
 }
 
 impl Fleet {
-    /// Returns a fleet of which nothing was read yet.
+    /// Returns a fleet whose stream has not been read yet.
     #[must_use]
     pub fn new(log: Client, settings: Settings) -> Self {
         Self {
             log,
             fold: Fold::new(settings.fleet, settings.roots),
             end: 0,
-            patience: settings.patience,
+            roll_timeout: settings.roll_timeout,
         }
     }
 
-    /// Returns the fold of what was read so far.
+    /// Returns the fold of the records read so far.
     #[must_use]
     pub const fn fold(&self) -> &Fold {
         &self.fold
     }
 
-    /// Returns how long a roll may take until its fate is called unknown.
+    /// Returns how long a roll may take before its outcome is reported as
+    /// unknown.
     #[must_use]
-    pub const fn patience(&self) -> Duration {
-        self.patience
+    pub const fn roll_timeout(&self) -> Duration {
+        self.roll_timeout
     }
 
-    /// Reads what is new on the stream and hands each record to `see`.
+    /// Reads new records of the stream and calls `on_record` for each.
     ///
     /// # Errors
     ///
     /// Returns an error if the log can't be read.
-    pub async fn read(&mut self, mut see: impl FnMut(&Fold, &Read)) -> Result<(), read::Error> {
+    pub async fn read(
+        &mut self,
+        mut on_record: impl FnMut(&Fold, &Read),
+    ) -> Result<(), read::Error> {
         loop {
-            let wanted = self.fold.next_offset();
-            let page = self.log.read(STREAM, wanted, PAGE, Duration::ZERO).await?;
+            let from = self.fold.next_offset();
+            let page = self
+                .log
+                .read(STREAM, from, PAGE_RECORDS, Duration::ZERO)
+                .await?;
             self.end = self.end.max(page.next);
             if page.records.is_empty() {
                 return Ok(());
@@ -85,7 +92,7 @@
             for record in page.records {
                 let next = self.fold.apply(record.offset, record.time, &record.body);
                 let body = record.body;
-                see(&self.fold, &Read { body, next });
+                on_record(&self.fold, &Read { body, next });
             }
         }
     }
@@ -95,19 +102,19 @@
     /// # Errors
     ///
     /// Returns [`Error::Read`] if the log can't be read, and [`Error::Gap`]
-    /// if it no longer says what is in force.
+    /// if it no longer has the records that lead to the bundle in force.
     pub async fn catch_up(&mut self) -> Result<(), Error> {
         self.read(|_, _| ()).await.map_err(Error::Read)?;
-        if self.lost() {
+        if self.has_lost_records() {
             return Err(Error::Gap);
         }
         Ok(())
     }
 
-    /// Returns whether records that lead to what is in force were dropped,
-    /// even if no record follows them yet.
+    /// Returns whether the log dropped records that lead to the bundle in
+    /// force, even if no record follows them yet.
     #[must_use]
-    pub fn lost(&self) -> bool {
+    pub fn has_lost_records(&self) -> bool {
         self.fold.has_gap() || self.fold.next_offset() < self.end
     }
 
@@ -121,7 +128,7 @@
     ///
     /// # Errors
     ///
-    /// Returns what is known of its effect.
+    /// Returns an error that says whether the append may have taken effect.
     pub async fn append(&self, bytes: &[u8]) -> Result<(), append::Error> {
         let bytes = Bytes::copy_from_slice(bytes);
         self.log.append(STREAM, bytes).await.map(|_| ())
@@ -141,16 +148,16 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Forgotten`] if the log no longer tells.
+    /// Returns [`Error::Forgotten`] if the log no longer has it.
     pub async fn bundle_at(&mut self, version: Version) -> Result<Bundle, Error> {
         let mut found = (self.fold.version() == version).then(|| self.fold.clone());
-        let see = |fold: &Fold, _: &Read| {
+        let on_record = |fold: &Fold, _: &Read| {
             if fold.version() == version {
                 found = Some(fold.clone());
             }
         };
-        self.read(see).await.map_err(Error::Read)?;
-        bundle_of(&found.ok_or(Error::Forgotten(version))?)
+        self.read(on_record).await.map_err(Error::Read)?;
+        bundle_of(&found.ok_or(Error::VersionNotOnLog(version))?)
     }
 }
 
--- a/crates/operator/src/keyfile.rs
+++ b/crates/operator/src/keyfile.rs
@@ -1,4 +1,4 @@
-//! Private keys in files that only their owner reads.
+//! Private key files that only their owner can read.
 
 use std::fs::{File, OpenOptions};
 use std::io::{Read, Write};
@@ -14,18 +14,18 @@
 
 use crate::error::Error;
 
-/// The owner alone reads and writes.
-const MODE: u32 = 0o600;
+/// Only the owner can read and write.
+const KEY_FILE_MODE: u32 = 0o600;
 
-/// Bits that let anybody else in.
-const OTHERS: u32 = 0o077;
+/// Permission bits of the group and of all other users.
+const GROUP_AND_OTHER_BITS: u32 = 0o077;
 
-/// Draws a key and writes it to a new file.
+/// Generates a key and writes it to a new file.
 ///
 /// # Errors
 ///
-/// Returns an error if the file exists, since a key that is overwritten may
-/// be the only one that can sign, or if it can't be written.
+/// Returns an error if the file can't be written or already exists: an
+/// overwritten key may have been the only one that can sign.
 pub fn generate(path: &Path) -> Result<PrivateKey, Error> {
     let mut seed = [0; 32];
     SysRng
@@ -33,12 +33,12 @@
         .map_err(|error| Error::Random(error.to_string()))?;
     let key = PrivateKey::from_seed(&seed);
     let failed = |error| Error::File(path.to_owned(), error);
-    // The mode is set as the file is made: with a chmod afterwards another
-    // user could open it in between.
+    // The mode is set on creation: before a later chmod another user could
+    // open the file.
     let mut file = OpenOptions::new()
         .write(true)
         .create_new(true)
-        .mode(MODE)
+        .mode(KEY_FILE_MODE)
         .open(path)
         .map_err(failed)?;
     writeln!(file, "{}", STANDARD.encode(seed)).map_err(failed)?;
@@ -50,13 +50,13 @@
 ///
 /// # Errors
 ///
-/// Returns an error if the file can't be read, holds no key, or may be read
-/// by anybody but its owner.
+/// Returns an error if the file can't be read, holds no key, or can be read
+/// by other users.
 pub fn read(path: &Path) -> Result<PrivateKey, Error> {
     let failed = |error| Error::File(path.to_owned(), error);
     let mut file = File::open(path).map_err(failed)?;
     let mode = file.metadata().map_err(failed)?.permissions().mode() & 0o777;
-    if mode & OTHERS != 0 {
+    if mode & GROUP_AND_OTHER_BITS != 0 {
         return Err(Error::KeyMode(path.to_owned(), mode));
     }
     let mut text = String::new();
@@ -65,7 +65,7 @@
     Ok(PrivateKey::from_seed(&seed.0))
 }
 
-/// Returns a public key as settings and bundles write it.
+/// Encodes a public key as in settings and bundles.
 #[must_use]
 pub fn public(key: Digest) -> String {
     STANDARD.encode(key.0)
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,9 +1,10 @@
-//! The operators' tool: keys, checks, signatures, rolls, and stories of requests.
+//! The operators' tool: generates keys, checks, signs and rolls bundles, and
+//! reconstructs the history of requests from logs.
 //!
-//! Everything that `godwitpost-bundle` does is a function here; the binary
-//! only reads the command line and prints. A roll signs the change against
-//! what the log says is in force, appends it, and reads the log back until
-//! its fate is known.
+//! All features of `godwitpost-bundle` are functions of this crate; the binary
+//! only parses the command line and prints. A roll signs the change against
+//! the version in force on the log, appends it, and reads the log back until
+//! the outcome is known.
 
 pub mod cli;
 pub mod diff;
--- a/crates/operator/src/plan.rs
+++ b/crates/operator/src/plan.rs
@@ -1,9 +1,9 @@
-//! The signed records that lead from what is in force to a bundle.
+//! Builds the signed records that lead from the version in force to a bundle.
 //!
-//! Nearly always that is one record. A first bundle of thousands of
-//! workspaces does not fit one, and is rolled in several versions, each of
-//! which is a whole bundle of its own: first what workspaces refer to, then
-//! workspaces, and last what is gone.
+//! Usually this is one record. A first bundle with thousands of workspaces
+//! does not fit into one record and is rolled in several versions, each of
+//! which is a complete bundle: first the entries that workspaces refer to,
+//! then workspaces, and removals last.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 
 use crate::error::Error;
 
-/// Entries' bytes in one record of several; the rest is for their frames.
+/// The bytes of entries in one record of several; the rest is for encoding.
 const CHUNK_BYTES: usize = MAX_RECORD_BYTES / 2;
 
 /// One signed version, ready to append.
@@ -35,7 +35,7 @@
     pub bytes: Vec<u8>,
 }
 
-/// Who signs.
+/// The operator who signs.
 #[derive(Clone, Debug)]
 pub struct Signer {
     /// The operator's name in the bundle in force.
@@ -44,8 +44,8 @@
     pub key: PrivateKey,
 }
 
-/// Returns the signed records that lead from `fold` to `bundle`; none if it
-/// is in force already.
+/// Returns the signed records that lead from `fold` to `bundle`; none if it is
+/// already in force.
 ///
 /// # Errors
 ///
@@ -54,12 +54,12 @@
 pub fn sign(fold: &Fold, bundle: &Bundle, signer: &Signer) -> Result<Vec<Signed>, Error> {
     let current = fold.version();
     let target = entry::split(bundle);
-    let held = fold
+    let in_force = fold
         .tree()
         .map_or_else(Entries::new, |tree| tree.entries().clone());
-    let same = held == target;
+    let same = in_force == target;
     if same && bundle.version <= current {
-        // The command was run before and its fate was unknown.
+        // The command was run before with an unknown outcome.
         return Ok(Vec::new());
     }
     if bundle.version != current + 1 {
@@ -74,18 +74,18 @@
     }
     let mut fold = fold.clone();
     let mut versions = Vec::new();
-    for entries in steps(held, target)? {
+    for entries in intermediate_entries(in_force, target)? {
         let version = fold.version() + 1;
         let bundle = entry::join(version, &entries).map_err(Error::Entry)?;
-        let bytes = change(fold.tree(), &bundle, signer)?;
-        rehearse(&mut fold, &bytes)?;
+        let bytes = encode_change(fold.tree(), &bundle, signer)?;
+        dry_run(&mut fold, &bytes)?;
         versions.push(Signed { version, bytes });
     }
     Ok(versions)
 }
 
-/// Returns the records of a checkpoint that starts a fleet whose stream has
-/// lost its bundle, and covers all up to `next`.
+/// Returns the records of a checkpoint that covers everything before `next`,
+/// for a fleet whose stream no longer has its bundle.
 ///
 /// # Errors
 ///
@@ -102,7 +102,7 @@
     let signature = signature::sign(&statement, &signer.key);
     let snapshot = Snapshot {
         next,
-        // Readers take the time of the checkpoint itself.
+        // Readers use the time of the checkpoint itself.
         anchor: Anchor {
             from: next,
             since: Duration::ZERO,
@@ -126,30 +126,35 @@
         .collect()
 }
 
-fn change(parent: Option<&Tree>, bundle: &Bundle, signer: &Signer) -> Result<Vec<u8>, Error> {
+fn encode_change(
+    parent: Option<&Tree>,
+    bundle: &Bundle,
+    signer: &Signer,
+) -> Result<Vec<u8>, Error> {
     let change = Change::sign(parent, bundle, &signer.operator, &signer.key);
     Record::Change(change).encode().map_err(Error::Record)
 }
 
-// What routers will say is known before anything is appended.
-fn rehearse(fold: &mut Fold, bytes: &[u8]) -> Result<(), Error> {
+// Applies the record to a local fold, to see before anything is appended
+// whether routers would refuse it.
+fn dry_run(fold: &mut Fold, bytes: &[u8]) -> Result<(), Error> {
     match fold.apply(fold.next_offset(), Duration::ZERO, bytes) {
         Next::Refused(refusal) => Err(Error::Refused(refusal)),
         Next::InForce(_) | Next::Ignored | Next::Waiting => Ok(()),
     }
 }
 
-// The entries after each step.
-fn steps(held: Entries, target: Entries) -> Result<Vec<Entries>, Error> {
-    let delta = Delta::between(&held, &target);
-    if size(&delta) <= CHUNK_BYTES {
+// Returns the entries after each version.
+fn intermediate_entries(in_force: Entries, target: Entries) -> Result<Vec<Entries>, Error> {
+    let delta = Delta::between(&in_force, &target);
+    if delta_bytes(&delta) <= CHUNK_BYTES {
         return Ok(vec![target]);
     }
     let (workspaces, others): (Entries, Entries) = delta
         .puts
         .into_iter()
         .partition(|(name, _)| name.starts_with(WORKSPACE));
-    let mut tree = Tree::new(held);
+    let mut tree = Tree::new(in_force);
     let mut steps = Vec::new();
     let mut chunk = Delta::default();
     for (name, blob) in others.into_iter().chain(workspaces) {
@@ -157,7 +162,7 @@
         if bytes > CHUNK_BYTES {
             return Err(Error::TooLarge);
         }
-        if size(&chunk) + bytes > CHUNK_BYTES {
+        if delta_bytes(&chunk) + bytes > CHUNK_BYTES {
             tree.apply(std::mem::take(&mut chunk));
             steps.push(tree.entries().clone());
         }
@@ -171,7 +176,7 @@
     Ok(steps)
 }
 
-fn size(delta: &Delta) -> usize {
+fn delta_bytes(delta: &Delta) -> usize {
     let puts = delta.puts.iter();
     let puts = puts.map(|(name, blob)| name.len() + blob.0.len());
     puts.chain(delta.removes.iter().map(String::len)).sum()
--- a/crates/operator/src/show.rs
+++ b/crates/operator/src/show.rs
@@ -1,4 +1,4 @@
-//! Which instances hold the bundle in force.
+//! Shows which instances have the bundle in force.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -16,23 +16,23 @@
 
 use crate::error::Error;
 
-/// Bytes of an instance's answer, some hundred in truth.
-const ANSWER_LIMIT: usize = 64 * 1024;
+/// A response normally has some hundred bytes.
+const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
-/// An instance and what it holds.
+/// An instance and the bundle it has.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
-    /// Its name on the platform's list.
+    /// Its name on the platform's instance list.
     pub name: String,
-    /// Whether it may get new work.
+    /// Whether it may receive new requests.
     pub standing: Standing,
-    /// What it answered.
-    pub held: Held,
+    /// Its bundle, or why it is not known.
+    pub status: BundleStatus,
 }
 
-/// What an instance holds.
+/// The bundle of an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Held {
+pub enum BundleStatus {
     /// This version with this root digest; version 0 for none.
     Bundle {
         /// The version.
@@ -40,19 +40,19 @@
         /// The root digest in hexadecimal.
         root: String,
     },
-    /// It did not answer, for this reason.
-    Silent(String),
+    /// It did not respond, for this reason.
+    NoAnswer(String),
 }
 
 impl Row {
-    /// Returns whether it holds this version, or need not.
+    /// Returns whether it has this version, or is leaving and need not have it.
     #[must_use]
-    pub fn holds(&self, version: Version, root: &str) -> bool {
-        let expected = Held::Bundle {
+    pub fn is_up_to_date(&self, version: Version, root: &str) -> bool {
+        let expected = BundleStatus::Bundle {
             version,
             root: root.to_owned(),
         };
-        self.standing == Standing::Leaving || self.held == expected
+        self.standing == Standing::Leaving || self.status == expected
     }
 }
 
@@ -63,22 +63,22 @@
             Standing::Leaving => "leaving",
         };
         write!(f, "{:<24} {standing:<8} ", self.name)?;
-        match &self.held {
-            Held::Bundle { version: 0, .. } => write!(f, "no bundle"),
-            Held::Bundle { version, root } => {
+        match &self.status {
+            BundleStatus::Bundle { version: 0, .. } => write!(f, "no bundle"),
+            BundleStatus::Bundle { version, root } => {
                 let short = root.get(..12).unwrap_or(root);
                 write!(f, "version {version} root {short}")
             }
-            Held::Silent(reason) => write!(f, "no answer: {reason}"),
+            BundleStatus::NoAnswer(reason) => write!(f, "no answer: {reason}"),
         }
     }
 }
 
-/// Asks every instance on the list, by name.
+/// Queries every instance on the list, sorted by name.
 ///
 /// # Errors
 ///
-/// Returns [`Error::List`] if there is no list.
+/// Returns [`Error::List`] if the list can't be read.
 pub async fn instances(
     list: &list::Client,
     connector: &Connector,
@@ -107,9 +107,9 @@
     Row {
         name: instance.name.clone(),
         standing: instance.standing,
-        held: match asked {
-            Ok(Answer { version, root }) => Held::Bundle { version, root },
-            Err(error) => Held::Silent(error.to_string()),
+        status: match asked {
+            Ok(Answer { version, root }) => BundleStatus::Bundle { version, root },
+            Err(error) => BundleStatus::NoAnswer(error.to_string()),
         },
     }
 }
@@ -130,7 +130,7 @@
     if response.status() != StatusCode::OK {
         return Err(format!("it answered {}", response.status()).into());
     }
-    let body = Limited::new(response.into_body(), ANSWER_LIMIT);
+    let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES);
     let bytes = tokio::time::timeout(timeout, body.collect()).await??;
     Ok(serde_json::from_slice(&bytes.to_bytes())?)
 }
--- a/crates/operator/src/story/line.rs
+++ b/crates/operator/src/story/line.rs
@@ -1,16 +1,16 @@
-//! One line of a log.
+//! Parses log lines.
 
 use std::collections::BTreeMap;
 
 use time::OffsetDateTime;
 use time::format_description::well_known::Rfc3339;
 
-/// A line, taken apart.
+/// A parsed log line.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
-    /// When, in seconds of the writer's clock.
+    /// The time in seconds of the writer's clock.
     pub at: f64,
-    /// The instance, where a collector put its name before the level.
+    /// The instance, if a collector put its name before the level.
     pub instance: Option<String>,
     /// The level.
     pub level: String,
@@ -22,7 +22,7 @@
 }
 
 impl Line {
-    /// Reads a line; `None` if it is none of a log.
+    /// Parses a line; `None` if it is not a log line.
     ///
     /// It has a time, as RFC 3339 or in seconds, the instance if a collector
     /// adds it, the level in brackets, the module if it is shown, a message,
@@ -57,7 +57,7 @@
         return Some(seconds);
     }
     let at = OffsetDateTime::parse(text, &Rfc3339).ok()?;
-    // A double holds the microseconds of this century.
+    // An f64 represents microseconds exactly enough in this century.
     #[expect(clippy::cast_precision_loss, reason = "microseconds are enough")]
     let nanos = at.unix_timestamp_nanos() as f64;
     Some(nanos / 1e9)
@@ -70,7 +70,7 @@
     }
 }
 
-// The message, and the fields that follow it.
+// Splits the message from the fields that follow it.
 fn split(text: &str) -> (&str, BTreeMap<String, String>) {
     let mut fields = BTreeMap::new();
     let Some(first) = begin(text) else {
@@ -85,13 +85,13 @@
     (message.trim_end(), fields)
 }
 
-// Where the first field begins.
+// Returns where the first field begins.
 fn begin(text: &str) -> Option<usize> {
     let equals = text.find('=')?;
     Some(text[..equals].rfind(' ').map_or(0, |space| space + 1))
 }
 
-// A field's value, and what follows it.
+// Returns a field's value and the rest of the text.
 fn value(text: &str) -> (String, &str) {
     let Some(quoted) = text.strip_prefix('"') else {
         let end = text.find(' ').unwrap_or(text.len());
--- a/crates/operator/src/story/tests.rs
+++ b/crates/operator/src/story/tests.rs
@@ -32,11 +32,12 @@
     assert_eq!(line.instance.as_deref(), Some("edge-1"));
 }
 
-/// An order came back as 502. Its story has its own lines in order, what its
-/// instance lost shortly before, and how the other request at that endpoint
-/// fared; what happened much later, or to others, is left out.
+/// A request failed with 502. Its story must have its own lines in order, the
+/// connection that its instance lost shortly before, and the result of the other
+/// request at that endpoint. Much later lines and those of other requests are
+/// left out.
 #[test]
-fn a_story_has_the_requests_lines_and_what_was_believed_then() {
+fn a_story_has_the_lines_of_the_request_and_of_its_endpoint() {
     let mut logs = Logs::default();
     logs.read("one", ONE);
     let text = logs.story("a1").expect("lines of a1").to_string();
@@ -65,12 +66,12 @@
     );
 }
 
-/// A request crossed two instances, of which the second's clock is a minute
-/// ahead. By its own times the answer of the first came before the second was
-/// asked. Both saw versions 7 and 8 come into force, so the second's lines are
-/// put a minute earlier and stand where they belong.
+/// A request passed through two instances, and the second's clock is a minute
+/// ahead. By the logged times the first responded before the second was asked.
+/// Both logged versions 7 and 8 as in force, so the second's lines must be moved
+/// a minute earlier and sorted correctly.
 #[test]
-fn clocks_that_differ_are_laid_side_by_side() {
+fn clocks_that_differ_are_aligned() {
     let one = "\
 10.0 [INFO] version in force version=7
 12.0 [INFO] version in force version=8
--- a/crates/operator/tests/rolls.rs
+++ b/crates/operator/tests/rolls.rs
@@ -1,4 +1,4 @@
-//! The tool against the log and list stand-ins, with their faults on.
+//! Runs the tool against stand-ins of the log and the list, with faults enabled.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 use godwitpost_operator::cli::parse;
 use godwitpost_operator::error::Error;
 use godwitpost_operator::keyfile;
-use godwitpost_operator::run::{Done, run};
+use godwitpost_operator::run::{Output, run};
 use godwitpost_standin::{list, log};
 use godwitpost_types::endpoint::Standing;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -33,7 +33,7 @@
   - { path: /orders, service: ordering, class: order, unrepeatable: true }
 "#;
 
-/// A log, a folder with keys and a bundle, and the tool run in it.
+/// A log stand-in and a folder with keys and a bundle, in which the tool runs.
 struct Desk {
     log: log::Running,
     folder: PathBuf,
@@ -72,7 +72,7 @@
         fs::write(self.path(name), text).expect("the folder is there");
     }
 
-    // Changes the bundle's file: its version and the workspace's rate.
+    // Writes the bundle with another version and another rate of the workspace.
     fn edit(&self, name: &str, version: u64, rate: f64) {
         let yaml = fs::read_to_string(self.path("bundle.yaml")).expect("it was written");
         let mut bundle = source::read(&yaml).expect("it is right");
@@ -82,8 +82,8 @@
         self.write(name, &source::write(&bundle));
     }
 
-    // Words with a dot are files in the folder.
-    async fn run(&self, line: &str) -> Result<Done, Error> {
+    // Words with a dot are names of files in the folder.
+    async fn run(&self, line: &str) -> Result<Output, Error> {
         let words = line.split_whitespace().map(|word| {
             let file = word.contains('.') && !word.contains(':');
             if file {
@@ -96,23 +96,23 @@
         run(parse(program.chain(words))).await
     }
 
-    async fn on_log(&self, line: &str) -> Result<Done, Error> {
+    async fn on_log(&self, line: &str) -> Result<Output, Error> {
         let (address, root) = (self.log.address(), &self.root);
         let line = format!("{line} --fleet kitakaze --log {address} --root-key {root}");
         self.run(&line).await
     }
 
-    async fn roll(&self, file: &str, operator: &str) -> Result<Done, Error> {
+    async fn roll(&self, file: &str, operator: &str) -> Result<Output, Error> {
         let line = format!("roll {file} --operator {operator} --key {operator}.key --patience 5");
         self.on_log(&line).await
     }
 }
 
-fn text(result: Result<Done, Error>) -> String {
+fn text(result: Result<Output, Error>) -> String {
     result.expect("it is done").text
 }
 
-fn refused(result: Result<Done, Error>) -> (u8, String) {
+fn refused(result: Result<Output, Error>) -> (u8, String) {
     let error = result.expect_err("it is refused");
     (error.code(), error.to_string())
 }
@@ -143,10 +143,11 @@
     assert_eq!(source::read(&yaml).map(|bundle| bundle.version), Ok(3));
 }
 
-// Two operators edit version 1 at the same time. The second is told who was
-// first, and how to go on, whether she finds out before or after appending.
+// Two operators edit version 1 at the same time. The second must
+// be told who won and how to continue, whether the race is detected before or
+// after appending.
 #[tokio::test]
-async fn the_loser_of_a_race_is_told_who_won_and_how_to_go_on() {
+async fn the_loser_of_a_race_is_told_who_won_and_how_to_continue() {
     let desk = Desk::new("race", log::Faults::default()).await;
     text(desk.roll("bundle.yaml", "kushiro").await);
     desk.edit("hers.yaml", 2, 60.0);
@@ -162,10 +163,10 @@
     assert!(told.contains("with `version: 3`"), "{told}");
 }
 
-// The log takes the append and the answer is lost. The operator must not be
-// told that it failed, nor roll it twice.
+// The log accepts the append and the response is lost. The tool must neither
+// report a failure nor roll the version twice.
 #[tokio::test]
-async fn a_lost_answer_is_settled_by_reading_back() {
+async fn a_lost_response_is_resolved_by_reading_back() {
     let faults = log::Faults {
         lose_answers: 1.0,
         ..log::Faults::default()
@@ -179,9 +180,9 @@
 }
 
 // The connection breaks, and the append takes effect only after the tool has
-// read back and appended again. Both records are there; one version is.
+// read back and appended again. The log has both records, but one version.
 #[tokio::test]
-async fn an_append_that_lands_late_counts_once() {
+async fn an_append_that_takes_effect_late_counts_once() {
     let faults = log::Faults {
         late_effects: 1.0,
         late_by: Duration::from_secs(2),
@@ -202,8 +203,8 @@
     text(desk.roll("second.yaml", "kushiro").await);
 }
 
-// The log takes the append, but its reads lag. The tool waits for its record
-// to show and does not append it again.
+// The log accepts the append, but its reads lag. The tool must wait for its
+// record to appear and not append it again.
 #[tokio::test]
 async fn a_log_whose_reads_lag_gets_one_record() {
     let faults = log::Faults {
@@ -247,7 +248,7 @@
 }
 
 // A first bundle of 8,900 workspaces is larger than a record. It is rolled in
-// several versions, each of them whole, and none of it is refused half-way.
+// several versions, each a complete bundle, and none of them may be refused.
 #[tokio::test]
 async fn a_bundle_above_a_records_size_is_rolled_in_several_versions() {
     let desk = Desk::new("large", log::Faults::default()).await;
@@ -269,7 +270,7 @@
     );
 }
 
-// Answers one call of the operators' port with the JSON of a bundle.
+// Responds to one call to the operators' port with the JSON of a bundle.
 async fn instance(version: u64, root: &str) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await;
     let listener = listener.expect("a port is free");
@@ -323,8 +324,8 @@
     assert!(lines[3].starts_with("c ") && lines[3].contains("no answer"));
 }
 
-// No instance ran for longer than the log keeps records, and everything that
-// leads to the bundle is gone. A roll would wait for a checkpoint for ever.
+// No instance ran for longer than the log retains records, so everything that
+// leads to the bundle was dropped. A roll would wait forever for a checkpoint.
 #[tokio::test]
 async fn a_fleet_whose_log_lost_its_bundle_starts_anew() {
     let desk = Desk::new("anew", log::Faults::default()).await;
