--- a/crates/process/src/lib.rs
+++ b/crates/process/src/lib.rs
@@ -1,7 +1,7 @@
-//! What every long-running program of the fleet needs of its process.
+//! Infrastructure shared by the long-running programs of the fleet.
 //!
-//! Listening ports, logs, metrics, and the reading of settings files. Nothing
-//! here knows what a request is for.
+//! Listening ports, logging, metrics, and settings files, independent of what requests
+//! are for.
 
 pub mod logging;
 pub mod metrics;
--- a/crates/process/src/logging/queue/tests.rs
+++ b/crates/process/src/logging/queue/tests.rs
@@ -6,7 +6,7 @@
 
 use super::{MAX_QUEUED_LINES, Queue};
 
-/// A writer that writes nothing until it is told to.
+/// A writer that blocks until it is released.
 struct Stuck {
     go: Receiver<()>,
     written: Sender<Vec<u8>>,
@@ -30,10 +30,10 @@
     }
 }
 
-/// The collector of a node's standard output hangs while callers come.
-/// Each request logs a line; with a blocking write all requests would stop.
+/// The reader of standard output hangs while requests arrive. Each request logs a line,
+/// so blocking writes would stop all requests.
 #[test]
-fn a_reader_that_stops_costs_lines_and_no_time() {
+fn a_stopped_reader_drops_lines_without_blocking() {
     let (_go, stuck) = channel();
     let (written, _kept) = channel();
     let queue = Queue::start(Stuck { go: stuck, written });
@@ -45,10 +45,10 @@
     assert!(queue.dropped() >= 2 * MAX_QUEUED_LINES as u64);
 }
 
-/// Ordinary lines filled the queue and the one line that explained the failed
-/// request was dropped with the rest.
+/// Guards against lines of a lower level that fill the queue, so that the line that
+/// explains a failed request is dropped.
 #[test]
-fn a_warning_finds_room_behind_a_flood_of_ordinary_lines() {
+fn warnings_are_queued_when_other_lines_are_dropped() {
     let (go, stuck) = channel();
     let (written, kept) = channel();
     let queue = Queue::start(Stuck { go: stuck, written });
--- a/crates/process/src/metrics/tests.rs
+++ b/crates/process/src/metrics/tests.rs
@@ -4,7 +4,7 @@
 
 use super::{MAX_LABELLED_WORKSPACES, Metrics};
 
-// With 8,900 workspaces a label set each would outgrow the memory allowed.
+// With 8,900 workspaces, one label set each would exceed the memory limit.
 #[test]
 fn workspaces_beyond_the_limit_share_a_label() {
     let metrics = Metrics::new("otaru-1");
@@ -42,10 +42,10 @@
     assert!(bucket("0.8"));
 }
 
-// The number is read when metrics are asked for, so an instrument that lost
-// its reader would show nothing, and operators would see an idle router.
+// The value is read when metrics are exported. An instrument without its reader would
+// report nothing, and the router would look idle.
 #[test]
-fn requests_in_flight_are_shown_as_they_are_now() {
+fn requests_in_flight_show_the_current_value() {
     let metrics = Metrics::new("otaru-1");
     let shown = || {
         let text = metrics.text();
--- a/crates/process/src/serve/silence/tests.rs
+++ b/crates/process/src/serve/silence/tests.rs
@@ -16,26 +16,26 @@
     (caller, accepted)
 }
 
-/// Phones lose their network at a fete; their connections stay open on our
-/// side without a byte, until the router has no file left and refuses all.
+/// Clients lose their network. Their connections stay open on the router without a byte
+/// until it has no file descriptors left and refuses all connections.
 #[tokio::test]
-async fn a_connection_that_says_nothing_ends() {
+async fn a_connection_without_a_byte_is_closed() {
     let (_caller, accepted) = pair().await;
     let (_open, closing) = watch::channel(false);
     assert!(!first_byte(&accepted, Duration::from_millis(20), closing).await);
 }
 
 #[tokio::test]
-async fn a_shutdown_does_not_wait_for_the_silent() {
+async fn a_shutdown_does_not_wait_for_silent_connections() {
     let (_caller, accepted) = pair().await;
     let (close, closing) = watch::channel(false);
     close.send_replace(true);
     assert!(!first_byte(&accepted, LONG, closing).await);
 }
 
-/// Near miss: a request that is there when the shutdown begins is answered.
+/// A request that has arrived when the shutdown begins gets a response.
 #[tokio::test]
-async fn a_first_byte_is_heard_even_at_a_shutdown() {
+async fn a_first_byte_is_accepted_even_at_a_shutdown() {
     let (mut caller, accepted) = pair().await;
     caller.write_all(b"G").await.expect("a byte sent");
     accepted.readable().await.expect("a byte received");
@@ -45,15 +45,15 @@
 }
 
 #[tokio::test]
-async fn a_peer_that_hangs_up_at_once_said_nothing() {
+async fn a_peer_that_disconnects_at_once_sent_nothing() {
     let (caller, accepted) = pair().await;
     drop(caller);
     let (_open, closing) = watch::channel(false);
     assert!(!first_byte(&accepted, LONG, closing).await);
 }
 
-/// A caller asks for a long draft and never reads it. Its stream keeps a slot
-/// of the engine, and enough of such callers keep all of them.
+/// A caller requests a long response and never reads it. Its stream occupies a slot of
+/// the engine, and enough such callers occupy all of them.
 #[tokio::test]
 async fn a_stream_that_nobody_reads_ends() {
     let (_caller, mut accepted) = pair().await;
--- a/crates/process/src/serve/tests.rs
+++ b/crates/process/src/serve/tests.rs
@@ -65,9 +65,8 @@
     bytes[..count].starts_with(b"HTTP/1.1 200")
 }
 
-/// A client keeps its connection for four fifths of the idle time that it was
-/// told and sends the next request on it. Closed a moment before, the request
-/// would be lost on the way, and nobody could say whether it had run.
+/// A client reuses its connection after four fifths of the announced idle time. If the
+/// server closed it just before, the request would be lost with an unknown outcome.
 #[tokio::test]
 async fn a_connection_is_open_for_its_whole_idle_time() {
     let (address, _open) = serve();
@@ -81,8 +80,8 @@
     assert!(!asks(&mut stream).await);
 }
 
-/// A client opens a connection and asks with pauses while a shutdown begins.
-/// What it has sent is answered; between two requests the connection closes.
+/// A client sends requests with pauses while a shutdown begins. Requests that were sent
+/// get a response; the connection closes between two requests.
 #[tokio::test]
 async fn a_shutdown_closes_between_two_requests() {
     let (address, close) = serve();
@@ -96,11 +95,11 @@
         .expect_err("nobody listens");
 }
 
-/// A client sends a byte of its head now and then. As hyper counts, it could go
-/// on for as long as others may rest, and a few thousand of its kind would hold
-/// every file of the process.
+/// A client sends a byte of its head now and then. With hyper's time-out it could do so
+/// for as long as connections may be idle, and a few thousand such clients would occupy
+/// all file descriptors of the process.
 #[tokio::test]
-async fn a_head_that_trickles_is_cut_short() {
+async fn a_slow_head_is_cut_off() {
     let (address, _open) = serve();
     let mut stream = TcpStream::connect(address).await.expect("a connection");
     assert!(asks(&mut stream).await);
@@ -119,10 +118,10 @@
     assert!(took > WITHIN / 2 && took < WITHIN * 2, "{took:?}");
 }
 
-/// Near misses: a head in two halves that arrives in time, and an answer that
-/// takes longer than a head may.
+/// A head in two halves that arrives in time, and a response that takes longer than the
+/// limit of a head, must not be cut off.
 #[tokio::test]
-async fn a_head_in_halves_and_a_slow_answer_are_let_be() {
+async fn a_head_in_halves_and_a_slow_response_are_not_cut_off() {
     let port = Port::bind(([127, 0, 0, 1], 0).into()).expect("a free port");
     let address = port.address;
     let (_open, closing) = watch::channel(false);
--- a/crates/process/src/settings.rs
+++ b/crates/process/src/settings.rs
@@ -1,8 +1,8 @@
-//! Reading a YAML settings file so that all of its mistakes are found at once.
+//! Reads a YAML settings file and reports all of its mistakes at once.
 //!
-//! [`node`] is the file as a tree with lines; [`low`] takes checked values out
-//! of it and collects what is wrong. [`load`] does the whole for a program's
-//! own settings, which it is handed a function to read.
+//! [`node`] represents the file as a tree with line numbers; [`low`] extracts validated
+//! values and collects mistakes. [`load`] reads the file, and [`parse`] extracts the
+//! settings with a function of the program.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -13,14 +13,14 @@
 pub mod low;
 pub mod node;
 
-/// Why there are no settings.
+/// The reason for which settings can't be loaded.
 #[derive(Debug)]
 pub enum Error {
     /// The file can't be read.
     Read(PathBuf, std::io::Error),
-    /// The file is no YAML, or has a key twice.
+    /// The file is not valid YAML or has a duplicate key.
     Yaml(String),
-    /// Values are wrong: all of them.
+    /// All invalid values.
     Mistakes(Vec<Mistake>),
 }
 
@@ -54,8 +54,8 @@
     std::fs::read_to_string(path).map_err(|error| Error::Read(path.to_owned(), error))
 }
 
-/// Reads settings from YAML; `read` takes them out of the top level and notes
-/// what is wrong.
+/// Parses settings in YAML. `read` extracts them from the top level and collects
+/// mistakes.
 ///
 /// # Errors
 ///
@@ -64,7 +64,7 @@
     text: &str,
     read: impl FnOnce(Level, &mut Vec<Mistake>) -> Option<T>,
 ) -> Result<T, Error> {
-    // A snippet of the source would put secrets into the log.
+    // No snippet of the source, which could put secrets into the log.
     let options = serde_saphyr::options! { with_snippet: false };
     let node = serde_saphyr::from_str_with_options(text, options)
         .map_err(|error| Error::Yaml(error.to_string()))?;
--- a/crates/process/src/settings/low.rs
+++ b/crates/process/src/settings/low.rs
@@ -1,4 +1,4 @@
-//! Takes values out of the tree and collects what is wrong with them.
+//! Extracts values from the tree and collects mistakes.
 
 use std::fmt;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 /// One mistake in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Mistake {
-    /// The line in the file; 0 if the file as a whole is meant.
+    /// The line in the file; 0 for the file as a whole.
     pub line: u64,
     /// The key, with the keys above it.
     pub key: String,
@@ -27,7 +27,7 @@
     }
 }
 
-/// One level of the file, emptied key by key.
+/// One level of the file, from which keys are removed one by one.
 #[derive(Debug)]
 pub struct Level {
     path: String,
@@ -35,7 +35,7 @@
     map: Map,
 }
 
-/// A value that was taken out, with its place for later checks.
+/// A value that was removed from its level, with its position for later checks.
 #[derive(Debug)]
 pub struct Taken<T> {
     /// The value.
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Takes the keys under `key`; an absent one gives an empty level.
+    /// Removes and returns the level under `key`, or an empty level if it is absent.
     #[must_use]
     pub fn level(&mut self, key: &str, mistakes: &mut Vec<Mistake>) -> Self {
         let path = self.path_of(key);
@@ -80,13 +80,14 @@
         Self { path, line, map }
     }
 
-    /// Returns the keys that nobody took, where they are names and not fixed.
+    /// Returns the remaining keys, for levels whose keys are not fixed.
     #[must_use]
     pub fn keys(&self) -> Vec<String> {
         self.map.keys().cloned().collect()
     }
 
-    /// Takes a value that `read` understands; `None` if the key is absent.
+    /// Removes a value and parses it with `read`. Returns `None` if the key is absent or
+    /// the value is invalid.
     pub fn optional<T>(
         &mut self,
         key: &str,
@@ -112,7 +113,7 @@
         })
     }
 
-    /// Takes a value that must be there.
+    /// Removes and parses a required value.
     pub fn required<T>(
         &mut self,
         key: &str,
@@ -131,7 +132,7 @@
         self.optional(key, wants, read, mistakes)
     }
 
-    /// Takes a list; each item must be one that `read` understands.
+    /// Removes a list and parses each item with `read`.
     pub fn list<T>(
         &mut self,
         key: &str,
@@ -169,7 +170,7 @@
         values
     }
 
-    /// Reports each key that nobody took.
+    /// Reports each remaining key as unknown.
     pub fn finish(self, known: &[&str], mistakes: &mut Vec<Mistake>) {
         for (key, spanned) in &self.map {
             mistakes.push(Mistake {
@@ -190,7 +191,7 @@
 }
 
 impl<T> Taken<T> {
-    /// Reports the value as wrong.
+    /// Returns a mistake about the value.
     #[must_use]
     pub fn mistake(&self, text: &str) -> Mistake {
         Mistake {
@@ -201,7 +202,7 @@
     }
 }
 
-/// Reads a span of time such as `500ms`, `60s`, `15m` or `2h`.
+/// Parses a duration such as `500ms`, `60s`, `15m` or `2h`.
 #[must_use]
 pub fn duration(text: &str) -> Option<Duration> {
     let split = text.find(|c: char| !c.is_ascii_digit())?;
--- a/crates/process/src/settings/node.rs
+++ b/crates/process/src/settings/node.rs
@@ -1,8 +1,8 @@
-//! A YAML value that remembers its line.
+//! A YAML value with its line number.
 //!
-//! A derived struct stops at its first wrong value. Operators want all the
-//! mistakes of a file at once, so the file is read into this tree first, and
-//! the settings are taken out of it key by key.
+//! Deserializing a derived struct stops at the first invalid value. To report all
+//! mistakes of a file at once, the file is parsed into this tree first, and settings
+//! are extracted from it key by key.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -18,7 +18,7 @@
 pub enum Node {
     /// No value after the colon.
     Null,
-    /// Text, numbers and truth values, as text.
+    /// A string, number or boolean, as text.
     Scalar(String),
     /// A list.
     List(Vec<Spanned<Node>>),
--- a/crates/router/src/problem.rs
+++ b/crates/router/src/problem.rs
@@ -11,7 +11,7 @@
 use godwitpost_client::connect::Body;
 use godwitpost_decide::refusal::{Reason, Refusal};
 use godwitpost_types::outcome::{Outcome, Scope};
-use godwitpost_wire::dispatch::Told;
+use godwitpost_wire::dispatch::ErrorResponse;
 use godwitpost_wire::header as name;
 use http::header::{CONTENT_TYPE, RETRY_AFTER};
 use http::{HeaderValue, Response, StatusCode};
@@ -145,20 +145,20 @@
     }
 }
 
-impl From<Told> for Problem {
-    fn from(told: Told) -> Self {
+impl From<ErrorResponse> for Problem {
+    fn from(response: ErrorResponse) -> Self {
         Self {
-            status: StatusCode::from_u16(told.status).unwrap_or(StatusCode::BAD_GATEWAY),
-            reason: Cow::Owned(told.reason),
-            detail: told.detail,
-            outcome: told.outcome,
-            scope: told.scope,
-            retry_after: told.retry_after,
+            status: StatusCode::from_u16(response.status).unwrap_or(StatusCode::BAD_GATEWAY),
+            reason: Cow::Owned(response.reason),
+            detail: response.detail,
+            outcome: response.outcome,
+            scope: response.scope,
+            retry_after: response.retry_after,
         }
     }
 }
 
-impl From<Problem> for Told {
+impl From<Problem> for ErrorResponse {
     fn from(problem: Problem) -> Self {
         Self {
             status: problem.status.as_u16(),
--- a/crates/router/src/relay/entry.rs
+++ b/crates/router/src/relay/entry.rs
@@ -164,7 +164,9 @@
                         .with(|owner| owner.record_evidence(&evidence));
                     return Step::Failed(Some(endpoint), ending);
                 }
-                AttemptResult::Reply(Reply::Told(problem)) => return Step::Reject(problem.into()),
+                AttemptResult::Reply(Reply::Error(problem)) => {
+                    return Step::Reject(problem.into());
+                }
             }
         }
         Step::Failed(None, Ending::Refused)
--- a/crates/router/src/relay/once.rs
+++ b/crates/router/src/relay/once.rs
@@ -268,7 +268,7 @@
 }
 
 fn problem_reply(problem: Problem) -> AttemptResult {
-    AttemptResult::Reply(Reply::Told(problem.into()))
+    AttemptResult::Reply(Reply::Error(problem.into()))
 }
 
 // The claim is used up, so the same key can't be used again.
--- a/crates/router/src/relay/owner.rs
+++ b/crates/router/src/relay/owner.rs
@@ -28,7 +28,7 @@
         Ok(attempt) => attempt,
         // The task panics only because of a bug. Whether the endpoint got the
         // request is then unknown.
-        Err(_panicked) => AttemptResult::Reply(Reply::Told(once::unknown_outcome().into())),
+        Err(_panicked) => AttemptResult::Reply(Reply::Error(once::unknown_outcome().into())),
     }
 }
 
@@ -36,7 +36,7 @@
     match once::replay(shared, job) {
         Ok(None) => {}
         Ok(Some(attempt)) => return attempt,
-        Err(problem) => return AttemptResult::Reply(Reply::Told(problem.into())),
+        Err(problem) => return AttemptResult::Reply(Reply::Error(problem.into())),
     }
     match local_owner::offer(shared, &job.head.request, &job.head.hop).await {
         Decision::Dispatch(permit) if job.head.request.repeatable() => {
--- a/crates/router/src/relay/peer.rs
+++ b/crates/router/src/relay/peer.rs
@@ -129,7 +129,7 @@
     let pool = Pool::for_request(&job.head.request);
     let summary = load
         .and_then(|value| value.to_str().ok())
-        .and_then(|text| dispatch::load(text, instance.id, pool));
+        .and_then(|text| dispatch::parse_load(text, instance.id, pool));
     if let Some(summary) = summary {
         shared
             .owner
--- a/crates/router/src/serve/peers.rs
+++ b/crates/router/src/serve/peers.rs
@@ -120,7 +120,7 @@
     }
     let now = shared.now();
     let summary = shared.owner.with(|owner| owner.summary(now, pool));
-    if let Ok(load) = HeaderValue::from_str(&dispatch::load_text(&summary)) {
+    if let Ok(load) = HeaderValue::from_str(&dispatch::format_load(&summary)) {
         headers.insert(header::LOAD, load);
     }
     // A stream that this instance relays is in flight until it ends.
--- a/crates/wire/src/auth.rs
+++ b/crates/wire/src/auth.rs
@@ -1,14 +1,13 @@
-//! Authentication between instances, with a key that the fleet shares.
+//! Authentication between instances with a key shared by the fleet.
 //!
-//! Without it, whoever reaches an instance's peer port could place work past
-//! the workspaces' limits, or move chats about with forged gossip. A seal is a
-//! keyed BLAKE3 hash over the method, path, sender, receiver, time and body,
-//! so a message that is changed, sent to another instance, or sent again later
-//! than [`WINDOW`] is refused.
+//! Without it, anyone who can reach the peer port of an instance could bypass the
+//! limits of workspaces, or reassign chats with forged gossip. A seal is a keyed BLAKE3
+//! hash over the method, path, sender, receiver, time and body. A message that was
+//! modified, sent to another instance, or replayed after [`WINDOW`] is rejected.
 //!
-//! A message sent again to the same instance within the window passes. That
-//! is harmless by design: unrepeatable work is claimed by its key, and gossip
-//! and claims are idempotent.
+//! A message replayed to the same instance within the window is accepted. This is
+//! harmless: unrepeatable requests are claimed by their key, and gossip and claims are
+//! idempotent.
 
 use std::fmt;
 use std::time::Duration;
@@ -21,18 +20,18 @@
 
 use crate::header;
 
-/// How far the clocks of two instances may lie apart, with the message's time
-/// on the way. Wider lets a recorded message be sent again for longer.
+/// Maximum difference between the clocks of two instances plus the time in transit. A
+/// longer window allows a recorded message to be replayed for longer.
 pub const WINDOW: Duration = Duration::from_secs(30);
 
-/// Bytes of a fleet key.
+/// Size of a fleet key.
 pub const KEY_BYTES: usize = 32;
 
-/// The key that all instances of a fleet share.
+/// The key shared by all instances of a fleet.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Key([u8; KEY_BYTES]);
 
-/// Why a message is refused.
+/// The reason for which a message is rejected.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Error {
     /// the message has no seal: only instances of the fleet may use this port
@@ -45,40 +44,41 @@
 
 impl std::error::Error for Error {}
 
-/// What a seal covers.
+/// The parts of a message that a seal covers.
 #[derive(Clone, Copy, Debug)]
 pub struct Message<'a> {
     /// The HTTP method.
     pub method: &'a str,
     /// The path, with its query.
     pub path: &'a str,
-    /// The name of the instance that sends it.
+    /// The name of the sending instance.
     pub sender: &'a str,
-    /// The name of the instance that it is for.
+    /// The name of the receiving instance.
     pub receiver: &'a str,
     /// The whole body.
     pub body: &'a [u8],
 }
 
 impl Key {
-    /// Returns the key made of these bytes.
+    /// Creates a key from bytes.
     #[must_use]
     pub const fn new(bytes: [u8; KEY_BYTES]) -> Self {
         Self(bytes)
     }
 
-    /// Reads a key from base64.
+    /// Parses a key in base64.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let bytes = STANDARD.decode(text.trim()).ok()?;
         Some(Self(bytes.try_into().ok()?))
     }
 
-    /// Puts the headers of a seal on a message.
+    /// Adds the headers of a seal to a message.
     ///
     /// # Panics
     ///
-    /// Panics if the sender's name is no header value; settings refuse such.
+    /// Panics if the sender's name is not a valid header value; settings reject such
+    /// names.
     pub fn seal(&self, message: &Message<'_>, now: Moment, headers: &mut HeaderMap) {
         let time = now.as_millis().to_string();
         let seal = STANDARD.encode(self.hash(message, &time).as_bytes());
@@ -88,12 +88,12 @@
         headers.insert(header::SEAL, value(&seal));
     }
 
-    /// Checks the seal on a message for `receiver`; returns its sender's name.
+    /// Checks the seal of a message to `receiver` and returns the name of its sender.
     ///
     /// # Errors
     ///
-    /// Returns an error if the seal is absent, too old or too new, or isn't
-    /// made with this key over this message.
+    /// Returns an error if the seal is missing, too old or too new, or was not made
+    /// with this key for this message.
     pub fn check<'h>(
         &self,
         (method, path, receiver): (&str, &str, &str),
@@ -121,8 +121,8 @@
             .ok()
             .and_then(|bytes| bytes.try_into().ok())
             .ok_or(Error::Forged)?;
-        // `blake3::Hash` compares in constant time, so the time of a refusal
-        // tells nothing about the right seal.
+        // `blake3::Hash` compares in constant time, so timing reveals nothing about
+        // the correct seal.
         if self.hash(&message, time) == blake3::Hash::from_bytes(given) {
             Ok(sender)
         } else {
@@ -140,7 +140,7 @@
             time,
         ];
         for field in fields {
-            // Lengths keep two fields from being read as one.
+            // The lengths make the boundaries between fields unambiguous.
             hasher.update(&(field.len() as u64).to_le_bytes());
             hasher.update(field.as_bytes());
         }
--- a/crates/wire/src/dispatch.rs
+++ b/crates/wire/src/dispatch.rs
@@ -1,8 +1,8 @@
-//! A request on its way from its entry instance to an endpoint's owner.
+//! Messages that forward a request from its entry instance to the owner of an endpoint.
 //!
-//! The owner's answer is either the endpoint's own, relayed as it comes, or a
-//! [`Reply`] that says why there is none. Each carries the attempt's number,
-//! so an answer can't be taken for that of another request.
+//! The owner's response is either the relayed response of the endpoint, or a [`Reply`]
+//! that states why there is none. Both contain the id of the attempt, so a response
+//! can't be taken for that of another request.
 
 use std::time::Duration;
 
@@ -19,76 +19,77 @@
 use http::{HeaderMap, HeaderName, HeaderValue};
 use serde::{Deserialize, Serialize};
 
-/// The path that owners take requests on.
+/// The path on which owners accept requests.
 pub const PATH: &str = "/peer/v1/dispatch";
 
-/// A request as its entry instance resolved it; its body follows in the frame.
+/// A request as resolved by its entry instance. Its body follows in the frame.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// The facts that decisions are taken on.
+    /// The properties that decisions depend on.
     pub request: Request,
-    /// Where it is meant to go, and where it has been.
+    /// The instance it is sent to, and those it has passed.
     pub hop: Hop,
-    /// This attempt; its answer must carry the same.
+    /// The id of the attempt, which its response must repeat.
     pub attempt: u64,
     /// The caller's method.
     pub method: String,
     /// The caller's path, with its query.
     pub path: String,
-    /// The caller's headers that endpoints may see.
+    /// The caller's headers that are forwarded to endpoints.
     pub headers: Vec<(String, Vec<u8>)>,
     /// When the key of an unrepeatable request was issued.
     pub issued: Option<Moment>,
 }
 
-/// What kind of answer an owner gives, in the header `header::KIND`.
+/// The kind of an owner's response, in the header `header::KIND`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// The endpoint's own answer follows.
+    /// The response of the endpoint follows.
     Relayed,
     /// A [`Reply`] follows.
     Reply,
 }
 
-/// Why an owner has no answer of an endpoint.
+/// The reason for which an owner has no response of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// Another instance should take the request.
+    /// The request should be sent to another instance.
     Forward {
         /// The owner of the endpoint in `hop`.
         instance: InstanceId,
-        /// What to send along.
+        /// The forwarding state to send with it.
         hop: Hop,
     },
-    /// The request was not run here and won't be.
+    /// The request was not run by this instance and won't be.
     Refused(Refusal),
     /// The attempt failed at an endpoint.
     Failed {
-        /// Where.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// How.
+        /// The kind of failure.
         ending: Ending,
-        /// What the owner knows against the request, for the next attempt.
+        /// The owner's evidence of crashes caused by the request, for the next attempt.
         evidence: Vec<Evidence>,
     },
-    /// The caller is to be told this.
-    Told(Told),
+    /// The error response to send to the caller.
+    #[serde(rename = "Told")]
+    Error(ErrorResponse),
 }
 
-/// What a caller is to be told in place of an answer.
+/// An error response to the caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct ErrorResponse {
     /// The HTTP status.
     pub status: u16,
-    /// A short stable name for programs.
+    /// A short stable identifier for programs.
     pub reason: String,
     /// What happened and the remedy.
     pub detail: String,
-    /// The fate of the request.
+    /// The outcome of the request.
     pub outcome: Outcome,
-    /// Which attempts a *not run* speaks for.
+    /// The attempts that a *not run* outcome applies to.
     pub scope: Scope,
-    /// When sending it again may help.
+    /// The time after which a retry may succeed.
     pub retry_after: Option<Duration>,
 }
 
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Returns the kind that a header value names.
+    /// Parses the header value.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         [Self::Relayed, Self::Reply]
@@ -111,9 +112,9 @@
     }
 }
 
-/// Returns the header value that tells an owner's load in one pool.
+/// Formats an owner's load in one pool as a header value.
 #[must_use]
-pub fn load_text(summary: &Summary) -> String {
+pub fn format_load(summary: &Summary) -> String {
     let millis = summary.taken.as_millis();
     format!(
         "{} {} {} {millis}",
@@ -121,9 +122,9 @@
     )
 }
 
-/// Reads what `source` told of its load in a pool.
+/// Parses the load of `source` in a pool from a header value.
 #[must_use]
-pub fn load(text: &str, source: InstanceId, pool: Pool) -> Option<Summary> {
+pub fn parse_load(text: &str, source: InstanceId, pool: Pool) -> Option<Summary> {
     let mut parts = text.split(' ');
     let summary = Summary {
         source,
@@ -136,7 +137,7 @@
     parts.next().is_none().then_some(summary)
 }
 
-/// Returns headers as pairs that MessagePack carries.
+/// Converts headers to pairs for MessagePack.
 #[must_use]
 pub fn pack(headers: &HeaderMap) -> Vec<(String, Vec<u8>)> {
     headers
@@ -145,7 +146,7 @@
         .collect()
 }
 
-/// Returns the headers of pairs, without those that aren't well formed.
+/// Converts pairs to headers, skipping invalid ones.
 #[must_use]
 pub fn unpack(pairs: &[(String, Vec<u8>)]) -> HeaderMap {
     let mut headers = HeaderMap::with_capacity(pairs.len());
--- a/crates/wire/src/dispatch/tests.rs
+++ b/crates/wire/src/dispatch/tests.rs
@@ -7,7 +7,7 @@
 use godwitpost_types::request::Request;
 use http::{HeaderMap, HeaderValue};
 
-use super::{Head, Reply, load, load_text, pack, unpack};
+use super::{Head, Reply, format_load, pack, parse_load, unpack};
 use crate::frame::Frame;
 
 const POOL: Pool = Pool {
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_head_and_its_body_survive_the_way() {
+fn head_and_body_round_trip() {
     let frame = Frame {
         head: head(),
         body: bytes::Bytes::from_static(b"40 guides"),
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn replies_survive_the_way() {
+fn replies_round_trip() {
     let reply = Reply::Failed {
         endpoint: 3,
         ending: Ending::Broken,
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn repeated_headers_all_survive_packing() {
+fn repeated_headers_round_trip() {
     let mut headers = HeaderMap::new();
     headers.append("cookie", HeaderValue::from_static("a=1"));
     headers.append("cookie", HeaderValue::from_static("b=2"));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_load_that_is_ill_formed_is_no_load() {
+fn malformed_load_is_rejected() {
     let summary = Summary {
         source: 1,
         pool: POOL,
@@ -78,8 +78,8 @@
         waiting: 6,
         taken: Duration::from_millis(99),
     };
-    assert_eq!(load(&load_text(&summary), 1, POOL), Some(summary));
+    assert_eq!(parse_load(&format_load(&summary), 1, POOL), Some(summary));
     for text in ["", "2", "2 3 4", "2 3 4 5 6", "-1 3 4 5", "2  3 4"] {
-        assert_eq!(load(text, 1, POOL), None, "{text}");
+        assert_eq!(parse_load(text, 1, POOL), None, "{text}");
     }
 }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,29 +1,29 @@
-//! The body of a message between instances: a head and raw bytes.
+//! The body of a message between instances: a typed head and raw bytes.
 //!
-//! Layout: the head's length as four bytes, big-endian; the head in
-//! MessagePack; the rest is the raw body, untouched.
+//! Layout: the length of the head as four bytes, big-endian; the head in MessagePack;
+//! the raw body.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use displaydoc::Display;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Bytes of the length before the head.
+/// Size of the length before the head, in bytes.
 const LENGTH: usize = 4;
 
 /// A message: a typed head and the bytes that follow it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame<H> {
-    /// What the message says.
+    /// The typed head.
     pub head: H,
-    /// Bytes that travel with it, such as a request's body.
+    /// Raw bytes that follow it, such as the body of a request.
     pub body: Bytes,
 }
 
-/// Why bytes are no frame.
+/// The reason for which bytes are not a valid frame.
 #[derive(Debug, Display, PartialEq, Eq)]
 pub enum Error {
-    /// the message ends within its head: the sender broke off; send it again
+    /// the message ends within its head: the sender did not finish it; send it again
     Short,
     /// the head can't be read ({0}): run one version of the router on both instances
     Head(String),
@@ -32,12 +32,12 @@
 impl std::error::Error for Error {}
 
 impl<H: Serialize> Frame<H> {
-    /// Returns the frame's bytes.
+    /// Encodes the frame.
     ///
     /// # Panics
     ///
-    /// Panics if the head can't be written as MessagePack, which is a bug in
-    /// its type: heads are plain structs.
+    /// Panics if the head can't be serialized as MessagePack. Heads are plain structs,
+    /// so this would be a bug in the type.
     pub fn encode(&self) -> Bytes {
         let head = rmp_serde::to_vec(&self.head).expect("a plain struct is always encodable");
         let length = u32::try_from(head.len()).expect("a head is far below 4 GiB");
@@ -50,12 +50,12 @@
 }
 
 impl<H: DeserializeOwned> Frame<H> {
-    /// Reads a frame; the body shares the memory of `bytes`.
+    /// Decodes a frame. The body shares the memory of `bytes`.
     ///
     /// # Errors
     ///
-    /// Returns an error if the bytes end within the head or the head is of
-    /// another type.
+    /// Returns an error if the bytes end within the head, or if the head has another
+    /// type.
     pub fn decode(bytes: &Bytes) -> Result<Self, Error> {
         let length: [u8; LENGTH] = bytes
             .get(..LENGTH)
