--- a/crates/standin/src/cli/tests.rs
+++ b/crates/standin/src/cli/tests.rs
@@ -7,13 +7,13 @@
 fn parse(line: &str) -> Standin {
     let arguments = line.split_whitespace();
     let command = try_parse(["godwitpost-standin"].into_iter().chain(arguments));
-    command.expect("a right command line").standin
+    command.expect("a valid command line").standin
 }
 
-fn mistake(line: &str) -> String {
+fn parse_error(line: &str) -> String {
     let arguments = line.split_whitespace();
     let command = try_parse(["godwitpost-standin"].into_iter().chain(arguments));
-    command.expect_err("a wrong command line").to_string()
+    command.expect_err("an invalid command line").to_string()
 }
 
 #[test]
@@ -52,8 +52,8 @@
 }
 
 #[test]
-fn a_wrong_value_is_named_with_its_remedy() {
-    let mistake = mistake("log --slow 2");
+fn invalid_value_is_reported_with_a_remedy() {
+    let mistake = parse_error("log --slow 2");
     assert_eq!(
         mistake.lines().next(),
         Some(
--- a/crates/standin/src/engine/chat.rs
+++ b/crates/standin/src/engine/chat.rs
@@ -67,7 +67,7 @@
         if !lock(&self.state).orders.serves(&chat.model) {
             return Ok(model_not_loaded_response());
         }
-        if self.faults.hits(faults.refuse) {
+        if self.faults.occurs(faults.refuse) {
             return Ok(answer::error(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "refused before it ran; try again",
@@ -112,7 +112,7 @@
     }
 
     fn accept(&self, id: String, digest: &str, plan: &Plan) -> Arc<Job> {
-        let crossed = self.faults.hits(self.faults.get().cross);
+        let crossed = self.faults.occurs(self.faults.get().cross);
         let mut state = lock(&self.state);
         let previous = state.runs.last().filter(|_| crossed);
         let (answer_id, answer_digest) = previous.map_or_else(
@@ -139,7 +139,7 @@
             work: work.saturating_sub(u64::from(cached)),
             answer: words(digest, 0, plan.answer_tokens),
         });
-        self.sample();
+        self.record_report();
         job
     }
 
--- a/crates/standin/src/engine/core.rs
+++ b/crates/standin/src/engine/core.rs
@@ -125,7 +125,7 @@
         run.ended = Some(now);
         run.end = Some(end);
         drop(state);
-        self.sample();
+        self.record_report();
     }
 
     /// Cancels a job without readers, unless the stream is resumed in time.
--- a/crates/standin/src/engine/kv.rs
+++ b/crates/standin/src/engine/kv.rs
@@ -66,7 +66,7 @@
     pub(super) fn store(&self, prefix: &str, tokens: u32) {
         let gaps = self.faults.get().event_gaps;
         let now = self.clock.now();
-        let published = || !self.faults.hits(gaps);
+        let published = || !self.faults.occurs(gaps);
         lock(&self.state)
             .cache
             .store(prefix, tokens, now, published);
--- a/crates/standin/src/engine/load.rs
+++ b/crates/standin/src/engine/load.rs
@@ -28,7 +28,7 @@
 
 impl Core {
     /// Records the current load for delayed reports.
-    pub(super) fn sample(&self) {
+    pub(super) fn record_report(&self) {
         let faults = self.faults.get();
         let now = self.clock.now();
         let mut state = lock(&self.state);
@@ -42,7 +42,7 @@
     }
 
     pub(super) fn report(&self) -> Response<Body> {
-        self.sample();
+        self.record_report();
         let state = lock(&self.state);
         answer::json(StatusCode::OK, &state.reports.front())
     }
--- a/crates/standin/src/engine/reply.rs
+++ b/crates/standin/src/engine/reply.rs
@@ -23,7 +23,7 @@
             return Err(ConnectionAborted);
         }
         let answer = complete_answer(&reader.job);
-        if !self.faults.hits(self.faults.get().truncate) {
+        if !self.faults.occurs(self.faults.get().truncate) {
             return Ok(with_answer_id(
                 answer::json(StatusCode::OK, &answer),
                 &reader,
@@ -45,7 +45,7 @@
 
     /// Streams a response, truncated with probability `truncate`.
     pub(super) fn stream(&self, reader: Reader, truncate: f64) -> Response<Body> {
-        let cut = if !self.faults.hits(truncate) {
+        let cut = if !self.faults.occurs(truncate) {
             Cut::Never
         } else if self.faults.get().truncate_within {
             Cut::Within
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -42,7 +42,7 @@
     }
 
     /// Decides at random whether a fault of this probability affects a call.
-    pub(crate) fn hits(&self, probability: f64) -> bool {
+    pub(crate) fn occurs(&self, probability: f64) -> bool {
         probability > 0.0 && lock(&self.random).random_bool(probability.min(1.0))
     }
 }
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -187,12 +187,12 @@
                 "over the rate of appends; slow down",
             ));
         }
-        if self.faults.hits(faults.late_effects) {
+        if self.faults.occurs(faults.late_effects) {
             self.append_late(stream.to_owned(), body, faults.late_by);
             return Err(ConnectionAborted);
         }
         let appended = self.append_record(stream, body);
-        if self.faults.hits(faults.lose_answers) {
+        if self.faults.occurs(faults.lose_answers) {
             return Err(ConnectionAborted);
         }
         let time_ms = u64::try_from(appended.time.as_millis()).unwrap_or(u64::MAX);
--- a/crates/standin/src/plain/core.rs
+++ b/crates/standin/src/plain/core.rs
@@ -130,7 +130,7 @@
         }
         let (head, body) = request.into_parts();
         let body = answer::read(body).await?;
-        if self.faults.hits(faults.refuse) {
+        if self.faults.occurs(faults.refuse) {
             return Ok(answer::error(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "refused before execution; try again",
@@ -155,7 +155,7 @@
             return Err(ConnectionAborted);
         }
         sleep(faults.slow).await;
-        if self.faults.hits(faults.lose_answers) {
+        if self.faults.occurs(faults.lose_answers) {
             running.end = End::Interrupted;
             return Err(ConnectionAborted);
         }
--- a/crates/standin/tests/engine.rs
+++ b/crates/standin/tests/engine.rs
@@ -60,7 +60,7 @@
 }
 
 async fn parsed(response: Response<ResponseBody>) -> Value {
-    let text = text(response).await.expect("a whole body");
+    let text = text(response).await.expect("a complete body");
     serde_json::from_str(&text).expect("JSON")
 }
 
@@ -83,7 +83,7 @@
     let running = start(fast_settings(), Faults::default()).await;
     let response = chat(&running, "r1", STREAM).await.expect("an answer");
     assert_eq!(response.headers()["x-request-id"], "r1");
-    let stream = text(response).await.expect("a whole stream");
+    let stream = text(response).await.expect("a complete stream");
     assert_eq!(words(&stream), expected(STREAM, 0));
     assert!(stream.ends_with("data: [DONE]\n\n"));
     assert_eq!(running.runs()[0].end, Some(End::Finished));
@@ -105,7 +105,7 @@
 async fn a_stream_resumes_after_the_last_event_seen() {
     let running = start(fast_settings(), Faults::default()).await;
     let response = chat(&running, "r1", STREAM).await.expect("an answer");
-    text(response).await.expect("a whole stream");
+    text(response).await.expect("a complete stream");
     let headers = [("x-request-id", "r1"), ("last-event-id", "3")];
     let path = "/v1/chat/completions";
     let rest = call(running.address(), Method::POST, path, &headers, "").await;
@@ -147,7 +147,7 @@
     let path = "/v1/requests/r1";
     let deleted = call(running.address(), Method::DELETE, path, &[], "").await;
     assert_eq!(deleted.expect("an answer").status(), StatusCode::NO_CONTENT);
-    text(response).await.expect_err("a stream broken off");
+    text(response).await.expect_err("a truncated stream");
     assert_eq!(running.runs()[0].end, Some(End::Cancelled));
 }
 
@@ -181,7 +181,7 @@
     let running = start(fast_settings(), Faults::default()).await;
     text(chat(&running, "r1", STREAM).await.expect("an answer"))
         .await
-        .expect("a whole stream");
+        .expect("a complete stream");
     running.faults().change(|faults| faults.cross = 1.0);
     let crossed = chat(&running, "r2", UNSTREAMED).await.expect("an answer");
     assert_eq!(crossed.headers()["x-request-id"], "r1");
@@ -190,7 +190,7 @@
         ..Faults::default()
     });
     let cut = chat(&running, "r3", STREAM).await.expect("an answer");
-    text(cut).await.expect_err("a stream broken off");
+    text(cut).await.expect_err("a truncated stream");
 }
 
 #[tokio::test]
@@ -227,7 +227,9 @@
         let headers = [("x-prefix-key", prefix)];
         let path = "/v1/chat/completions";
         let done = call(running.address(), Method::POST, path, &headers, UNSTREAMED).await;
-        text(done.expect("an answer")).await.expect("a whole body");
+        text(done.expect("an answer"))
+            .await
+            .expect("a complete body");
     }
     let path = "/v1/cache-events?from=0";
     let page = call(running.address(), Method::GET, path, &[], "").await;
--- a/crates/standin/tests/list.rs
+++ b/crates/standin/tests/list.rs
@@ -109,7 +109,7 @@
     running.set(endpoint("runner-1"));
     running.set(endpoint("runner-2"));
     let mut watch = watch(&running);
-    let listing = watch.next(TIMEOUT).await.expect("the whole list");
+    let listing = watch.next(TIMEOUT).await.expect("the complete list");
     assert_eq!(names(&listing), ["runner-1", "runner-2"]);
 
     running.remove("runner-1");
@@ -128,7 +128,7 @@
     let first = start_at("127.0.0.2:0").await;
     first.set(endpoint("runner-1"));
     let mut follower = watch(&first);
-    follower.next(TIMEOUT).await.expect("the whole list");
+    follower.next(TIMEOUT).await.expect("the complete list");
     let address = first.address();
     first.stop().await;
 
@@ -149,7 +149,7 @@
     let first = start_at("127.0.0.3:0").await;
     (0..CHANGES).for_each(|_| first.set(endpoint("runner-1")));
     let mut follower = watch(&first);
-    follower.next(TIMEOUT).await.expect("the whole list");
+    follower.next(TIMEOUT).await.expect("the complete list");
     let address = first.address();
     first.stop().await;
 
