--- a/crates/bundle/src/fold/assembly.rs
+++ b/crates/bundle/src/fold/assembly.rs
@@ -30,7 +30,7 @@
 
 /// A complete checkpoint.
 #[derive(Debug)]
-pub(super) struct Checkpoint {
+pub(super) struct CompleteCheckpoint {
     /// The offset of its first part.
     pub first: Offset,
     /// Its bytes, with the digest verified.
@@ -42,7 +42,7 @@
     ///
     /// A part that was appended twice because a response was lost is skipped.
     /// A part that skips ahead discards the checkpoint; its writer starts over.
-    pub fn add(&mut self, offset: Offset, part: &Part) -> Option<Checkpoint> {
+    pub fn add(&mut self, offset: Offset, part: &Part) -> Option<CompleteCheckpoint> {
         if part.count > MAX_CHECKPOINT_PARTS || part.index >= part.count {
             return None;
         }
@@ -64,7 +64,7 @@
         }
         let open = self.open.remove(at)?;
         let intact = Digest::of(&open.bytes) == open.whole;
-        intact.then_some(Checkpoint {
+        intact.then_some(CompleteCheckpoint {
             first: open.first,
             bytes: open.bytes,
         })
--- a/crates/bundle/src/fold/peer.rs
+++ b/crates/bundle/src/fold/peer.rs
@@ -3,7 +3,7 @@
 
 use godwitpost_types::id::{Offset, Version};
 
-use super::assembly::Checkpoint;
+use super::assembly::CompleteCheckpoint;
 use super::held::ActiveBundle;
 use super::{Fold, Next, Refusal};
 use crate::record::{Change, Record};
@@ -149,7 +149,7 @@
         }
     }
 
-    pub(super) fn apply_checkpoint(&mut self, whole: &Checkpoint) -> Next {
+    pub(super) fn apply_checkpoint(&mut self, whole: &CompleteCheckpoint) -> Next {
         let snapshot = match Snapshot::decode(&whole.bytes) {
             Ok(snapshot) => snapshot,
             Err(error) => return Next::Refused(Refusal::Snapshot(error)),
--- a/crates/bundle/src/renew.rs
+++ b/crates/bundle/src/renew.rs
@@ -53,7 +53,7 @@
     pub next: u64,
     /// When this instance last tried to append a checkpoint.
     pub tried: Option<Moment>,
-    /// The index of this instance among the live ones, sorted by name.
+    /// The index of this instance among the live ones by name; the first is 0.
     pub rank: u32,
 }
 
--- a/crates/operator/src/fleet.rs
+++ b/crates/operator/src/fleet.rs
@@ -148,7 +148,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Forgotten`] if the log no longer has it.
+    /// Returns [`Error::VersionNotOnLog`] if the log no longer has it.
     pub async fn bundle_at(&mut self, version: Version) -> Result<Bundle, Error> {
         let mut found = (self.fold.version() == version).then(|| self.fold.clone());
         let on_record = |fold: &Fold, _: &Read| {
--- a/crates/operator/src/story.rs
+++ b/crates/operator/src/story.rs
@@ -59,7 +59,7 @@
     /// mentions it.
     #[must_use]
     pub fn story(&self, id: &str) -> Option<Story> {
-        let instances: BTreeSet<&String> = self
+        let request_instances: BTreeSet<&String> = self
             .instances
             .iter()
             .filter(|(_, lines)| {
@@ -69,8 +69,8 @@
             })
             .map(|(name, _)| name)
             .collect();
-        let reference = instances.first()?;
-        let mut parts: Vec<Part> = instances
+        let reference = request_instances.first()?;
+        let mut parts: Vec<Part> = request_instances
             .iter()
             .map(|name| self.part(id, name, reference))
             .collect();
