--- a/crates/client/src/connect/pool.rs
+++ b/crates/client/src/connect/pool.rs
@@ -52,8 +52,8 @@
             max_idle: 512,
             // Common servers close idle connections after 5 s to 75 s.
             idle_timeout: Duration::from_secs(4),
-            // The round trip between two zones takes 1.5 ms, and a lost SYN is
-            // retransmitted after 1 s.
+            // Two zones are 1.5 ms apart, and a lost SYN is retransmitted after
+            // 1 s.
             connect_timeout: Duration::from_millis(1500),
             // Twice the time that a switch takes to converge on another path.
             dead_after: Duration::from_secs(8),
--- a/crates/client/src/log/writer.rs
+++ b/crates/client/src/log/writer.rs
@@ -129,8 +129,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error`]. Only after [`Error::Unknown`] it is unknown whether the
-    /// record is in the log.
+    /// Returns [`Error`] if the append failed. Only with [`Error::Unknown`] may the
+    /// record be in the log.
     pub async fn append(
         &self,
         stream: &str,
