--- a/crates/direct/src/control.rs
+++ b/crates/direct/src/control.rs
@@ -236,7 +236,7 @@
             self.era = Some((era, now));
             self.shared
                 .update_replica(false, |replica| replica.set_era(era));
-            log::info!(era = era, before:? = before; "log era changed");
+            log::info!(era = era, before:? = before; "log era");
         }
         let increased = before.is_some_and(|before| before < era);
         if let Some(at) = restored_at.or(increased.then_some(now)) {
