--- a/crates/wire/src/auth.rs
+++ b/crates/wire/src/auth.rs
@@ -3,7 +3,7 @@
 //! Without it, anyone who can reach the peer port of an instance could bypass the
 //! limits of workspaces, or reassign chats with forged gossip. A seal is a keyed BLAKE3
 //! hash over the method, path, sender, receiver, time and body. A message that was
-//! modified, sent to another instance, or replayed after [`WINDOW`] is rejected.
+//! modified, sent to another instance, or replayed after [`REPLAY_WINDOW`] is rejected.
 //!
 //! A message replayed to the same instance within the window is accepted. This is
 //! harmless: unrepeatable requests are claimed by their key, and gossip and claims are
@@ -22,7 +22,7 @@
 
 /// Maximum difference between the clocks of two instances plus the time in transit. A
 /// longer window allows a recorded message to be replayed for longer.
-pub const WINDOW: Duration = Duration::from_secs(30);
+pub const REPLAY_WINDOW: Duration = Duration::from_secs(30);
 
 /// Size of a fleet key.
 pub const KEY_BYTES: usize = 32;
@@ -106,7 +106,7 @@
         let time = text(header::TIME).ok_or(Error::Unsealed)?;
         let seal = text(header::SEAL).ok_or(Error::Unsealed)?;
         let sealed = time.parse().map_err(|_not_a_number| Error::Stale)?;
-        if now.abs_diff(Duration::from_millis(sealed)) > WINDOW {
+        if now.abs_diff(Duration::from_millis(sealed)) > REPLAY_WINDOW {
             return Err(Error::Stale);
         }
         let message = Message {
--- a/crates/wire/src/auth/tests.rs
+++ b/crates/wire/src/auth/tests.rs
@@ -2,7 +2,7 @@
 
 use http::{HeaderMap, HeaderValue};
 
-use super::{Error, Key, Message, WINDOW};
+use super::{Error, Key, Message, REPLAY_WINDOW};
 use crate::header;
 
 const NOW: Duration = Duration::from_millis(1_764_712_800_123);
@@ -28,7 +28,7 @@
 #[test]
 fn a_sealed_message_names_its_sender() {
     let headers = sealed(&key());
-    let sender = key().check(PLACE, b"order", NOW + WINDOW, &headers);
+    let sender = key().check(PLACE, b"order", NOW + REPLAY_WINDOW, &headers);
     assert_eq!(sender, Ok("otaru-1"));
 }
 
@@ -50,7 +50,7 @@
 #[test]
 fn a_recorded_message_is_stale_after_the_window() {
     let headers = sealed(&key());
-    let late = NOW + WINDOW + Duration::from_millis(1);
+    let late = NOW + REPLAY_WINDOW + Duration::from_millis(1);
     assert_eq!(
         key().check(PLACE, b"order", late, &headers),
         Err(Error::Stale)
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -8,8 +8,8 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Size of the length before the head, in bytes.
-const LENGTH: usize = 4;
+/// Size of the field that holds the length of the head.
+const LENGTH_PREFIX_BYTES: usize = 4;
 
 /// A message: a typed head and the bytes that follow it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
     pub fn encode(&self) -> Bytes {
         let head = rmp_serde::to_vec(&self.head).expect("a plain struct is always encodable");
         let length = u32::try_from(head.len()).expect("a head is far below 4 GiB");
-        let mut bytes = BytesMut::with_capacity(LENGTH + head.len() + self.body.len());
+        let mut bytes = BytesMut::with_capacity(LENGTH_PREFIX_BYTES + head.len() + self.body.len());
         bytes.put_u32(length);
         bytes.put_slice(&head);
         bytes.put_slice(&self.body);
@@ -57,13 +57,15 @@
     /// Returns an error if the bytes end within the head, or if the head has another
     /// type.
     pub fn decode(bytes: &Bytes) -> Result<Self, Error> {
-        let length: [u8; LENGTH] = bytes
-            .get(..LENGTH)
+        let length: [u8; LENGTH_PREFIX_BYTES] = bytes
+            .get(..LENGTH_PREFIX_BYTES)
             .and_then(|length| length.try_into().ok())
             .ok_or(Error::Short)?;
         let length = u32::from_be_bytes(length) as usize;
-        let end = LENGTH.checked_add(length).ok_or(Error::Short)?;
-        let head = bytes.get(LENGTH..end).ok_or(Error::Short)?;
+        let end = LENGTH_PREFIX_BYTES
+            .checked_add(length)
+            .ok_or(Error::Short)?;
+        let head = bytes.get(LENGTH_PREFIX_BYTES..end).ok_or(Error::Short)?;
         let head = rmp_serde::from_slice(head).map_err(|error| Error::Head(error.to_string()))?;
         Ok(Self {
             head,
