--- a/crates/capacity/src/role/metrics.rs
+++ b/crates/capacity/src/role/metrics.rs
@@ -50,9 +50,9 @@
         for class in CLASSES {
             let labels = metrics.labels(&format!("workspace-{workspace:05}"), class);
             for (outcome, status) in OUTCOMES {
-                metrics.head(&labels, outcome, status, Duration::from_millis(40));
+                metrics.record_response_head(&labels, outcome, status, Duration::from_millis(40));
             }
-            Metrics::end(&labels, Duration::from_secs(2));
+            Metrics::record_response_end(&labels, Duration::from_secs(2));
         }
     }
     drop(metrics.text());
--- a/crates/direct/src/relay.rs
+++ b/crates/direct/src/relay.rs
@@ -219,7 +219,12 @@
 ) {
     let metrics = shared.metrics.requests();
     let status = reason.status().as_u16();
-    metrics.head(&metrics.nobody(), reason.outcome(), status, Duration::ZERO);
+    metrics.record_response_head(
+        &metrics.unknown_workspace(),
+        reason.outcome(),
+        status,
+        Duration::ZERO,
+    );
     let view = shared.view();
     let version = view.policy.as_ref().map_or(0, |policy| policy.version());
     log::warn!(
--- a/crates/direct/src/relay/job.rs
+++ b/crates/direct/src/relay/job.rs
@@ -275,7 +275,7 @@
         self.shared
             .metrics
             .requests()
-            .head(&self.labels, outcome, status, took);
+            .record_response_head(&self.labels, outcome, status, took);
         log::info!(
             request:% = self.id, endpoint:% = endpoint, status = status, version = self.version,
             sent = self.attempts.sent() + 1, took_ms:% = took.as_millis();
@@ -288,10 +288,12 @@
         self.responded.store(true, Ordering::Relaxed);
         let status = reason.status().as_u16();
         let took = self.age();
-        self.shared
-            .metrics
-            .requests()
-            .head(&self.labels, reason.outcome(), status, took);
+        self.shared.metrics.requests().record_response_head(
+            &self.labels,
+            reason.outcome(),
+            status,
+            took,
+        );
         log::warn!(
             request:% = self.id, route:% = self.route.name, reason:% = reason.as_str(),
             outcome:% = reason.outcome(), status = status, version = self.version,
@@ -303,7 +305,7 @@
     /// Counts and logs the end of a response body.
     pub(crate) fn record_end(&self, end: BodyEnd) {
         let took = self.age();
-        godwitpost_process::metrics::Metrics::end(&self.labels, took);
+        godwitpost_process::metrics::Metrics::record_response_end(&self.labels, took);
         let level = match end {
             BodyEnd::Whole => {
                 if !self.shared.crash_tracker().is_empty() {
--- a/crates/process/src/metrics.rs
+++ b/crates/process/src/metrics.rs
@@ -55,16 +55,16 @@
     // Retained because dropping it would stop the instruments.
     provider: SdkMeterProvider,
     first_byte: Histogram<f64>,
-    whole: Histogram<f64>,
+    response_end: Histogram<f64>,
     requests: Counter<u64>,
-    strangers: Counter<u64>,
+    unauthenticated: Counter<u64>,
     stripped: Counter<u64>,
     control: Counter<u64>,
     claims: Counter<u64>,
     in_flight: Arc<AtomicI64>,
     version: Gauge<u64>,
     labelled: Mutex<BTreeMap<String, Classes>>,
-    nobody: Labels,
+    unknown_workspace: Labels,
 }
 
 impl Metrics {
@@ -100,7 +100,7 @@
             meter.u64_counter(name).with_description(text).build()
         };
         let first_byte = seconds("godwitpost.first_byte", "Time to the head of the answer");
-        let whole = seconds("godwitpost.whole", "Time to the end of the answer");
+        let response_end = seconds("godwitpost.whole", "Time to the end of the answer");
         let requests = counter("godwitpost.requests", "Requests by outcome and status");
         let in_flight = Arc::new(AtomicI64::new(0));
         let observed = Arc::clone(&in_flight);
@@ -111,12 +111,12 @@
             .with_callback(move |to| to.observe(observed.load(Ordering::Relaxed), &[]))
             .build();
         Self {
-            nobody: Labels::bind("(none)", "(none)", &first_byte, &whole),
+            unknown_workspace: Labels::bind("(none)", "(none)", &first_byte, &response_end),
             first_byte,
-            whole,
+            response_end,
             requests,
             in_flight,
-            strangers: counter(
+            unauthenticated: counter(
                 "godwitpost.strangers",
                 "Messages on the peers' port without a valid seal",
             ),
@@ -146,19 +146,25 @@
     }
 
     /// Records a request whose response head is known.
-    pub fn head(&self, labels: &Labels, outcome: Outcome, status: u16, took: Duration) {
+    pub fn record_response_head(
+        &self,
+        labels: &Labels,
+        outcome: Outcome,
+        status: u16,
+        took: Duration,
+    ) {
         labels.0.first_byte.record(took.as_secs_f64());
         labels.count(&self.requests, outcome, status);
     }
 
     /// Records a request whose response has ended.
-    pub fn end(labels: &Labels, took: Duration) {
-        labels.0.whole.record(took.as_secs_f64());
+    pub fn record_response_end(labels: &Labels, took: Duration) {
+        labels.0.response_end.record(took.as_secs_f64());
     }
 
     /// Counts a message without a valid seal on the peer port.
-    pub fn stranger(&self) {
-        self.strangers.add(1, &[]);
+    pub fn count_unauthenticated(&self) {
+        self.unauthenticated.add(1, &[]);
     }
 
     /// Counts internal headers that a caller sent.
@@ -204,15 +210,15 @@
             return labels.clone();
         }
         let classes = labelled.entry(workspace.to_owned()).or_default();
-        let bind = || Labels::bind(workspace, class, &self.first_byte, &self.whole);
+        let bind = || Labels::bind(workspace, class, &self.first_byte, &self.response_end);
         let labels = classes.entry(class.to_owned()).or_insert_with(bind);
         labels.clone()
     }
 
     /// Returns the labels of a request that named no known workspace.
     #[must_use]
-    pub fn nobody(&self) -> Labels {
-        self.nobody.clone()
+    pub fn unknown_workspace(&self) -> Labels {
+        self.unknown_workspace.clone()
     }
 
     /// Returns all metrics as Prometheus text.
@@ -235,7 +241,7 @@
 struct Bound {
     set: Vec<KeyValue>,
     first_byte: BoundHistogram<f64>,
-    whole: BoundHistogram<f64>,
+    response_end: BoundHistogram<f64>,
     // By outcome and status; both have few values.
     requests: Mutex<BTreeMap<(Outcome, u16), BoundCounter<u64>>>,
 }
@@ -245,7 +251,7 @@
         workspace: &str,
         class: &str,
         first_byte: &Histogram<f64>,
-        whole: &Histogram<f64>,
+        response_end: &Histogram<f64>,
     ) -> Self {
         let set = vec![
             KeyValue::new("workspace", workspace.to_owned()),
@@ -253,7 +259,7 @@
         ];
         Self(Arc::new(Bound {
             first_byte: first_byte.bind(&set),
-            whole: whole.bind(&set),
+            response_end: response_end.bind(&set),
             requests: Mutex::default(),
             set,
         }))
--- a/crates/process/src/metrics/tests.rs
+++ b/crates/process/src/metrics/tests.rs
@@ -10,7 +10,7 @@
     let metrics = Metrics::new("otaru-1");
     for n in 0..MAX_LABELLED_WORKSPACES + 5 {
         let labels = metrics.labels(&format!("w{n}"), "draft");
-        metrics.head(&labels, Outcome::Ran, 200, Duration::from_millis(3));
+        metrics.record_response_head(&labels, Outcome::Ran, 200, Duration::from_millis(3));
     }
     let text = metrics.text();
     let last = format!("workspace=\"w{}\"", MAX_LABELLED_WORKSPACES - 1);
@@ -26,7 +26,7 @@
 fn latencies_are_histograms_of_workspace_and_class() {
     let metrics = Metrics::new("otaru-1");
     let labels = metrics.labels("otaru", "order");
-    metrics.head(&labels, Outcome::Ran, 200, Duration::from_millis(700));
+    metrics.record_response_head(&labels, Outcome::Ran, 200, Duration::from_millis(700));
     let text = metrics.text();
     let bucket = |le: &str| {
         let line = text.lines().find(|line| {
--- a/crates/process/src/settings/low.rs
+++ b/crates/process/src/settings/low.rs
@@ -37,7 +37,7 @@
 
 /// A value that was removed from its level, with its position for later checks.
 #[derive(Debug)]
-pub struct Taken<T> {
+pub struct Located<T> {
     /// The value.
     pub value: T,
     /// The key, with the keys above it.
@@ -94,7 +94,7 @@
         wants: &str,
         read: impl FnOnce(&str) -> Option<T>,
         mistakes: &mut Vec<Mistake>,
-    ) -> Option<Taken<T>> {
+    ) -> Option<Located<T>> {
         let path = self.path_of(key);
         let spanned = self.map.remove(key)?;
         let line = spanned.referenced.line();
@@ -106,7 +106,7 @@
                 text: format!("wants {wants}"),
             });
         }
-        value.map(|value| Taken {
+        value.map(|value| Located {
             value,
             key: path,
             line,
@@ -120,7 +120,7 @@
         wants: &str,
         read: impl FnOnce(&str) -> Option<T>,
         mistakes: &mut Vec<Mistake>,
-    ) -> Option<Taken<T>> {
+    ) -> Option<Located<T>> {
         if !self.map.contains_key(key) {
             mistakes.push(Mistake {
                 line: self.line,
@@ -190,7 +190,7 @@
     }
 }
 
-impl<T> Taken<T> {
+impl<T> Located<T> {
     /// Returns a mistake about the value.
     #[must_use]
     pub fn mistake(&self, text: &str) -> Mistake {
--- a/crates/router/src/serve/callers.rs
+++ b/crates/router/src/serve/callers.rs
@@ -67,7 +67,7 @@
     let began = shared.now();
     let id: RequestId = shared.entry_state().rng.random();
     let in_flight = shared.track_request();
-    let mut labels = shared.metrics.nobody();
+    let mut labels = shared.metrics.unknown_workspace();
     let (parts, mut incoming) = request.into_parts();
     let result =
         try_handle_request(shared, parts, &mut incoming, id, &in_flight, &mut labels).await;
@@ -78,7 +78,9 @@
         Err(problem) => {
             let took = since(shared.now(), began);
             let status = problem.status.as_u16();
-            shared.metrics.head(&labels, problem.outcome, status, took);
+            shared
+                .metrics
+                .record_response_head(&labels, problem.outcome, status, took);
             body::discard(incoming).await;
             problem.response()
         }
@@ -141,10 +143,12 @@
     let status = response.status();
     let took = since(shared.now(), began);
     let outcome = outcome_of(status);
-    shared.metrics.head(&labels, outcome, status.as_u16(), took);
+    shared
+        .metrics
+        .record_response_head(&labels, outcome, status.as_u16(), took);
     let shared = Arc::clone(shared);
     let ended = move |_end| {
-        Metrics::end(&labels, since(shared.now(), began));
+        Metrics::record_response_end(&labels, since(shared.now(), began));
         drop((in_flight, permit));
     };
     response.map(|body| Relay::new(body, EndDetection::Framed, ended).boxed_unsync())
--- a/crates/router/src/serve/peers.rs
+++ b/crates/router/src/serve/peers.rs
@@ -68,7 +68,7 @@
             Ok(())
         }
         Err(error) => {
-            shared.metrics.stranger();
+            shared.metrics.count_unauthenticated();
             log::warn!(path:% = parts.uri.path(), error:% = error; "peer message refused");
             Err(empty_response(StatusCode::UNAUTHORIZED))
         }
