--- a/crates/bundle/src/check/tests.rs
+++ b/crates/bundle/src/check/tests.rs
@@ -1,6 +1,6 @@
 use crate::check;
 use crate::source;
-use crate::source::tests::WHOLE;
+use crate::source::tests::FULL_BUNDLE;
 
 fn found(yaml: &str) -> Vec<String> {
     let error = source::read(yaml).expect_err("the bundle has mistakes");
@@ -8,8 +8,8 @@
 }
 
 #[test]
-fn nobody_to_sign_the_next_version_is_refused() {
-    let yaml = WHOLE.replace(
+fn a_bundle_without_operators_is_refused() {
+    let yaml = FULL_BUNDLE.replace(
         "  asahikawa: { key: \"11qYAYKxCrfVS/7TyWQHOg7hcvPapiMlrwIaaPcHURo=\" }",
         "  {}",
     );
@@ -22,11 +22,11 @@
     );
 }
 
-// A weak public key accepts signatures that nobody made: the all-zero point
-// is of small order, so whoever sees the bundle could sign the next one.
+// A weak public key accepts forged signatures: the all-zero point has small
+// order, so anybody who sees the bundle could sign the next one.
 #[test]
 fn a_weak_key_is_refused() {
-    let yaml = WHOLE.replace(
+    let yaml = FULL_BUNDLE.replace(
         "11qYAYKxCrfVS/7TyWQHOg7hcvPapiMlrwIaaPcHURo=",
         "AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=",
     );
@@ -41,7 +41,7 @@
 
 #[test]
 fn two_routes_on_one_path_must_differ_in_methods() {
-    let same = WHOLE.replace("path: /orders,", "path: /v1/chat/completions/,");
+    let same = FULL_BUNDLE.replace("path: /orders,", "path: /v1/chat/completions/,");
     assert_eq!(
         found(&same),
         [
@@ -57,18 +57,18 @@
 }
 
 #[test]
-fn names_fit_headers_and_labels() {
+fn names_unfit_for_headers_and_labels_are_refused() {
     assert_eq!(
-        found(&WHOLE.replace("  otaru:", "  \"otaru shop\":")).len(),
+        found(&FULL_BUNDLE.replace("  otaru:", "  \"otaru shop\":")).len(),
         1
     );
 }
 
-// A bundle may reach the fold without passing the source, signed by a tool
-// of another version; ranges are checked there too.
+// A bundle signed by another version of the tool reaches the fold without
+// passing this parser, so the fold must check ranges too.
 #[test]
-fn ranges_are_checked_without_the_source() {
-    let mut bundle = source::read(WHOLE).expect("it is right");
+fn ranges_are_checked_without_parsing_yaml() {
+    let mut bundle = source::read(FULL_BUNDLE).expect("it is right");
     bundle
         .services
         .get_mut("drafting")
--- a/crates/bundle/src/fold.rs
+++ b/crates/bundle/src/fold.rs
@@ -1,18 +1,20 @@
-//! What is in force: a pure fold of the `bundles` stream in log order.
+//! Determines the bundle in force by a pure fold of the `bundles` stream in
+//! log order.
 //!
-//! Every instance folds the same records to the same result, so nothing has
-//! to be agreed on. A change counts if it is for this fleet, its parent is
-//! the bundle in force, its version is one more, an operator of the parent
-//! signed it, its digests match and its content passes all checks. Of two
-//! with one parent the first in the log wins, on every instance.
+//! Every instance folds the same records to the same result, so instances
+//! need no agreement protocol. A change is accepted if it is for this fleet,
+//! its parent is the bundle in force, its version is one more, an operator of
+//! the parent signed it, its digests match and its content passes all checks.
+//! Of two changes with the same parent, the first in the log wins on every
+//! instance.
 //!
-//! Three things reach an instance beside the records themselves. A peer's
-//! *snapshot* or *update* brings it forward while the log is slow or down. A
-//! *checkpoint* on the stream is such a snapshot for readers that start after
-//! older records were dropped. Both name the first offset that they do not
-//! cover, and both are taken only if that lies ahead of what is folded here,
-//! so neither a peer with an old bundle nor an instance that was paused and
-//! appends an old checkpoint can turn the version back.
+//! Besides the records, an instance can apply three other inputs. A peer's
+//! *snapshot* or *update* advances it while the log is slow or down. A
+//! *checkpoint* on the stream is a snapshot for readers that start after
+//! older records were dropped. Each names the first offset that it does not
+//! cover, and is applied only if that offset is beyond what is folded here.
+//! So neither a peer with an old bundle nor a paused instance that appends an
+//! old checkpoint can revert the version.
 
 mod assembly;
 mod gap;
@@ -38,43 +40,44 @@
 use crate::statement::Statement;
 use assembly::Assembly;
 use gap::Gap;
-use held::Held;
+use held::ActiveBundle;
 use times::Times;
 
-/// Changes kept for peers that are behind and to know duplicates by.
-const ACCEPTED: usize = 64;
+/// Accepted changes that are retained to update peers that are behind and to
+/// recognize duplicates.
+const MAX_RETAINED_CHANGES: usize = 64;
 
-/// What came of a record or of a peer's word.
+/// The result of applying a record, snapshot or update.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// This version is in force now.
+    /// This version is now in force.
     InForce(Version),
-    /// It does not count, for this reason.
+    /// It was rejected for this reason.
     Refused(Refusal),
-    /// It changes nothing: read before, a duplicate, or a checkpoint.
+    /// It changes nothing: already read, a duplicate, or a checkpoint.
     Ignored,
-    /// It is kept: records before it were dropped, and nothing covers them
-    /// yet. Ask a peer for its snapshot.
+    /// It is buffered: records before it were dropped and nothing covers them
+    /// yet. Request a snapshot from a peer.
     Waiting,
 }
 
-/// The fold and all that it remembers.
+/// The state of the fold.
 #[derive(Clone, Debug)]
 pub struct Fold {
     fleet: String,
     roots: Vec<Digest>,
-    held: Option<Held>,
+    active: Option<ActiveBundle>,
     next: Offset,
     gap: Option<Gap>,
     assembly: Assembly,
     times: Times,
-    accepted: VecDeque<Accepted>,
+    accepted: VecDeque<AcceptedChange>,
 }
 
 #[derive(Clone, Debug)]
-struct Accepted {
+struct AcceptedChange {
     statement: Statement,
-    // Encoded, as a peer would be sent it.
+    // Encoded as it is sent to peers.
     change: Blob,
 }
 
@@ -86,7 +89,7 @@
         Self {
             fleet: fleet.into(),
             roots: roots.into_iter().collect(),
-            held: None,
+            active: None,
             next: 0,
             gap: None,
             assembly: Assembly::default(),
@@ -98,8 +101,8 @@
     /// Returns the version in force; 0 for none.
     #[must_use]
     pub const fn version(&self) -> Version {
-        match &self.held {
-            Some(held) => held.statement.version,
+        match &self.active {
+            Some(active) => active.statement.version,
             None => 0,
         }
     }
@@ -107,69 +110,70 @@
     /// Returns the policy in force.
     #[must_use]
     pub fn policy(&self) -> Option<&Policy> {
-        self.held.as_ref().map(|held| &held.policy)
+        self.active.as_ref().map(|active| &active.policy)
     }
 
     /// Returns the signed statement in force.
     #[must_use]
     pub fn statement(&self) -> Option<&Statement> {
-        self.held.as_ref().map(|held| &held.statement)
+        self.active.as_ref().map(|active| &active.statement)
     }
 
     /// Returns the entries in force.
     #[must_use]
     pub fn tree(&self) -> Option<&Tree> {
-        self.held.as_ref().map(|held| &held.tree)
+        self.active.as_ref().map(|active| &active.tree)
     }
 
     /// Returns the offset to read the stream from.
     #[must_use]
-    pub fn wanted(&self) -> Offset {
-        self.gap.as_ref().map_or(self.next, |gap| gap.read)
+    pub fn next_offset(&self) -> Offset {
+        self.gap.as_ref().map_or(self.next, |gap| gap.next)
     }
 
-    /// Returns whether records were dropped that nothing known here covers.
+    /// Returns whether records were dropped that no snapshot or checkpoint
+    /// seen here covers.
     ///
-    /// Changes are not folded meanwhile; a peer's snapshot helps.
+    /// Until a snapshot or checkpoint covers the gap, changes are not folded.
     #[must_use]
-    pub const fn gapped(&self) -> bool {
+    pub const fn has_gap(&self) -> bool {
         self.gap.is_some()
     }
 
-    /// Returns the oldest record that a reader without memory needs; `None`
-    /// while this instance cannot speak for the stream.
+    /// Returns the oldest record that a reader with no state needs; `None`
+    /// while nothing is in force or the stream has a gap.
     #[must_use]
     pub fn anchor(&self) -> Option<Anchor> {
-        let held = self.held.as_ref().filter(|_| self.gap.is_none())?;
-        Some(held.anchor)
+        let active = self.active.as_ref().filter(|_| self.gap.is_none())?;
+        Some(active.anchor)
     }
 
-    /// Takes the next record of the stream.
+    /// Applies the next record of the stream.
     pub fn apply(&mut self, offset: Offset, time: Moment, bytes: &[u8]) -> Next {
-        // No log gets to the last number, and there would be no next.
-        if offset < self.wanted() || offset == Offset::MAX {
+        // A log never reaches the maximum offset, and it has no successor.
+        if offset < self.next_offset() || offset == Offset::MAX {
             return Next::Ignored;
         }
-        if offset > self.wanted() {
+        if offset > self.next_offset() {
             self.gap = Some(Gap::new(offset));
             self.assembly = Assembly::default();
         }
-        self.times.note(offset, time);
+        self.times.record(offset, time);
         match &mut self.gap {
-            Some(gap) => gap.read = offset + 1,
+            Some(gap) => gap.next = offset + 1,
             None => self.next = offset + 1,
         }
         match Record::decode(bytes) {
             Err(error) => Next::Refused(Refusal::Record(error)),
-            Ok(Record::Change(change)) => self.change_read(offset, change, bytes),
+            Ok(Record::Change(change)) => self.apply_or_buffer(offset, change, bytes),
             Ok(Record::Checkpoint(part)) => match self.assembly.add(offset, &part) {
-                Some(whole) => self.checkpoint(&whole),
+                Some(whole) => self.apply_checkpoint(&whole),
                 None => Next::Ignored,
             },
         }
     }
 
-    fn same_fleet(&self, statement: &Statement) -> Result<(), Refusal> {
+    fn check_fleet(&self, statement: &Statement) -> Result<(), Refusal> {
         if statement.fleet == self.fleet {
             return Ok(());
         }
@@ -179,44 +183,47 @@
         })
     }
 
-    fn change_read(&mut self, offset: Offset, change: Change, bytes: &[u8]) -> Next {
+    fn apply_or_buffer(&mut self, offset: Offset, change: Change, bytes: &[u8]) -> Next {
         if let Some(gap) = &mut self.gap {
-            gap.keep(offset, bytes.to_vec());
+            gap.buffer(offset, bytes.to_vec());
             return Next::Waiting;
         }
-        // Without a checkpoint a reader needs every record since the first.
-        // If its time is forgotten it counts as old, and a checkpoint is due.
-        let since = self.times.at(0).unwrap_or_default();
-        self.change(change, bytes, Anchor { from: 0, since })
+        // Without a checkpoint a reader needs every record from the first one.
+        // If that record's time is no longer known, it counts as old, which
+        // makes a checkpoint due.
+        let since = self.times.time_of(0).unwrap_or_default();
+        self.apply_change(change, bytes, Anchor { from: 0, since })
     }
 
-    // The anchor is for the first version alone; later ones keep theirs.
-    fn change(&mut self, change: Change, bytes: &[u8], anchor: Anchor) -> Next {
-        if let Err(next) = self.judge(&change) {
+    // The anchor is used for the first version only; later versions keep the
+    // current anchor.
+    fn apply_change(&mut self, change: Change, bytes: &[u8], anchor: Anchor) -> Next {
+        if let Err(next) = self.check_change(&change) {
             return next;
         }
         let statement = change.statement.clone();
-        let taken = match &mut self.held {
-            Some(held) => held.step(change),
-            None => Held::first(change, anchor).map(|held| self.held = Some(held)),
+        let result = match &mut self.active {
+            Some(active) => active.apply_change(change),
+            None => ActiveBundle::from_first_change(change, anchor)
+                .map(|active| self.active = Some(active)),
         };
-        if let Err(refusal) = taken {
+        if let Err(refusal) = result {
             return Next::Refused(refusal);
         }
         let version = statement.version;
-        self.remember(statement, bytes);
+        self.retain_change(statement, bytes);
         Next::InForce(version)
     }
 
-    fn judge(&self, change: &Change) -> Result<(), Next> {
+    fn check_change(&self, change: &Change) -> Result<(), Next> {
         let statement = &change.statement;
-        self.same_fleet(statement).map_err(Next::Refused)?;
-        let known = |accepted: &Accepted| accepted.statement == *statement;
+        self.check_fleet(statement).map_err(Next::Refused)?;
+        let known = |accepted: &AcceptedChange| accepted.statement == *statement;
         if self.statement() == Some(statement) || self.accepted.iter().any(known) {
             return Err(Next::Ignored);
         }
-        self.follows(statement).map_err(Next::Refused)?;
-        if self.signers().signed(statement, &change.signature) {
+        self.check_sequence(statement).map_err(Next::Refused)?;
+        if self.signers().verify(statement, &change.signature) {
             Ok(())
         } else {
             let operator = statement.operator.clone();
@@ -224,11 +231,11 @@
         }
     }
 
-    fn follows(&self, statement: &Statement) -> Result<(), Refusal> {
+    fn check_sequence(&self, statement: &Statement) -> Result<(), Refusal> {
         let current = self.version();
         let found = statement.version;
         if found <= current {
-            return Err(match self.winner(found) {
+            return Err(match self.signer_of(found) {
                 Some(winner) => Refusal::Lost {
                     version: found,
                     winner,
@@ -247,7 +254,7 @@
         }
     }
 
-    fn winner(&self, version: Version) -> Option<String> {
+    fn signer_of(&self, version: Version) -> Option<String> {
         let accepted = self.accepted.iter().map(|accepted| &accepted.statement);
         accepted
             .chain(self.statement())
@@ -256,23 +263,24 @@
     }
 
     fn signers(&self) -> Signers<'_> {
-        match &self.held {
-            Some(held) => Signers::Operators(&held.operators),
+        match &self.active {
+            Some(active) => Signers::Operators(&active.operators),
             None => Signers::Roots(&self.roots),
         }
     }
 
-    fn remember(&mut self, statement: Statement, bytes: &[u8]) {
-        if self.accepted.len() == ACCEPTED {
+    fn retain_change(&mut self, statement: Statement, bytes: &[u8]) {
+        if self.accepted.len() == MAX_RETAINED_CHANGES {
             self.accepted.pop_front();
         }
         let change = Blob(bytes.to_vec());
-        self.accepted.push_back(Accepted { statement, change });
+        self.accepted
+            .push_back(AcceptedChange { statement, change });
     }
 
-    fn anchored(&mut self, anchor: Anchor) {
-        if let Some(held) = &mut self.held {
-            held.anchor = held.anchor.max(anchor);
+    fn raise_anchor(&mut self, anchor: Anchor) {
+        if let Some(active) = &mut self.active {
+            active.anchor = active.anchor.max(anchor);
         }
     }
 }
--- a/crates/bundle/src/fold/assembly.rs
+++ b/crates/bundle/src/fold/assembly.rs
@@ -1,4 +1,4 @@
-//! Checkpoints put together from their parts.
+//! Assembles checkpoints from their parts.
 
 use std::collections::VecDeque;
 
@@ -7,43 +7,43 @@
 use crate::blob::Digest;
 use crate::record::Part;
 
-/// Checkpoints in progress at once: a few instances may write at the same
-/// moment, and a writer that died leaves one unfinished.
-const OPEN: usize = 4;
+/// Several instances may write checkpoints at the same time, and a writer
+/// that crashes leaves one incomplete.
+const MAX_OPEN_CHECKPOINTS: usize = 4;
 
-/// Parts of one checkpoint: 4 MiB, several times what 8,900 workspaces need.
-const PARTS: u32 = 16;
+/// Limits a checkpoint to 4 MiB, several times what 8,900 workspaces need.
+const MAX_CHECKPOINT_PARTS: u32 = 16;
 
-/// Checkpoints in progress.
+/// Checkpoints of which some parts have been read.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Assembly {
-    open: VecDeque<Open>,
+    open: VecDeque<PartialCheckpoint>,
 }
 
 #[derive(Clone, Debug)]
-struct Open {
+struct PartialCheckpoint {
     whole: Digest,
     first: Offset,
     next: u32,
     bytes: Vec<u8>,
 }
 
-/// A whole checkpoint.
+/// A complete checkpoint.
 #[derive(Debug)]
-pub(super) struct Whole {
+pub(super) struct CompleteCheckpoint {
     /// The offset of its first part.
     pub first: Offset,
-    /// Its bytes, whose digest was checked.
+    /// Its bytes, with the digest verified.
     pub bytes: Vec<u8>,
 }
 
 impl Assembly {
-    /// Adds a part and returns the whole once it is complete.
+    /// Adds a part and returns the checkpoint once it is complete.
     ///
-    /// A part appended twice after a lost answer is skipped. A part out of
-    /// order ends the attempt; its writer begins again.
-    pub fn add(&mut self, offset: Offset, part: &Part) -> Option<Whole> {
-        if part.count > PARTS || part.index >= part.count {
+    /// A part that was appended twice because a response was lost is skipped.
+    /// A part that skips ahead discards the checkpoint; its writer starts over.
+    pub fn add(&mut self, offset: Offset, part: &Part) -> Option<CompleteCheckpoint> {
+        if part.count > MAX_CHECKPOINT_PARTS || part.index >= part.count {
             return None;
         }
         if part.index == 0 {
@@ -64,7 +64,7 @@
         }
         let open = self.open.remove(at)?;
         let intact = Digest::of(&open.bytes) == open.whole;
-        intact.then_some(Whole {
+        intact.then_some(CompleteCheckpoint {
             first: open.first,
             bytes: open.bytes,
         })
@@ -74,10 +74,10 @@
         if self.open.iter().any(|open| open.whole == part.whole) {
             return;
         }
-        if self.open.len() == OPEN {
+        if self.open.len() == MAX_OPEN_CHECKPOINTS {
             self.open.pop_front();
         }
-        self.open.push_back(Open {
+        self.open.push_back(PartialCheckpoint {
             whole: part.whole,
             first: offset,
             next: 0,
--- a/crates/bundle/src/fold/held.rs
+++ b/crates/bundle/src/fold/held.rs
@@ -1,4 +1,4 @@
-//! One bundle in force, and the step to the next version.
+//! The bundle in force, and its change to the next version.
 
 use godwitpost_types::id;
 use godwitpost_types::policy::Policy;
@@ -19,7 +19,7 @@
 
 /// A bundle in force.
 #[derive(Clone, Debug)]
-pub(super) struct Held {
+pub(super) struct ActiveBundle {
     pub statement: Statement,
     pub signature: Signature,
     pub tree: Tree,
@@ -29,11 +29,11 @@
     pub anchor: Anchor,
 }
 
-impl Held {
-    /// Returns the first version, which a root key signs.
-    pub fn first(change: Change, anchor: Anchor) -> Result<Self, Refusal> {
+impl ActiveBundle {
+    /// Returns the first version, which must be signed by a root key.
+    pub fn from_first_change(change: Change, anchor: Anchor) -> Result<Self, Refusal> {
         let tree = Tree::new(change.delta.puts);
-        let (bundle, operators) = whole(&change.statement, &tree)?;
+        let (bundle, operators) = join_and_check(&change.statement, &tree)?;
         let link = Link {
             statement: change.statement.clone(),
             signature: change.signature,
@@ -50,9 +50,9 @@
         })
     }
 
-    /// Returns what a snapshot holds, once its proof is checked against those
-    /// who may sign after `version`.
-    pub fn adopted(
+    /// Returns the bundle of a snapshot after verifying its lineage against
+    /// `signers`, who may sign the version after `version`.
+    pub fn from_snapshot(
         snapshot: Snapshot,
         signers: Signers<'_>,
         version: u64,
@@ -63,11 +63,11 @@
             lineage,
             ..
         } = snapshot;
-        if !lineage::leads(signers, version, &lineage, &statement, &signature) {
+        if !lineage::verify_chain(signers, version, &lineage, &statement, &signature) {
             return Err(Refusal::Signature(statement.operator));
         }
         let tree = Tree::new(snapshot.entries);
-        let (bundle, operators) = whole(&statement, &tree)?;
+        let (bundle, operators) = join_and_check(&statement, &tree)?;
         Ok(Self {
             statement,
             signature,
@@ -79,20 +79,20 @@
         })
     }
 
-    /// Takes the next version, or leaves all as it was.
+    /// Applies the next version; on an error the state is unchanged.
     ///
-    /// The caller has checked version, parent and signature.
-    pub fn step(&mut self, change: Change) -> Result<(), Refusal> {
-        let small = only_workspaces(&change.delta);
+    /// The caller must have checked version, parent and signature.
+    pub fn apply_change(&mut self, change: Change) -> Result<(), Refusal> {
+        let workspaces_only = only_workspaces(&change.delta);
         let undo = self.tree.apply(change.delta.clone());
-        let taken = if small {
-            self.amend(&change)
+        let result = if workspaces_only {
+            self.apply_workspaces(&change)
         } else {
-            self.replace(&change)
+            self.apply_full(&change)
         };
-        if taken.is_err() {
+        if result.is_err() {
             self.tree.apply(undo);
-            return taken;
+            return result;
         }
         self.policy.version = change.statement.version;
         self.statement = change.statement;
@@ -100,22 +100,23 @@
         Ok(())
     }
 
-    // Most changes are of one workspace among thousands. Checking and
-    // resolving just those keeps a change at the cost of its own size.
-    fn amend(&mut self, change: &Change) -> Result<(), Refusal> {
+    // Most changes affect one workspace among thousands. Checking and
+    // resolving only the changed ones makes the cost proportional to the
+    // size of the change.
+    fn apply_workspaces(&mut self, change: &Change) -> Result<(), Refusal> {
         let statement = &change.statement;
-        digests(statement, self.tree.root(), &self.operators)?;
+        check_digests(statement, self.tree.root(), &self.operators)?;
         let mut found = Vec::new();
         let mut resolved = Vec::new();
         for (name, blob) in &change.delta.puts {
             let bare = name.strip_prefix(WORKSPACE).unwrap_or(name);
             let workspace = entry::decode::<Workspace>(name, blob).map_err(Refusal::Entry)?;
-            let known = |service: &str| self.policy.services.contains_key(&id::of(service));
+            let known = |service: &str| self.policy.services.contains_key(&id::from_name(service));
             check::name(&format!("workspaces.{bare}"), bare, &mut found);
             check::workspace(bare, &workspace, known, &mut found);
-            let other = self.policy.workspaces.get(&id::of(bare));
+            let other = self.policy.workspaces.get(&id::from_name(bare));
             if other.is_some_and(|other| other.name != bare) {
-                return self.replace(change);
+                return self.apply_full(change);
             }
             resolved.push(resolve::workspace(bare, &workspace));
         }
@@ -124,17 +125,17 @@
         }
         for name in &change.delta.removes {
             let bare = name.strip_prefix(WORKSPACE).unwrap_or(name);
-            self.policy.workspaces.remove(&id::of(bare));
+            self.policy.workspaces.remove(&id::from_name(bare));
         }
         for workspace in resolved {
-            let id = id::of(&workspace.name);
+            let id = id::from_name(&workspace.name);
             self.policy.workspaces.insert(id, workspace);
         }
         Ok(())
     }
 
-    fn replace(&mut self, change: &Change) -> Result<(), Refusal> {
-        let (bundle, operators) = whole(&change.statement, &self.tree)?;
+    fn apply_full(&mut self, change: &Change) -> Result<(), Refusal> {
+        let (bundle, operators) = join_and_check(&change.statement, &self.tree)?;
         self.policy = resolve::bundle(&bundle);
         if operators != self.operators {
             self.lineage.push(Link {
@@ -152,10 +153,10 @@
     delta.names().all(|name| name.starts_with(WORKSPACE))
 }
 
-fn whole(statement: &Statement, tree: &Tree) -> Result<(Bundle, Operators), Refusal> {
+fn join_and_check(statement: &Statement, tree: &Tree) -> Result<(Bundle, Operators), Refusal> {
     let bundle = entry::join(statement.version, tree.entries()).map_err(Refusal::Entry)?;
     let operators = Operators::of(&bundle);
-    digests(statement, tree.root(), &operators)?;
+    check_digests(statement, tree.root(), &operators)?;
     let mut mistakes = check::bundle(&bundle);
     if bundle.fleet.name != statement.fleet {
         mistakes.push(crate::mistake::Mistake::new(
@@ -174,7 +175,11 @@
     }
 }
 
-fn digests(statement: &Statement, root: Digest, operators: &Operators) -> Result<(), Refusal> {
+fn check_digests(
+    statement: &Statement,
+    root: Digest,
+    operators: &Operators,
+) -> Result<(), Refusal> {
     let matches = statement.root == root && statement.operators == operators.digest();
     if matches { Ok(()) } else { Err(Refusal::Root) }
 }
--- a/crates/bundle/src/fold/refusal.rs
+++ b/crates/bundle/src/fold/refusal.rs
@@ -1,4 +1,4 @@
-//! Why a record or a peer's word does not come into force.
+//! Why a record, snapshot or update is rejected.
 
 use displaydoc::Display;
 use godwitpost_types::id::Version;
@@ -7,7 +7,7 @@
 use crate::record;
 use crate::{entry, snapshot};
 
-/// Why a record does not come into force.
+/// Why a record, snapshot or update is rejected.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Refusal {
     /// {0}
@@ -18,16 +18,16 @@
     Snapshot(snapshot::Error),
     /// it is for the fleet {found}, not {wanted}; name this fleet in the bundle
     Fleet {
-        /// The fleet of this fold.
+        /// The fleet that this fold is for.
         wanted: String,
         /// The fleet that the statement names.
         found: String,
     },
     /// version {version} by {winner} came first; take the bundle in force, make your change in it and roll it as the next version
     Lost {
-        /// The version that both wanted to be.
+        /// The version that both records have.
         version: Version,
-        /// Who signed the one in force.
+        /// The operator who signed the accepted record.
         winner: String,
     },
     /// version {found} is older than {current}, which is in force; roll the old content as version {current} + 1
@@ -48,12 +48,12 @@
     Parent,
     /// it is not signed by an operator of the bundle in force ({0} is named); sign with a key that it names
     Signature(String),
-    /// its root or operators digest is not what its entries give; sign it again
+    /// its root or operators digest does not match its entries; sign it again
     Root,
     /// the bundle has mistakes:
     /// {0}
     Content(Mistakes),
-    /// it claims to fold records that were not there yet; restart the instance that wrote it
+    /// it covers records after its own place on the log; restart the instance that wrote it
     Future,
     /// it contradicts what is in force here; compare the two instances' GET /bundle and restart the wrong one
     Contradiction,
--- a/crates/bundle/src/fold/tests/gaps.rs
+++ b/crates/bundle/src/fold/tests/gaps.rs
@@ -2,11 +2,11 @@
 use crate::fold::{Fold, Next, Refusal};
 use crate::record::Record;
 
-// The log drops the record of version 3 that won and still keeps the one that
-// lost. An instance that starts then, or that slept through it with version
-// 2, would come into force with the loser and differ from the fleet for good.
+// The log drops the record of version 3 that won and still retains the one
+// that lost. An instance that starts then, or that was paused at version 2,
+// must not accept the losing record: it would differ from the fleet for good.
 #[test]
-fn the_loser_of_a_race_is_not_taken_without_its_winner() {
+fn a_losing_record_is_not_accepted_after_the_winner_was_dropped() {
     let mut stream = Stream::rolled(2);
     let mut slept = stream.fold().clone();
     let winner = stream.sign(&bundle(3, 30), "kushiro");
@@ -18,21 +18,21 @@
         let before = fold.version();
         assert_eq!(stream.read(3, fold), Next::Waiting);
         assert_eq!(fold.version(), before);
-        assert!(fold.gapped());
+        assert!(fold.has_gap());
     }
     let snapshot = stream.fold().snapshot().expect("it is in force");
     for fold in [&mut slept, &mut fresh] {
-        assert_eq!(fold.adopt(snapshot.clone()), Ok(Next::InForce(3)));
+        assert_eq!(fold.apply_snapshot(snapshot.clone()), Ok(Next::InForce(3)));
         assert_eq!(root(fold), root(stream.fold()));
-        assert!(!fold.gapped());
+        assert!(!fold.has_gap());
     }
 }
 
-// All instances are replaced at once, and the log has dropped everything
-// before the checkpoint. Version 4 was rolled while the checkpoint was being
-// written, so its record stands before the checkpoint.
+// All instances are replaced at once after the log dropped everything before
+// the checkpoint. Version 4 was rolled while the checkpoint was being written,
+// so its record precedes the checkpoint.
 #[test]
-fn a_checkpoint_and_what_follows_it_are_enough() {
+fn a_new_reader_catches_up_from_a_checkpoint() {
     let mut stream = Stream::rolled(3);
     let writer = stream.fold().clone();
     stream.roll(4);
@@ -42,14 +42,14 @@
     stream.read(3, &mut fresh);
     assert_eq!(fresh.version(), 5);
     assert_eq!(root(&fresh), root(stream.fold()));
-    assert!(!fresh.gapped());
+    assert!(!fresh.has_gap());
 }
 
-// An instance is paused with a checkpoint of version 2 in hand, and appends
-// it hours later. Readers in force keep theirs; a fresh reader must wait for
-// a checkpoint that leaves no gap.
+// An instance is paused before it appends a checkpoint of version 2, and
+// appends it hours later. Readers with a bundle must keep it; a new reader must
+// wait for a checkpoint that leaves no gap.
 #[test]
-fn a_stale_checkpoint_does_not_win() {
+fn a_stale_checkpoint_does_not_replace_a_newer_bundle() {
     let mut stream = Stream::rolled(2);
     let paused = stream.fold().clone();
     stream.roll(3);
@@ -59,14 +59,14 @@
     assert_eq!(stream.fold().version(), 4);
     let mut fresh = new_fold();
     stream.read(3, &mut fresh);
-    assert_eq!((fresh.version(), fresh.gapped()), (0, true));
+    assert_eq!((fresh.version(), fresh.has_gap()), (0, true));
     stream.checkpoint(&stream.fold().clone());
     stream.read(5, &mut fresh);
-    assert_eq!((fresh.version(), fresh.gapped()), (4, false));
+    assert_eq!((fresh.version(), fresh.has_gap()), (4, false));
 }
 
-// A stale checkpoint must not count as the renewal of the bundle either, or
-// the records it needs would be dropped before anybody renews them.
+// A stale checkpoint must not move the anchor, or the log would drop records
+// that readers need before an instance appends the next checkpoint.
 #[test]
 fn only_a_checkpoint_that_reaches_further_moves_the_anchor() {
     let mut stream = Stream::rolled(2);
@@ -79,10 +79,10 @@
     assert_eq!(stream.fold().anchor(), Some(anchor));
 }
 
-// Two instances append large checkpoints at the same moment, one of them dies
-// half-way, and an answer is lost so that a part stands there twice.
+// Two instances append large checkpoints at the same time, one of them crashes
+// half-way, and a lost response causes one part to be appended twice.
 #[test]
-fn interleaved_repeated_and_broken_checkpoints_are_told_apart() {
+fn interleaved_repeated_and_incomplete_checkpoints_are_assembled_separately() {
     let mut stream = Stream::new();
     stream.roll_many(1, 3_500);
     stream.roll_many(2, 7_000);
@@ -102,11 +102,11 @@
     }
     let mut fresh = new_fold();
     stream.read(4, &mut fresh);
-    assert_eq!((fresh.version(), fresh.gapped()), (4, false));
+    assert_eq!((fresh.version(), fresh.has_gap()), (4, false));
 }
 
 #[test]
-fn a_checkpoint_with_changed_bytes_is_not_believed() {
+fn a_checkpoint_with_changed_bytes_is_rejected() {
     let mut stream = Stream::rolled(2);
     let parts = crate::record::checkpoint(&stream.fold().snapshot().expect("it is in force"));
     for part in parts {
@@ -119,11 +119,11 @@
     }
     let mut fresh = new_fold();
     stream.read(2, &mut fresh);
-    assert_eq!((fresh.version(), fresh.gapped()), (0, true));
+    assert_eq!((fresh.version(), fresh.has_gap()), (0, true));
 }
 
 #[test]
-fn a_checkpoint_that_claims_the_future_is_refused() {
+fn a_checkpoint_that_covers_later_records_is_rejected() {
     let mut stream = Stream::rolled(2);
     let mut snapshot = stream.fold().snapshot().expect("it is in force");
     snapshot.next = 100;
--- a/crates/bundle/src/fold/tests/peers.rs
+++ b/crates/bundle/src/fold/tests/peers.rs
@@ -10,8 +10,8 @@
     fold.snapshot().expect("it is in force")
 }
 
-// A peer that slept hands out version 2 while 4 is in force here. Adopting it
-// would turn the fleet back one instance at a time.
+// A peer that was paused sends version 2 while 4 is in force here. Applying it
+// would revert the fleet one instance at a time.
 #[test]
 fn an_older_snapshot_changes_nothing() {
     let mut stream = Stream::rolled(2);
@@ -19,16 +19,16 @@
     stream.roll(3);
     stream.roll(4);
     let mut fold = stream.fold().clone();
-    assert_eq!(fold.adopt(snapshot(&old)), Ok(Next::Ignored));
+    assert_eq!(fold.apply_snapshot(snapshot(&old)), Ok(Next::Ignored));
     let update = old.update(1).expect("it is kept");
-    assert_eq!(fold.advance(&update), Ok(Next::Ignored));
+    assert_eq!(fold.apply_update(&update), Ok(Next::Ignored));
     assert_eq!(fold.version(), 4);
 }
 
-// The log goes down right after version 3 was accepted. Those who read it
-// bring the others forward, who skip its record once the log is back.
+// The log goes down right after version 3 was accepted. Instances that read it
+// update the others, which skip its record once the log is back.
 #[test]
-fn peers_bring_each_other_forward_while_the_log_is_down() {
+fn peers_update_each_other_while_the_log_is_down() {
     let mut stream = Stream::rolled(2);
     let behind = stream.fold().clone();
     stream.roll(3);
@@ -36,13 +36,13 @@
     let mut by_update = behind.clone();
     let update = stream.fold().update(2).expect("it is kept");
     assert_eq!(update.changes.len(), 2);
-    assert_eq!(by_update.advance(&update), Ok(Next::InForce(4)));
+    assert_eq!(by_update.apply_update(&update), Ok(Next::InForce(4)));
     let mut by_snapshot = behind;
-    let taken = by_snapshot.adopt(snapshot(stream.fold()));
+    let taken = by_snapshot.apply_snapshot(snapshot(stream.fold()));
     assert_eq!(taken, Ok(Next::InForce(4)));
     stream.roll(5);
     for fold in [&mut by_update, &mut by_snapshot] {
-        assert_eq!(fold.wanted(), 4);
+        assert_eq!(fold.next_offset(), 4);
         assert_eq!(stream.read(0, fold), Next::InForce(5));
         assert_eq!(root(fold), root(stream.fold()));
     }
@@ -56,11 +56,11 @@
     assert_eq!(stream.fold().update(6).map(|u| u.changes.len()), Some(64));
 }
 
-// A peer's second change is damaged on the way. With the first in force, but
-// without its place on the stream, the instance would go on reading at the
-// old place and take a version that came too early for the fleet.
+// The second change of a peer's update is corrupted. If the first one were in
+// force without its offset on the stream, the instance would continue reading
+// at the old offset and accept a version that came too early for the fleet.
 #[test]
-fn a_broken_update_changes_nothing() {
+fn a_corrupted_update_changes_nothing() {
     let mut stream = Stream::rolled(2);
     let behind = stream.fold().clone();
     let third = stream.change(3, 30);
@@ -80,9 +80,9 @@
     change.signature = signature::sign(&change.statement, &operator_key("zenibako"));
     resigned.changes[1] = entry::encode(&Record::Change(change));
     let mut fold = behind.clone();
-    assert!(matches!(fold.advance(&cut), Err(Refusal::Record(_))));
+    assert!(matches!(fold.apply_update(&cut), Err(Refusal::Record(_))));
     assert!(matches!(
-        fold.advance(&resigned),
+        fold.apply_update(&resigned),
         Err(Refusal::Signature(_))
     ));
     assert_eq!(fold.version(), 2);
@@ -92,9 +92,9 @@
     assert_eq!(root(&fold), root(stream.fold()));
 }
 
-// A key leaked, and version 2 removed its operator. Whoever holds the key
-// forges version 9 from version 1, naming himself. An instance that holds
-// version 2 must not follow.
+// A key leaked, and version 2 removed its operator. The holder of the key
+// forges version 9 on version 1 and names himself as an operator. An instance
+// with version 2 must reject it.
 #[test]
 fn a_removed_operator_cannot_forge_a_snapshot() {
     let mut stream = Stream::rolled(1);
@@ -127,12 +127,12 @@
     };
     let mut fold = stream.fold().clone();
     let refused = Refusal::Signature("kushiro".to_owned());
-    assert_eq!(fold.adopt(forged), Err(refused));
+    assert_eq!(fold.apply_snapshot(forged), Err(refused));
     assert_eq!(fold.version(), 2);
 }
 
 #[test]
-fn a_snapshot_proves_itself_through_changes_of_keys() {
+fn a_snapshot_is_verified_through_changes_of_keys() {
     let mut stream = Stream::rolled(1);
     let mut second = bundle(2, 2);
     second.operators.remove("kushiro");
@@ -148,28 +148,37 @@
     assert_eq!(stream.append(&change), Next::InForce(3));
     let good = snapshot(stream.fold());
     assert_eq!(good.lineage.len(), 2);
-    assert_eq!(new_fold().adopt(good.clone()), Ok(Next::InForce(3)));
+    assert_eq!(
+        new_fold().apply_snapshot(good.clone()),
+        Ok(Next::InForce(3))
+    );
 
     let mut cut = good.clone();
     cut.lineage.remove(1);
-    assert!(matches!(new_fold().adopt(cut), Err(Refusal::Signature(_))));
+    assert!(matches!(
+        new_fold().apply_snapshot(cut),
+        Err(Refusal::Signature(_))
+    ));
     let mut changed = good.clone();
     changed.entries.remove("workspace/otaru");
-    assert_eq!(new_fold().adopt(changed), Err(Refusal::Root));
+    assert_eq!(new_fold().apply_snapshot(changed), Err(Refusal::Root));
     let mut resigned = good.clone();
     resigned.signature = signature::sign(&resigned.statement, &operator_key("kushiro"));
     assert!(matches!(
-        new_fold().adopt(resigned),
+        new_fold().apply_snapshot(resigned),
         Err(Refusal::Signature(_))
     ));
     let mut strangers = Fold::new("kitakaze", [operator_key("zenibako").public()]);
-    assert!(matches!(strangers.adopt(good), Err(Refusal::Signature(_))));
+    assert!(matches!(
+        strangers.apply_snapshot(good),
+        Err(Refusal::Signature(_))
+    ));
 }
 
-// Two logs were mixed up, and a peer holds another version 3. Neither side
-// can know who is right, so the one in force stays and the operator is told.
+// Two logs were mixed up, and a peer has another version 3. Neither side can
+// know which is right, so the one in force stays and an error is reported.
 #[test]
-fn a_peer_that_contradicts_is_not_believed() {
+fn a_contradicting_snapshot_of_a_peer_is_rejected() {
     let mut stream = Stream::rolled(2);
     let mut other = Stream::rolled(2);
     stream.roll(3);
@@ -177,15 +186,15 @@
     other.append(&change);
     other.append(&change);
     let mut fold = stream.fold().clone();
-    let taken = fold.adopt(snapshot(other.fold()));
+    let taken = fold.apply_snapshot(snapshot(other.fold()));
     assert_eq!(taken, Err(Refusal::Contradiction));
     let update = other.fold().update(2).expect("it is kept");
-    assert_eq!(fold.advance(&update), Err(Refusal::Contradiction));
+    assert_eq!(fold.apply_update(&update), Err(Refusal::Contradiction));
     assert_eq!(root(&fold), root(stream.fold()));
 }
 
 #[test]
-fn junk_on_the_stream_is_refused_and_passed_over() {
+fn invalid_records_on_the_stream_are_refused_and_skipped() {
     let mut fold = new_fold();
     let next = fold.apply(0, time(0), b"junk");
     assert!(matches!(next, Next::Refused(Refusal::Record(_))));
--- a/crates/bundle/src/key.rs
+++ b/crates/bundle/src/key.rs
@@ -7,12 +7,12 @@
 
 use crate::blob::Digest;
 
-/// A private key; its `Debug` form shows the public half alone.
+/// A private key; its `Debug` output shows only the public key.
 #[derive(Clone)]
-pub struct Private(pub(crate) SigningKey);
+pub struct PrivateKey(pub(crate) SigningKey);
 
-impl Private {
-    /// Draws a new key.
+impl PrivateKey {
+    /// Generates a random key.
     pub fn generate(rng: &mut impl CryptoRng) -> Self {
         Self(SigningKey::generate(rng))
     }
@@ -36,15 +36,15 @@
     }
 }
 
-impl fmt::Debug for Private {
+impl fmt::Debug for PrivateKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Private(redacted, public {})", self.public())
     }
 }
 
-/// Returns whether `key` is a public key that signatures can be checked by.
+/// Returns whether `key` is a public key that signatures can be verified with.
 ///
-/// Weak keys are refused: a signature by one may hold for many messages.
+/// Weak keys are rejected: a signature by one may be valid for many messages.
 #[must_use]
 pub fn valid(key: Digest) -> bool {
     VerifyingKey::from_bytes(&key.0).is_ok_and(|key| !key.is_weak())
--- a/crates/bundle/src/root.rs
+++ b/crates/bundle/src/root.rs
@@ -1,9 +1,9 @@
-//! The root digest of all entries, kept up to date at the cost of a change.
+//! The root digest of all entries, updated incrementally.
 //!
-//! Entries fall into buckets by the digest of their name. A bucket's digest
-//! is taken over the sorted digests of its entries, the root over the digests
-//! of the buckets. A change of one entry then re-hashes one bucket and the
-//! top, in place of every entry: `docs/design/bundles.md` has the figures.
+//! Entries are assigned to buckets by the digest of their name. A bucket's
+//! digest covers the sorted digests of its entries, and the root covers the
+//! digests of the buckets. A change of one entry rehashes one bucket and the
+//! root instead of every entry: `docs/design/bundles.md` has the figures.
 
 #[cfg(test)]
 mod tests;
@@ -16,9 +16,9 @@
 use crate::delta::Delta;
 use crate::entry::Entries;
 
-/// Buckets of the tree. At 8,900 entries a bucket has 35, about a kilobyte of
-/// digests, against eight kilobytes for the top; more buckets would make the
-/// top dearer than the bucket saves, fewer the reverse.
+/// At 8,900 entries a bucket has 35, about a kilobyte of digests, and the root
+/// covers eight kilobytes. With more buckets the root would cost more to hash
+/// than smaller buckets save; with fewer buckets the reverse.
 const BUCKETS: usize = 256;
 
 /// Entries with their root digest.
@@ -36,17 +36,19 @@
 }
 
 impl Tree {
-    /// Returns the tree of some entries.
+    /// Builds the tree of `entries`.
     #[must_use]
     pub fn new(entries: Entries) -> Self {
         let mut buckets = vec![Bucket::default(); BUCKETS];
         for (name, blob) in &entries {
-            buckets[place(name)].leaves.insert(leaf(name, blob));
+            buckets[bucket_index(name)]
+                .leaves
+                .insert(leaf_digest(name, blob));
         }
         for bucket in &mut buckets {
             bucket.digest = bucket_digest(&bucket.leaves);
         }
-        let root = top(&buckets);
+        let root = root_digest(&buckets);
         Self {
             entries,
             buckets,
@@ -66,20 +68,20 @@
         self.root
     }
 
-    /// Applies a change and returns the one that takes it back.
+    /// Applies a change and returns the change that undoes it.
     pub fn apply(&mut self, delta: Delta) -> Delta {
         let mut undo = Delta::default();
-        let mut touched = BTreeSet::new();
+        let mut changed = BTreeSet::new();
         for name in delta.removes {
             if let Some(old) = self.entries.remove(&name) {
-                touched.insert(self.drop_leaf(&name, &old));
+                changed.insert(self.drop_leaf(&name, &old));
                 undo.puts.insert(name, old);
             }
         }
         for (name, blob) in delta.puts {
-            let index = place(&name);
-            self.buckets[index].leaves.insert(leaf(&name, &blob));
-            touched.insert(index);
+            let index = bucket_index(&name);
+            self.buckets[index].leaves.insert(leaf_digest(&name, &blob));
+            changed.insert(index);
             match self.entries.insert(name.clone(), blob) {
                 Some(old) if self.entries[&name] != old => {
                     self.drop_leaf(&name, &old);
@@ -92,27 +94,27 @@
                 }
             }
         }
-        for index in touched {
+        for index in changed {
             let bucket = &mut self.buckets[index];
             bucket.digest = bucket_digest(&bucket.leaves);
         }
-        self.root = top(&self.buckets);
+        self.root = root_digest(&self.buckets);
         undo
     }
 
     fn drop_leaf(&mut self, name: &str, blob: &Blob) -> usize {
-        let index = place(name);
-        self.buckets[index].leaves.remove(&leaf(name, blob));
+        let index = bucket_index(name);
+        self.buckets[index].leaves.remove(&leaf_digest(name, blob));
         index
     }
 }
 
-/// Returns the root digest of some entries.
+/// Returns the root digest of `entries`.
 #[must_use]
 pub fn of(entries: &Entries) -> Digest {
     let mut leaves = vec![BTreeSet::new(); BUCKETS];
     for (name, blob) in entries {
-        leaves[place(name)].insert(leaf(name, blob));
+        leaves[bucket_index(name)].insert(leaf_digest(name, blob));
     }
     let mut hasher = Hasher::new();
     for leaves in &leaves {
@@ -121,13 +123,13 @@
     Digest(*hasher.finalize().as_bytes())
 }
 
-fn place(name: &str) -> usize {
+fn bucket_index(name: &str) -> usize {
     usize::from(blake3::hash(name.as_bytes()).as_bytes()[0])
 }
 
-// The name's length goes first, so that no two pairs of name and bytes give
-// the same input.
-fn leaf(name: &str, blob: &Blob) -> Digest {
+// The length of the name is hashed first, so that no two pairs of name and
+// bytes produce the same input.
+fn leaf_digest(name: &str, blob: &Blob) -> Digest {
     let mut hasher = Hasher::new();
     hasher.update(&(name.len() as u64).to_le_bytes());
     hasher.update(name.as_bytes());
@@ -146,7 +148,7 @@
     Digest(*hasher.finalize().as_bytes())
 }
 
-fn top(buckets: &[Bucket]) -> Digest {
+fn root_digest(buckets: &[Bucket]) -> Digest {
     let mut hasher = Hasher::new();
     for bucket in buckets {
         hasher.update(&bucket.digest.0);
--- a/crates/bundle/src/source/node.rs
+++ b/crates/bundle/src/source/node.rs
@@ -1,7 +1,8 @@
-//! YAML as a tree that knows its lines.
+//! A YAML tree with line numbers.
 //!
-//! Reading straight into typed structs would stop at the first wrong value.
-//! The tree is read whole, so that every mistake can be told at once.
+//! Deserializing straight into typed structs would stop at the first invalid
+//! value. Parsing the whole tree first allows all mistakes to be reported at
+//! once.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -37,7 +38,7 @@
 }
 
 impl Node {
-    /// Returns what kind of value this is, as a message names it.
+    /// Describes the value for an error message.
     #[must_use]
     pub fn describe(&self) -> String {
         match self {
@@ -53,13 +54,13 @@
 
 impl<'de> Deserialize<'de> for Node {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_any(Tree)
+        deserializer.deserialize_any(NodeVisitor)
     }
 }
 
-struct Tree;
+struct NodeVisitor;
 
-impl<'de> Visitor<'de> for Tree {
+impl<'de> Visitor<'de> for NodeVisitor {
     type Value = Node;
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/crates/bundle/src/source/tests.rs
+++ b/crates/bundle/src/source/tests.rs
@@ -4,7 +4,7 @@
 use crate::schema::Kind;
 
 /// A bundle with every section.
-pub(crate) const WHOLE: &str = r#"
+pub(crate) const FULL_BUNDLE: &str = r#"
 fleet: kitakaze
 version: 2
 claim_window: 10m
@@ -31,7 +31,7 @@
 
 #[test]
 fn defaults_are_filled_in() {
-    let bundle = read(WHOLE).expect("it is right");
+    let bundle = read(FULL_BUNDLE).expect("it is right");
     assert_eq!(bundle.version, 2);
     assert_eq!(bundle.fleet.claim_window, Duration::from_mins(10));
     assert!(bundle.classes["draft"].queue);
@@ -41,11 +41,12 @@
     assert!(bundle.routes[1].unrepeatable);
 }
 
-// An operator mends one mistake, runs the check and is shown the next, ten
-// times over. All mistakes of shape have to come at once, with their lines.
+// Without this, an operator would fix one mistake, run the check and see the
+// next, ten times over. All mistakes of form must be reported at once, with
+// their lines.
 #[test]
-fn every_mistake_of_shape_is_told_at_once() {
-    let yaml = WHOLE
+fn all_mistakes_of_form_are_reported_at_once() {
+    let yaml = FULL_BUNDLE
         .replace("rate: 50", "rate: fast")
         .replace("slots: 64", "slots: 0, colour: red")
         .replace("deadline: 60s", "deadline: 60")
@@ -66,8 +67,8 @@
 }
 
 #[test]
-fn every_broken_reference_is_told_at_once() {
-    let yaml = WHOLE
+fn all_broken_references_are_reported_at_once() {
+    let yaml = FULL_BUNDLE
         .replace("[drafting, ordering]", "[drafting, booking]")
         .replace("class: order,", "class: orders,")
         .replace("service: drafting, weights", "service: ordering, weights");
@@ -91,13 +92,13 @@
 }
 
 #[test]
-fn a_missing_key_is_told() {
+fn a_missing_key_is_reported() {
     let text = mistakes("fleet: kitakaze\n");
     assert!(text.contains("version: is missing"), "{text}");
 }
 
-// At the size of two years from now the library's limits on hostile
-// documents must not refuse the operator's own file.
+// The YAML library limits the size of hostile documents. These limits must not
+// reject an operator's own file at the size expected in two years.
 #[test]
 fn a_bundle_of_8900_workspaces_is_read() {
     use std::fmt::Write;
@@ -109,13 +110,13 @@
         )
         .expect("a string takes all");
     }
-    let bundle = read(&WHOLE.replace("workspaces:\n", &workspaces)).expect("it is right");
+    let bundle = read(&FULL_BUNDLE.replace("workspaces:\n", &workspaces)).expect("it is right");
     assert_eq!(bundle.workspaces.len(), 8_901);
 }
 
 #[test]
-fn what_is_written_reads_the_same() {
-    let mut bundle = read(WHOLE).expect("it is right");
+fn written_yaml_parses_to_the_same_bundle() {
+    let mut bundle = read(FULL_BUNDLE).expect("it is right");
     let draft = bundle.classes.get_mut("draft").expect("it is there");
     draft.deadline = Duration::from_millis(1_500);
     assert_eq!(read(&write(&bundle)), Ok(bundle));
--- a/crates/client/src/list.rs
+++ b/crates/client/src/list.rs
@@ -1,7 +1,7 @@
-//! The client of the platform's list of live and leaving instances.
+//! A client of the platform's list of live and leaving instances.
 //!
-//! The list lags; what it says is evidence, not truth. An entry that can't be
-//! read is left out and named, so one bad entry never hides the others.
+//! The list lags behind the actual state, so its entries may be out of date. An
+//! invalid entry is skipped and reported by name, so it never hides the others.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -21,11 +21,10 @@
 
 pub use watch::Watch;
 
-/// Bytes of a list that are read at most. 4,000 entries of 300 bytes take
-/// 1.2 MB.
-const ANSWER_LIMIT: usize = 16 * 1024 * 1024;
+/// Maximum size of a list. 4,000 entries of 300 bytes take 1.2 MB.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// Makes calls to the instance list.
+/// A client of the instance list.
 #[derive(Clone, Debug)]
 pub struct Client {
     connector: Connector,
@@ -33,35 +32,35 @@
     timeout: Duration,
 }
 
-/// The list as one call answered it.
+/// The instance list as of one response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Listing {
-    /// Routers of the fleet.
+    /// The routers of the fleet.
     pub instances: Vec<Instance>,
-    /// Back ends.
+    /// The back ends.
     pub endpoints: Vec<Endpoint>,
-    /// Entries left out, each as its name and what is wrong with it.
+    /// Invalid entries that were skipped, each as its name and the error.
     pub refused: Vec<String>,
 }
 
-/// One entry in the list's own form.
+/// One entry as serialized by the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// Its name.
     pub name: String,
-    /// Its life on that name; a restart has a greater one.
+    /// Its incarnation under that name; greater after each restart.
     pub incarnation: Incarnation,
-    /// What it is.
+    /// Its role.
     pub role: Role,
-    /// Whether it may get new work.
+    /// Whether it may receive new requests.
     pub standing: Standing,
     /// Its availability zone.
     pub zone: String,
     /// The region of that zone.
     pub region: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// Where a router listens for operators.
+    /// The address on which a router listens for operators.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub operators_address: Option<SocketAddr>,
     /// The service of an endpoint.
@@ -72,7 +71,7 @@
     pub models: BTreeSet<String>,
 }
 
-/// What an entry of the list is.
+/// The role of a list entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
@@ -82,22 +81,22 @@
     Endpoint,
 }
 
-/// Why there is no list.
+/// The reason for which the list can't be fetched.
 #[derive(Debug, displaydoc::Display)]
 pub enum Error {
     /// cannot reach the instance list: {0}
     Connect(connect::Error),
     /// the instance list answered {0}; try again after a pause
     Status(StatusCode),
-    /// unreadable instance list ({0}); try again after a pause
-    Answer(connect::BoxError),
+    /// invalid instance list ({0}); try again after a pause
+    InvalidResponse(connect::BoxError),
 }
 
 impl std::error::Error for Error {}
 
-/// What the list answers: everything, or what changed after a revision.
+/// A response of the list: all entries, or the changes after a revision.
 #[derive(Debug, Deserialize)]
-struct Answer {
+struct ListResponse {
     #[serde(default)]
     revision: Option<u64>,
     #[serde(default)]
@@ -109,7 +108,7 @@
 }
 
 impl Client {
-    /// Makes a client of the list at an address, with a time-out for a call.
+    /// Creates a client of the list at an address. `timeout` limits each call.
     #[must_use]
     pub const fn new(connector: Connector, address: SocketAddr, timeout: Duration) -> Self {
         Self {
@@ -123,17 +122,17 @@
     ///
     /// # Errors
     ///
-    /// [`Error`] if the list can't be reached or read as a whole.
+    /// Returns [`Error`] if the list can't be reached or parsed as a whole.
     pub async fn fetch(&self) -> Result<Listing, Error> {
-        let answer = self.get("/v1/instances", self.timeout).await?;
-        let instances = answer.instances.unwrap_or_default();
-        Ok(read(instances.iter()))
+        let response = self.get("/v1/instances", self.timeout).await?;
+        let instances = response.instances.unwrap_or_default();
+        Ok(parse_entries(instances.iter()))
     }
 
-    async fn get(&self, path: &str, wait: Duration) -> Result<Answer, Error> {
+    async fn get(&self, path: &str, wait: Duration) -> Result<ListResponse, Error> {
         let request = Request::get(path)
             .body(text::full(Bytes::new()))
-            .map_err(|error| Error::Answer(error.into()))?;
+            .map_err(|error| Error::InvalidResponse(error.into()))?;
         let response = self
             .connector
             .send(self.address, request, wait)
@@ -143,22 +142,22 @@
         if status != StatusCode::OK {
             return Err(Error::Status(status));
         }
-        let collected = text::collect(response.into_body(), ANSWER_LIMIT);
+        let collected = text::collect(response.into_body(), MAX_RESPONSE_BYTES);
         let body = tokio::time::timeout(self.timeout, collected)
             .await
-            .map_err(|late| Error::Answer(late.into()))?
-            .map_err(Error::Answer)?;
-        serde_json::from_slice(&body).map_err(|error| Error::Answer(error.into()))
+            .map_err(|late| Error::InvalidResponse(late.into()))?
+            .map_err(Error::InvalidResponse)?;
+        serde_json::from_slice(&body).map_err(|error| Error::InvalidResponse(error.into()))
     }
 }
 
-fn read<'v>(values: impl Iterator<Item = &'v serde_json::Value>) -> Listing {
+fn parse_entries<'v>(values: impl Iterator<Item = &'v serde_json::Value>) -> Listing {
     let mut listing = Listing::default();
     for value in values {
         let name = value["name"].as_str().unwrap_or("(no name)");
         let added = Entry::deserialize(value)
             .map_err(|error| error.to_string())
-            .and_then(|entry| add(&mut listing, entry));
+            .and_then(|entry| add_entry(&mut listing, entry));
         if let Err(reason) = added {
             listing.refused.push(format!("{name}: {reason}"));
         }
@@ -166,7 +165,7 @@
     listing
 }
 
-fn add(listing: &mut Listing, entry: Entry) -> Result<(), String> {
+fn add_entry(listing: &mut Listing, entry: Entry) -> Result<(), String> {
     match entry.role {
         Role::Router => listing.instances.push(instance(entry)?),
         Role::Endpoint => listing.endpoints.push(endpoint(entry)?),
@@ -179,10 +178,10 @@
         .operators_address
         .ok_or("a router without operators_address; add it to the entry")?;
     Ok(Instance {
-        id: id::of(&entry.name),
+        id: id::from_name(&entry.name),
         incarnation: entry.incarnation,
-        zone: id::of(&entry.zone),
-        region: id::of(&entry.region),
+        zone: id::from_name(&entry.zone),
+        region: id::from_name(&entry.region),
         peer_address: entry.address,
         operators_address,
         standing: entry.standing,
@@ -195,20 +194,20 @@
         .service
         .ok_or("an endpoint without service; add it to the entry")?;
     Ok(Endpoint {
-        id: id::of(&entry.name),
+        id: id::from_name(&entry.name),
         incarnation: entry.incarnation,
-        service: id::of(&service),
+        service: id::from_name(&service),
         models: entry.models.iter().map(|model| model_id(model)).collect(),
-        zone: id::of(&entry.zone),
-        region: id::of(&entry.region),
+        zone: id::from_name(&entry.zone),
+        region: id::from_name(&entry.region),
         address: entry.address,
         standing: entry.standing,
         name: entry.name,
     })
 }
 
-// Lists may name models as engines report them, with their weights, which
-// pass from version to version while the model stays the same.
+// Entries may name models as engines report them, with the version of the
+// weights appended. The version changes while the model stays the same.
 fn model_id(model: &str) -> id::ModelId {
-    id::of(model.split_once('@').map_or(model, |(name, _)| name))
+    id::from_name(model.split_once('@').map_or(model, |(name, _)| name))
 }
--- a/crates/client/src/list/watch.rs
+++ b/crates/client/src/list/watch.rs
@@ -1,19 +1,19 @@
-//! Follows the list by its changes.
+//! Follows changes of the list by long polling.
 //!
-//! At 320 routers and 3,300 runners the whole list has about 700 KB. Reading
-//! it each second would cost a hundred times the control budget, and reading
-//! it seldom would show changes late. So the first answer is the whole list
-//! and each later one only what changed after its revision; the call waits at
-//! the list until something did.
+//! With 320 routers and 3,300 runners the whole list has about 700 KB. Fetching
+//! it each second would cost a hundred times the budget for control traffic, and
+//! fetching it less often would delay changes. Therefore the first response is
+//! the whole list, and each later one has only the changes after its revision.
+//! The list delays its response until there is a change.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use serde_json::Value;
 
-use super::{Answer, Client, Error, Listing, read};
+use super::{Client, Error, ListResponse, Listing, parse_entries};
 
-/// The list as followed so far.
+/// Follows the list and holds its current entries.
 #[derive(Debug)]
 pub struct Watch {
     client: Client,
@@ -22,7 +22,7 @@
 }
 
 impl Watch {
-    /// Returns a watch that begins with the whole list.
+    /// Returns a watch that starts by fetching the whole list.
     #[must_use]
     pub const fn new(client: Client) -> Self {
         Self {
@@ -34,13 +34,13 @@
 
     /// Returns the list when it has changed, or unchanged after `wait`.
     ///
-    /// A list that knows no revisions answers with everything at once; the
-    /// caller has to pause between calls then, as [`Watch::waits`] says.
+    /// A list without revisions responds with all entries at once. The caller has
+    /// to pause between calls then; see [`Watch::is_long_polling`].
     ///
     /// # Errors
     ///
-    /// [`Error`] if the list can't be reached or read. The next call goes on
-    /// from the last answer.
+    /// Returns [`Error`] if the list can't be reached or parsed. The next call
+    /// continues from the last valid response.
     pub async fn next(&mut self, wait: Duration) -> Result<Listing, Error> {
         let path = match self.revision {
             None => "/v1/instances".to_owned(),
@@ -50,32 +50,33 @@
             }
         };
         let timeout = self.client.timeout + wait;
-        let answer = self.client.get(&path, timeout).await?;
-        self.take(answer);
-        Ok(read(self.entries.values()))
+        let response = self.client.get(&path, timeout).await?;
+        self.apply_response(response);
+        Ok(parse_entries(self.entries.values()))
     }
 
-    /// Returns whether the list itself waits for changes.
+    /// Returns whether the list supports revisions, so that it delays responses
+    /// until there are changes.
     #[must_use]
-    pub const fn waits(&self) -> bool {
+    pub const fn is_long_polling(&self) -> bool {
         self.revision.is_some()
     }
 
-    fn take(&mut self, answer: Answer) {
-        self.revision = answer.revision;
-        if let Some(instances) = answer.instances {
+    fn apply_response(&mut self, response: ListResponse) {
+        self.revision = response.revision;
+        if let Some(instances) = response.instances {
             self.entries.clear();
-            self.put(instances);
+            self.insert_entries(instances);
             return;
         }
-        self.put(answer.changed);
-        for name in &answer.removed {
+        self.insert_entries(response.changed);
+        for name in &response.removed {
             self.entries.remove(name);
         }
     }
 
-    // An entry without a name is kept too, to be named as refused.
-    fn put(&mut self, values: Vec<Value>) {
+    // An entry without a name is retained too, so that it is reported as invalid.
+    fn insert_entries(&mut self, values: Vec<Value>) {
         for value in values {
             let name = value["name"].as_str().unwrap_or_default().to_owned();
             self.entries.insert(name, value);
--- a/crates/client/src/log/gate.rs
+++ b/crates/client/src/log/gate.rs
@@ -1,8 +1,8 @@
-//! Holds appends back while the log fails, but for one that tries.
+//! Holds back appends while the log fails, except for one that probes it.
 //!
-//! Without it each waiting record would try for itself: an outage under a
-//! thousand records would cost the log a thousand tries a pause from each
-//! instance, at the very moment at which it tries to come back.
+//! Otherwise each waiting record would be retried on its own. With a thousand
+//! waiting records, each instance would send the log a thousand requests per
+//! pause while the log tries to recover.
 
 #[cfg(test)]
 mod tests;
@@ -12,64 +12,66 @@
 
 use super::backoff::Backoff;
 
-/// Whether a call to the log may go now.
+/// Whether a call to the log may be made now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Pass {
-    /// It may.
-    Go,
-    /// It may ask again then, or when the log has worked for another.
-    At(Moment),
+pub enum Admission {
+    /// It may be made.
+    Allowed,
+    /// It may try again at this moment, or as soon as another call succeeded.
+    RetryAt(Moment),
 }
 
-/// The gate before one log.
+/// A circuit breaker for the calls to one log.
 #[derive(Clone, Debug)]
 pub struct Gate {
     backoff: Backoff,
-    // When the next try may go; `None` while the log works.
-    next: Option<Moment>,
+    // When the next attempt may be made; `None` while the log works.
+    next_attempt: Option<Moment>,
 }
 
 impl Gate {
-    /// Makes an open gate with the pauses between tries while it is closed.
+    /// Creates an open gate. `backoff` gives the pauses between attempts while it
+    /// is closed.
     #[must_use]
     pub const fn new(backoff: Backoff) -> Self {
         Self {
             backoff,
-            next: None,
+            next_attempt: None,
         }
     }
 
-    /// Returns whether the log works, as far as is known.
+    /// Returns whether the log works, as far as known.
     #[must_use]
     pub const fn is_open(&self) -> bool {
-        self.next.is_none()
+        self.next_attempt.is_none()
     }
 
-    /// Asks to make a call now. While the log fails, the one that may go
-    /// holds the others back for a pause.
-    pub fn pass(&mut self, now: Moment, random: &mut impl Rng) -> Pass {
-        match self.next {
-            None => Pass::Go,
-            Some(next) if next > now => Pass::At(next),
+    /// Requests permission to make a call now. While the log fails, each permitted
+    /// call holds the others back for a pause.
+    pub fn try_pass(&mut self, now: Moment, random: &mut impl Rng) -> Admission {
+        match self.next_attempt {
+            None => Admission::Allowed,
+            Some(next) if next > now => Admission::RetryAt(next),
             Some(_) => {
-                self.next = Some(now + self.backoff.pause(random));
-                Pass::Go
+                self.next_attempt = Some(now + self.backoff.next_pause(random));
+                Admission::Allowed
             }
         }
     }
 
-    /// A call worked. Returns whether that opened the gate.
-    pub const fn worked(&mut self) -> bool {
+    /// Records a successful call. Returns whether this opened the gate.
+    pub const fn record_success(&mut self) -> bool {
         self.backoff.reset();
-        self.next.take().is_some()
+        self.next_attempt.take().is_some()
     }
 
-    /// A call failed: refused for load, not sent, or not answered.
-    pub fn failed(&mut self, now: Moment, random: &mut impl Rng) {
-        // The failure of a call that the gate let go while closed has its
-        // pause already.
-        if self.next.is_none() {
-            self.next = Some(now + self.backoff.pause(random));
+    /// Records a failed call: rejected because of load, not sent, or without a
+    /// response.
+    pub fn record_failure(&mut self, now: Moment, random: &mut impl Rng) {
+        // If the gate was closed already, the pause was set when the call was
+        // permitted.
+        if self.next_attempt.is_none() {
+            self.next_attempt = Some(now + self.backoff.next_pause(random));
         }
     }
 }
--- a/crates/client/src/log/gate/tests.rs
+++ b/crates/client/src/log/gate/tests.rs
@@ -3,18 +3,18 @@
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 
-use super::{Gate, Pass};
+use super::{Admission, Gate};
 use crate::log::backoff::Backoff;
 
 const INSTANCES: u64 = 320;
 const OUTAGE: u32 = 120;
 const STEP: Duration = Duration::from_millis(10);
 
-// The log is down for two minutes under 320 instances that each have many
-// records waiting. If all of them tried alike, the log would meet thousands of
-// tries a second when it comes back, go over its rate and look down again.
+// The log is down for two minutes while 320 instances each have many waiting
+// records. If every record were retried, the log would get thousands of requests
+// per second when it recovers, exceed its rate limit and appear down again.
 #[test]
-fn an_outage_costs_the_log_few_tries_and_ends_soon() {
+fn an_outage_causes_few_attempts_and_a_prompt_recovery() {
     let mut gates: Vec<_> = (0..INSTANCES)
         .map(|seed| {
             let pauses = Backoff::new(Duration::from_millis(50), Duration::from_secs(5));
@@ -27,13 +27,13 @@
     let mut now = Duration::ZERO;
     while now < down_until + Duration::from_secs(10) {
         for (gate, random) in &mut gates {
-            if gate.pass(now, random) != Pass::Go {
+            if gate.try_pass(now, random) != Admission::Allowed {
                 continue;
             }
             if now < down_until {
                 tries[usize::try_from(now.as_secs()).expect("seconds")] += 1;
-                gate.failed(now, random);
-            } else if gate.worked() {
+                gate.record_failure(now, random);
+            } else if gate.record_success() {
                 last_back = now;
             }
         }
@@ -56,19 +56,22 @@
 }
 
 #[test]
-fn while_closed_one_goes_and_the_others_wait() {
+fn a_closed_gate_admits_one_call_per_pause() {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let pause = Duration::from_millis(100);
     let mut gate = Gate::new(Backoff::new(pause, pause));
     let now = Duration::from_secs(1);
-    assert_eq!(gate.pass(now, &mut random), Pass::Go);
-    gate.failed(now, &mut random);
-    assert_eq!(gate.pass(now, &mut random), Pass::At(now + pause));
-    assert_eq!(gate.pass(now + pause, &mut random), Pass::Go);
+    assert_eq!(gate.try_pass(now, &mut random), Admission::Allowed);
+    gate.record_failure(now, &mut random);
     assert_eq!(
-        gate.pass(now + pause, &mut random),
-        Pass::At(now + 2 * pause)
+        gate.try_pass(now, &mut random),
+        Admission::RetryAt(now + pause)
     );
-    assert!(gate.worked());
-    assert_eq!(gate.pass(now + pause, &mut random), Pass::Go);
+    assert_eq!(gate.try_pass(now + pause, &mut random), Admission::Allowed);
+    assert_eq!(
+        gate.try_pass(now + pause, &mut random),
+        Admission::RetryAt(now + 2 * pause)
+    );
+    assert!(gate.record_success());
+    assert_eq!(gate.try_pass(now + pause, &mut random), Admission::Allowed);
 }
--- a/crates/client/src/log/read.rs
+++ b/crates/client/src/log/read.rs
@@ -1,4 +1,4 @@
-//! Pages of a stream as the log answers them, checked before use.
+//! Parses and validates pages of a stream.
 
 #[cfg(test)]
 mod tests;
@@ -15,22 +15,22 @@
 use super::{Page, Record};
 use crate::connect;
 
-/// Why a read has no page.
+/// The reason for which a read failed.
 #[derive(Debug, displaydoc::Display)]
 pub enum Error {
-    /// the stream's name is no part of a path ({0}); use letters and digits
+    /// the name of the stream is not valid in a path ({0}); use letters and digits
     Stream(http::Error),
     /// cannot reach the log: {0}
     Connect(connect::Error),
-    /// the log answered {0}; try again after a pause
+    /// the log responded {0}; try again after a pause
     Status(StatusCode),
-    /// unreadable answer ({0}); try again after a pause
-    Answer(connect::BoxError),
-    /// the log answered offset {found} where {wanted} was due; report it
-    Order {
-        /// The offset that a gapless page has next.
-        wanted: Offset,
-        /// The offset that it had.
+    /// invalid response ({0}); try again after a pause
+    InvalidResponse(connect::BoxError),
+    /// the log returned offset {found} where {expected} was expected; report it
+    UnexpectedOffset {
+        /// The next offset of a page without gaps.
+        expected: Offset,
+        /// The offset in the response.
         found: Offset,
     },
 }
@@ -38,50 +38,50 @@
 impl std::error::Error for Error {}
 
 #[derive(Deserialize)]
-struct Answer {
+struct ReadResponse {
     first: Offset,
     next: Offset,
-    records: Vec<AnswerRecord>,
+    records: Vec<ResponseRecord>,
 }
 
 #[derive(Deserialize)]
-struct AnswerRecord {
+struct ResponseRecord {
     offset: Offset,
     time_ms: u64,
     body: String,
 }
 
-/// Parses a page; offsets must run without a gap from `from` or, if that has
-/// expired, from the first record kept.
+/// Parses a page. Its offsets must be consecutive and start at `from` or, if
+/// that has expired, at the first retained record.
 pub(super) fn parse(body: &[u8], from: Offset) -> Result<Page, Error> {
-    let answer: Answer =
-        serde_json::from_slice(body).map_err(|error| Error::Answer(error.into()))?;
-    let mut wanted = from.max(answer.first);
-    let mut records = Vec::with_capacity(answer.records.len());
-    for record in answer.records {
-        check(wanted, record.offset)?;
-        wanted += 1;
+    let response: ReadResponse =
+        serde_json::from_slice(body).map_err(|error| Error::InvalidResponse(error.into()))?;
+    let mut expected = from.max(response.first);
+    let mut records = Vec::with_capacity(response.records.len());
+    for record in response.records {
+        check_offset(expected, record.offset)?;
+        expected += 1;
         let body = STANDARD
             .decode(record.body)
-            .map_err(|error| Error::Answer(error.into()))?;
+            .map_err(|error| Error::InvalidResponse(error.into()))?;
         records.push(Record {
             offset: record.offset,
             time: Duration::from_millis(record.time_ms),
             body: Bytes::from(body),
         });
     }
-    check(wanted, answer.next)?;
+    check_offset(expected, response.next)?;
     Ok(Page {
-        first: answer.first,
-        next: answer.next,
+        first: response.first,
+        next: response.next,
         records,
     })
 }
 
-fn check(wanted: Offset, found: Offset) -> Result<(), Error> {
-    if wanted == found {
+fn check_offset(expected: Offset, found: Offset) -> Result<(), Error> {
+    if expected == found {
         Ok(())
     } else {
-        Err(Error::Order { wanted, found })
+        Err(Error::UnexpectedOffset { expected, found })
     }
 }
--- a/crates/direct/src/shared.rs
+++ b/crates/direct/src/shared.rs
@@ -17,9 +17,8 @@
 use rand::RngExt;
 use tokio::sync::watch;
 
-use crate::board::Replica;
-use crate::book::EndpointStats;
 use crate::budget::Budget;
+use crate::crashes::CrashTracker;
 use crate::dialect::Dialect;
 use crate::holders::Directory;
 use crate::lease::Lease;
@@ -28,11 +27,12 @@
 use crate::paths::Paths;
 use crate::policy::{Policy, Ramp, Service};
 use crate::ramp::{InstanceCount, Shares};
+use crate::replica::Replica;
 use crate::revoked::RevokedKeys;
 use crate::roster::Registration;
 use crate::settings::Settings;
 use crate::standby::Pollers;
-use crate::suspects::CrashTracker;
+use crate::stats::EndpointStats;
 
 /// The round trip to an endpoint takes 2 ms, and an unreachable endpoint costs a request
 /// this much time. A lost packet is only resent after a second, so a longer timeout gains
@@ -190,8 +190,8 @@
     pub(crate) fn new(settings: Settings, dialect: Dialect) -> Self {
         let connector = Connector::new(connect::Settings {
             connect_timeout: ENDPOINT_CONNECT_TIMEOUT,
-            idle_for: MAX_CONNECTION_IDLE,
-            unconfirmed: Some(UNACKNOWLEDGED_TIMEOUT),
+            idle_timeout: MAX_CONNECTION_IDLE,
+            ack_timeout: Some(UNACKNOWLEDGED_TIMEOUT),
             ..connect::Settings::default()
         });
         Self {
@@ -398,7 +398,7 @@
     /// Records that nothing listens at an endpoint's address, or that its machine doesn't
     /// respond. Its other connections are dead as well, so none of them is reused.
     pub(crate) fn mark_endpoint_down(&self, endpoint: EndpointId, address: SocketAddr) {
-        self.connector.forget(address);
+        self.connector.close_idle(address);
         self.endpoint_stats()
             .record_unreachable(endpoint, boot_time());
     }
@@ -430,7 +430,7 @@
         drop(endpoint_stats);
         let idle = endpoints
             .iter()
-            .map(|one| self.connector.idle(one.endpoint.address));
+            .map(|one| self.connector.idle_count(one.endpoint.address));
         let idle = u32::try_from(idle.sum::<usize>()).unwrap_or(u32::MAX);
         ServiceUsage {
             service: service.name.clone(),
--- a/crates/history/src/check/at_most_once.rs
+++ b/crates/history/src/check/at_most_once.rs
@@ -1,8 +1,9 @@
-//! An unrepeatable request runs at most once, and nothing runs unasked.
+//! Checks that an unrepeatable job runs at most once, and that no request runs
+//! before a caller sent it.
 //!
-//! All calls of one job count together, whichever instance they came in by
-//! and however often the caller resent them. A run that was cut counts too:
-//! the endpoint may have done what was asked before the cut.
+//! All calls of a job count together, whichever instance received them and
+//! however often the caller resent them. A run that was cut off counts too: the
+//! endpoint may have done the work before the cut.
 
 use std::collections::BTreeSet;
 
@@ -15,7 +16,7 @@
 #[cfg(test)]
 mod tests;
 
-/// How the promise of at most one run was broken.
+/// How the guarantee of at most one run was broken.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Breach {
     /// unrepeatable job {job} of {workspace} ran {runs} times
@@ -24,11 +25,11 @@
         workspace: String,
         /// The job.
         job: String,
-        /// How often it ran.
+        /// The number of runs.
         runs: usize,
     },
-    /// run {run} is of call {call}, which nobody had sent
-    Unasked {
+    /// run {run} belongs to call {call}, which had not been sent
+    NotRequested {
         /// The run.
         run: RunId,
         /// The call that it names.
@@ -36,21 +37,22 @@
     },
 }
 
-/// Returns the jobs that ran too often, and the runs nobody asked for.
+/// Returns the unrepeatable jobs that ran more than once, and the runs without a
+/// call before them.
 #[must_use]
 pub fn check(history: &History<'_>) -> Vec<Violation<Breach>> {
-    let mut found = unasked(history);
+    let mut found = runs_not_requested(history);
     let mut seen = BTreeSet::new();
     for call in history.calls().filter(|call| call.sent.unrepeatable) {
         if seen.insert((&call.sent.workspace, &call.sent.job)) {
-            found.extend(repeated(history, call.sent));
+            found.extend(check_job(history, call.sent));
         }
     }
     found
 }
 
-fn repeated(history: &History<'_>, sent: &Sent) -> Option<Violation<Breach>> {
-    let runs = history.runs_for(sent);
+fn check_job(history: &History<'_>, sent: &Sent) -> Option<Violation<Breach>> {
+    let runs = history.runs_attributed_to(sent);
     if runs.len() <= 1 {
         return None;
     }
@@ -59,21 +61,21 @@
         job: sent.job.clone(),
         runs: runs.len(),
     };
-    let calls = history.calls_alike(sent);
+    let calls = history.calls_of_job(sent);
     let calls = calls.iter().map(|call| call.sent_event);
     let starts = runs.iter().map(|run| run.started_event);
     Some(Violation::new(breach, calls.chain(starts)))
 }
 
-fn unasked(history: &History<'_>) -> Vec<Violation<Breach>> {
+fn runs_not_requested(history: &History<'_>) -> Vec<Violation<Breach>> {
     let mut found = Vec::new();
     for run in history.runs() {
         let call = run.started.call;
-        let asked = history
+        let requested = history
             .call(call)
-            .is_some_and(|wanted| wanted.sent_event.order < run.started_event.order);
-        if !asked {
-            let breach = Breach::Unasked {
+            .is_some_and(|sent_call| sent_call.sent_event.order < run.started_event.order);
+        if !requested {
+            let breach = Breach::NotRequested {
                 run: run.started.run,
                 call,
             };
--- a/crates/history/src/check/not_run.rs
+++ b/crates/history/src/check/not_run.rs
@@ -1,10 +1,11 @@
-//! When a caller is told that its request was not run, it was not run.
+//! Checks that a request whose caller was told *not run* never runs.
 //!
-//! The word holds for ever: a run that starts after it was said breaks it as
-//! one before does. For an unrepeatable job the word is about the job, for
-//! the caller will place it anew on the strength of it: no call of the job
-//! that was sent before the word was heard may have run or run later. A call
-//! sent after it is a new wish of the caller's and may run.
+//! The outcome *not run* is final: a run that starts after the answer violates
+//! it as much as one that started before. For an unrepeatable job the outcome
+//! covers the whole job, because the caller may place the job again on the
+//! strength of it: no call of the job that was sent before the answer was
+//! received may have run or may run later. A call sent after the answer is a
+//! new request and may run.
 
 use displaydoc::Display;
 use godwitpost_types::outcome::Outcome;
@@ -16,17 +17,17 @@
 #[cfg(test)]
 mod tests;
 
-/// How the word *not run* was broken.
+/// How the outcome *not run* was contradicted.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Breach {
-    /// call {call} was told that it was not run, and run {run} was before
+    /// call {call} was answered as not run, but run {run} had started before
     RanBefore {
         /// The call.
         call: CallId,
         /// The run.
         run: RunId,
     },
-    /// call {call} was told that it was not run, and run {run} came after
+    /// call {call} was answered as not run, but run {run} started afterwards
     RanAfter {
         /// The call.
         call: CallId,
@@ -35,39 +36,39 @@
     },
 }
 
-/// Returns each run that breaks the word given to a caller.
+/// Returns each run that contradicts the outcome *not run* given to a caller.
 #[must_use]
 pub fn check(history: &History<'_>) -> Vec<Violation<Breach>> {
     history
         .calls()
-        .flat_map(|call| judge(history, call))
+        .flat_map(|call| check_call(history, call))
         .collect()
 }
 
-fn judge(history: &History<'_>, call: &Call<'_>) -> Vec<Violation<Breach>> {
-    let Some((told_event, _)) = call
+fn check_call(history: &History<'_>, call: &Call<'_>) -> Vec<Violation<Breach>> {
+    let Some((got_event, _)) = call
         .got
         .filter(|(_, got)| got.outcome == Some(Outcome::NotRun))
     else {
         return Vec::new();
     };
     history
-        .runs_for(call.sent)
+        .runs_attributed_to(call.sent)
         .into_iter()
-        .filter(|run| wanted_before(history, run, told_event))
-        .map(|run| broken(call, run, told_event))
+        .filter(|run| sent_before(history, run, got_event))
+        .map(|run| violation(call, run, got_event))
         .collect()
 }
 
-fn wanted_before(history: &History<'_>, run: &Execution<'_>, told_event: &Event) -> bool {
+fn sent_before(history: &History<'_>, run: &Execution<'_>, got_event: &Event) -> bool {
     history
         .call(run.started.call)
-        .is_none_or(|wanted| wanted.sent_event.order < told_event.order)
+        .is_none_or(|call| call.sent_event.order < got_event.order)
 }
 
-fn broken(call: &Call<'_>, run: &Execution<'_>, told_event: &Event) -> Violation<Breach> {
+fn violation(call: &Call<'_>, run: &Execution<'_>, got_event: &Event) -> Violation<Breach> {
     let (call_id, run_id) = (call.sent.call, run.started.run);
-    let breach = if run.started_event.order < told_event.order {
+    let breach = if run.started_event.order < got_event.order {
         Breach::RanBefore {
             call: call_id,
             run: run_id,
@@ -78,5 +79,5 @@
             run: run_id,
         }
     };
-    Violation::new(breach, [call.sent_event, told_event, run.started_event])
+    Violation::new(breach, [call.sent_event, got_event, run.started_event])
 }
--- a/crates/history/src/check/not_run/tests.rs
+++ b/crates/history/src/check/not_run/tests.rs
@@ -12,49 +12,63 @@
         .collect()
 }
 
-/// A shop is told that its print order was not run though it had been.
+/// A caller is told *not run* although its unrepeatable request ran before.
 #[test]
-fn a_run_before_the_word_is_found() {
-    let script = Script::new().order(1, "print", "a").run(5, 1, "e1");
-    let script = script.told(1, Outcome::NotRun);
+fn a_run_before_a_not_run_answer_is_found() {
+    let script = Script::new()
+        .send_unrepeatable(1, "print", "a")
+        .start_run(5, 1, "e1");
+    let script = script.answered_by_router(1, Outcome::NotRun);
     assert_eq!(breaches(&script), [Breach::RanBefore { call: 1, run: 5 }]);
 }
 
-/// A caller's time runs out in a queue and it is told *not run*; the entry is
-/// still queued and runs a moment later.
+/// A request times out in a queue and its caller is told *not run*, but the request
+/// stays queued and runs later.
 #[test]
-fn a_run_after_the_word_is_found() {
-    let script = Script::new().draft(1, "a").told(1, Outcome::NotRun);
-    let script = script.run(5, 1, "e1");
+fn a_run_after_a_not_run_answer_is_found() {
+    let script = Script::new()
+        .send_repeatable(1, "a")
+        .answered_by_router(1, Outcome::NotRun);
+    let script = script.start_run(5, 1, "e1");
     assert_eq!(breaches(&script), [Breach::RanAfter { call: 1, run: 5 }]);
 }
 
-/// A shop resends its order through another instance, which tells it *not
-/// run*; the first call was paused with its claim held, wakes and runs.
+/// A caller resends an unrepeatable request through another instance, which answers
+/// *not run*. The first call, paused while it holds the claim, resumes and runs.
 #[test]
 fn a_run_of_an_earlier_call_of_the_job_is_found() {
-    let script = Script::new().order(1, "print", "a").order(2, "print", "b");
-    let script = script.told(2, Outcome::NotRun).run(5, 1, "e1");
+    let script = Script::new()
+        .send_unrepeatable(1, "print", "a")
+        .send_unrepeatable(2, "print", "b");
+    let script = script
+        .answered_by_router(2, Outcome::NotRun)
+        .start_run(5, 1, "e1");
     assert_eq!(breaches(&script), [Breach::RanAfter { call: 2, run: 5 }]);
 }
 
-/// Near miss: the caller is told *not run* and places the order again.
+/// Allowed case: the caller is told *not run* and places the request again.
 #[test]
 fn a_run_of_a_later_call_is_allowed() {
     let script = Script::new()
-        .order(1, "print", "a")
-        .told(1, Outcome::NotRun);
-    let script = script.order(2, "print", "a").run(5, 2, "e1");
+        .send_unrepeatable(1, "print", "a")
+        .answered_by_router(1, Outcome::NotRun);
+    let script = script
+        .send_unrepeatable(2, "print", "a")
+        .start_run(5, 2, "e1");
     assert_eq!(breaches(&script), []);
 }
 
-/// Near miss: another workspace has an order under the same key.
+/// Allowed case: another workspace uses the same job name.
 #[test]
 fn the_same_job_name_elsewhere_is_allowed() {
-    let mut script = Script::new().order(1, "print", "a").order(2, "print", "a");
+    let mut script = Script::new()
+        .send_unrepeatable(1, "print", "a")
+        .send_unrepeatable(2, "print", "a");
     if let crate::event::What::CallerSent(sent) = &mut script.events[1].what {
         sent.workspace = "kushiro".into();
     }
-    let script = script.run(5, 1, "e1").told(2, Outcome::NotRun);
+    let script = script
+        .start_run(5, 1, "e1")
+        .answered_by_router(2, Outcome::NotRun);
     assert_eq!(breaches(&script), []);
 }
--- a/crates/history/src/script.rs
+++ b/crates/history/src/script.rs
@@ -1,4 +1,4 @@
-//! Histories written out by tests, one step a line.
+//! Builds histories for tests, one event per step.
 
 use std::time::Duration;
 
@@ -8,8 +8,10 @@
     Accepted, CallId, Dispatch, End, Event, Got, InForce, Run, RunEnd, RunId, Sent, What,
 };
 
-/// A history in the making; every endpoint serves `drafting`, every call is
-/// from `otaru`, an answer to call 7 is `answer-7`.
+/// A builder of histories.
+///
+/// Every endpoint serves `drafting`, every call is from workspace `otaru`, and the
+/// digest of the answer to call 7 is `answer-7`.
 #[derive(Default)]
 pub(crate) struct Script {
     pub(crate) events: Vec<Event>,
@@ -26,7 +28,7 @@
         self
     }
 
-    pub(crate) fn then(mut self, what: What) -> Self {
+    pub(crate) fn record(mut self, what: What) -> Self {
         let order = self.events.len() as u64;
         self.events.push(Event {
             order,
@@ -36,30 +38,36 @@
         self
     }
 
-    /// A repeatable call is sent.
-    pub(crate) fn draft(self, call: CallId, instance: &str) -> Self {
-        self.then(sent(call, &format!("draft-{call}"), instance, false))
+    /// A caller sends a repeatable request.
+    pub(crate) fn send_repeatable(self, call: CallId, instance: &str) -> Self {
+        self.record(sent(call, &format!("draft-{call}"), instance, false))
     }
 
-    /// An unrepeatable call is sent.
-    pub(crate) fn order(self, call: CallId, job: &str, instance: &str) -> Self {
-        self.then(sent(call, job, instance, true))
+    /// A caller sends an unrepeatable request.
+    pub(crate) fn send_unrepeatable(self, call: CallId, job: &str, instance: &str) -> Self {
+        self.record(sent(call, job, instance, true))
     }
 
     pub(crate) fn dispatch(self, call: CallId, instance: &str, version: u64) -> Self {
-        self.then(What::Dispatched(Dispatch {
+        self.record(What::Dispatched(Dispatch {
             call,
             instance: instance.into(),
             version,
         }))
     }
 
-    pub(crate) fn run(self, run: RunId, call: CallId, endpoint: &str) -> Self {
-        self.weighed(run, call, endpoint, 1)
+    pub(crate) fn start_run(self, run: RunId, call: CallId, endpoint: &str) -> Self {
+        self.start_run_with_work(run, call, endpoint, 1)
     }
 
-    pub(crate) fn weighed(self, run: RunId, call: CallId, endpoint: &str, work: u64) -> Self {
-        self.then(What::RunStarted(Run {
+    pub(crate) fn start_run_with_work(
+        self,
+        run: RunId,
+        call: CallId,
+        endpoint: &str,
+        work: u64,
+    ) -> Self {
+        self.record(What::RunStarted(Run {
             run,
             call,
             endpoint: endpoint.into(),
@@ -69,22 +77,22 @@
     }
 
     /// A run ends with the whole answer to `call`.
-    pub(crate) fn ran(self, run: RunId, call: CallId) -> Self {
-        self.ended(run, End::Whole, &format!("answer-{call}"))
+    pub(crate) fn run_completed(self, run: RunId, call: CallId) -> Self {
+        self.run_ended(run, End::Whole, &format!("answer-{call}"))
     }
 
-    pub(crate) fn ended(self, run: RunId, end: End, answer: &str) -> Self {
+    pub(crate) fn run_ended(self, run: RunId, end: End, answer: &str) -> Self {
         let answer = Some(answer.to_owned());
-        self.then(What::RunEnded(RunEnd { run, end, answer }))
+        self.record(What::RunEnded(RunEnd { run, end, answer }))
     }
 
-    /// A caller got the whole answer to its call.
-    pub(crate) fn answered(self, call: CallId) -> Self {
+    /// A caller receives the whole answer to its call.
+    pub(crate) fn got_whole_answer(self, call: CallId) -> Self {
         self.got(call, Outcome::Ran, End::Whole, &format!("answer-{call}"))
     }
 
     pub(crate) fn got(self, call: CallId, outcome: Outcome, end: End, answer: &str) -> Self {
-        self.then(What::CallerGot(Got {
+        self.record(What::CallerGot(Got {
             call,
             outcome: Some(outcome),
             status: Some(200),
@@ -93,9 +101,9 @@
         }))
     }
 
-    /// A router told a caller its request's fate without an endpoint's answer.
-    pub(crate) fn told(self, call: CallId, outcome: Outcome) -> Self {
-        self.then(What::CallerGot(Got {
+    /// A router answers a caller with an outcome, without an endpoint's answer.
+    pub(crate) fn answered_by_router(self, call: CallId, outcome: Outcome) -> Self {
+        self.record(What::CallerGot(Got {
             call,
             outcome: Some(outcome),
             status: Some(503),
@@ -104,62 +112,62 @@
         }))
     }
 
-    pub(crate) fn cut(self, call: CallId) -> Self {
+    pub(crate) fn got_cut_answer(self, call: CallId) -> Self {
         self.got(call, Outcome::Ran, End::Cut, "part")
     }
 
-    pub(crate) fn up(self, instance: &str) -> Self {
+    pub(crate) fn start_instance(self, instance: &str) -> Self {
         let instance = instance.to_owned();
-        self.then(What::InstanceStarted { instance })
+        self.record(What::InstanceStarted { instance })
     }
 
-    pub(crate) fn stop(self, instance: &str) -> Self {
+    pub(crate) fn begin_stop(self, instance: &str) -> Self {
         let instance = instance.to_owned();
-        self.then(What::StopBegun { instance })
+        self.record(What::StopBegun { instance })
     }
 
-    pub(crate) fn stopped(self, instance: &str) -> Self {
+    pub(crate) fn end_stop(self, instance: &str) -> Self {
         let instance = instance.to_owned();
-        self.then(What::StopEnded { instance })
+        self.record(What::StopEnded { instance })
     }
 
-    pub(crate) fn kill(self, instance: &str) -> Self {
+    pub(crate) fn kill_instance(self, instance: &str) -> Self {
         let instance = instance.to_owned();
-        self.then(What::InstanceKilled { instance })
+        self.record(What::InstanceKilled { instance })
     }
 
-    pub(crate) fn join(self, endpoint: &str, incarnation: u64) -> Self {
-        self.then(What::EndpointJoined {
+    pub(crate) fn join_endpoint(self, endpoint: &str, incarnation: u64) -> Self {
+        self.record(What::EndpointJoined {
             endpoint: endpoint.into(),
             incarnation,
             service: "drafting".into(),
         })
     }
 
-    pub(crate) fn leave(self, endpoint: &str) -> Self {
-        self.then(What::EndpointLeaving {
+    pub(crate) fn announce_leaving(self, endpoint: &str) -> Self {
+        self.record(What::EndpointLeaving {
             endpoint: endpoint.into(),
             incarnation: 1,
         })
     }
 
-    pub(crate) fn lose(self, endpoint: &str) -> Self {
-        self.then(What::EndpointLost {
+    pub(crate) fn lose_endpoint(self, endpoint: &str) -> Self {
+        self.record(What::EndpointLost {
             endpoint: endpoint.into(),
             incarnation: 1,
         })
     }
 
-    pub(crate) fn accept(self, version: u64, offset: u64) -> Self {
-        self.then(What::BundleAccepted(Accepted {
+    pub(crate) fn accept_bundle(self, version: u64, offset: u64) -> Self {
+        self.record(What::BundleAccepted(Accepted {
             version,
             root: format!("root-{version}"),
             offset,
         }))
     }
 
-    pub(crate) fn hold(self, instance: &str, version: u64) -> Self {
-        self.then(What::BundleInForce(InForce {
+    pub(crate) fn bundle_in_force(self, instance: &str, version: u64) -> Self {
+        self.record(What::BundleInForce(InForce {
             instance: instance.into(),
             version,
             root: format!("root-{version}"),
--- a/crates/process/src/metrics.rs
+++ b/crates/process/src/metrics.rs
@@ -1,12 +1,12 @@
-//! Metrics by OpenTelemetry, shown as Prometheus text to operators.
+//! OpenTelemetry metrics, exported as Prometheus text.
 //!
-//! Each label set of a histogram costs memory, and the letter's 8,900
-//! workspaces in several classes would cost tens of megabytes. So the first
-//! [`LABELLED`] workspaces that send requests get a label of their own and
+//! Each label set of a histogram costs memory, and 8,900 workspaces in several
+//! classes would take tens of megabytes. Therefore the first
+//! [`MAX_LABELLED_WORKSPACES`] workspaces that send requests get their own label, and
 //! the others share one.
 //!
-//! A request's label set is resolved once, to instruments bound to it: else
-//! each record would allocate the set, hash its strings and look it up.
+//! The label set of a request is resolved once to bound instruments. Otherwise each
+//! measurement would allocate the set, hash its strings and look it up.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicI64, Ordering};
@@ -23,21 +23,21 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Registry, TextEncoder};
 
-/// Workspaces with a label of their own. A histogram of 14 buckets takes
-/// about 200 bytes for each of them, class and outcome; with 3 classes and 3
-/// outcomes 64 workspaces take about 115 KB.
-pub const LABELLED: usize = 64;
+/// Maximum number of workspaces with their own label. A histogram of 14 buckets takes
+/// about 200 bytes per workspace, class and outcome. With 3 classes and 3 outcomes,
+/// 64 workspaces take about 115 KB.
+pub const MAX_LABELLED_WORKSPACES: usize = 64;
 
 /// The label of all other workspaces.
-const OTHERS: &str = "(others)";
+const OTHER_WORKSPACES: &str = "(others)";
 
-/// Upper ends of the latency buckets in seconds. The letter asks for the
-/// first token within 0.8 s, which is an end of its own.
-const SECONDS: [f64; 14] = [
+/// Upper bounds of the latency buckets in seconds. 0.8 s is the objective for the
+/// first token, so it has its own bound.
+const BUCKET_SECONDS: [f64; 14] = [
     0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 10.0, 30.0, 120.0,
 ];
 
-/// Where control bytes go.
+/// The kind of control traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Traffic {
     /// Between instances.
@@ -52,19 +52,19 @@
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    // Dropping it would stop the instruments.
+    // Retained because dropping it would stop the instruments.
     provider: SdkMeterProvider,
     first_byte: Histogram<f64>,
-    whole: Histogram<f64>,
+    response_end: Histogram<f64>,
     requests: Counter<u64>,
-    strangers: Counter<u64>,
+    unauthenticated: Counter<u64>,
     stripped: Counter<u64>,
     control: Counter<u64>,
     claims: Counter<u64>,
     in_flight: Arc<AtomicI64>,
     version: Gauge<u64>,
     labelled: Mutex<BTreeMap<String, Classes>>,
-    nobody: Labels,
+    unknown_workspace: Labels,
 }
 
 impl Metrics {
@@ -93,30 +93,30 @@
                 .f64_histogram(name)
                 .with_unit("s")
                 .with_description(text)
-                .with_boundaries(SECONDS.to_vec())
+                .with_boundaries(BUCKET_SECONDS.to_vec())
                 .build()
         };
         let counter = |name: &'static str, text: &'static str| {
             meter.u64_counter(name).with_description(text).build()
         };
         let first_byte = seconds("godwitpost.first_byte", "Time to the head of the answer");
-        let whole = seconds("godwitpost.whole", "Time to the end of the answer");
+        let response_end = seconds("godwitpost.whole", "Time to the end of the answer");
         let requests = counter("godwitpost.requests", "Requests by outcome and status");
         let in_flight = Arc::new(AtomicI64::new(0));
         let observed = Arc::clone(&in_flight);
-        // Read when somebody asks for metrics; a request only counts.
+        // Read when metrics are exported; a request only updates the counter.
         meter
             .i64_observable_up_down_counter("godwitpost.in_flight")
             .with_description("Requests in flight")
             .with_callback(move |to| to.observe(observed.load(Ordering::Relaxed), &[]))
             .build();
         Self {
-            nobody: Labels::bind("(none)", "(none)", &first_byte, &whole),
+            unknown_workspace: Labels::bind("(none)", "(none)", &first_byte, &response_end),
             first_byte,
-            whole,
+            response_end,
             requests,
             in_flight,
-            strangers: counter(
+            unauthenticated: counter(
                 "godwitpost.strangers",
                 "Messages on the peers' port without a valid seal",
             ),
@@ -139,26 +139,32 @@
         }
     }
 
-    /// Returns the meter for instruments beside those of requests.
+    /// Returns the meter for additional instruments.
     #[must_use]
     pub fn meter(&self) -> Meter {
         self.provider.meter("godwitpost")
     }
 
-    /// Counts a request whose answer's head is known.
-    pub fn head(&self, labels: &Labels, outcome: Outcome, status: u16, took: Duration) {
+    /// Records a request whose response head is known.
+    pub fn record_response_head(
+        &self,
+        labels: &Labels,
+        outcome: Outcome,
+        status: u16,
+        took: Duration,
+    ) {
         labels.0.first_byte.record(took.as_secs_f64());
         labels.count(&self.requests, outcome, status);
     }
 
-    /// Counts a request whose answer ended.
-    pub fn end(labels: &Labels, took: Duration) {
-        labels.0.whole.record(took.as_secs_f64());
+    /// Records a request whose response has ended.
+    pub fn record_response_end(labels: &Labels, took: Duration) {
+        labels.0.response_end.record(took.as_secs_f64());
     }
 
-    /// Counts a message of a stranger.
-    pub fn stranger(&self) {
-        self.strangers.add(1, &[]);
+    /// Counts a message without a valid seal on the peer port.
+    pub fn count_unauthenticated(&self) {
+        self.unauthenticated.add(1, &[]);
     }
 
     /// Counts internal headers that a caller sent.
@@ -181,7 +187,7 @@
         self.claims.add(bytes, &[]);
     }
 
-    /// Moves the number of requests in flight.
+    /// Adds to the number of requests in flight.
     pub fn in_flight(&self, by: i64) {
         self.in_flight.fetch_add(by, Ordering::Relaxed);
     }
@@ -195,24 +201,24 @@
     #[must_use]
     pub fn labels(&self, workspace: &str, class: &str) -> Labels {
         let mut labelled = self.labelled.lock().unwrap_or_else(PoisonError::into_inner);
-        // The label of the others is one beside the workspaces' own.
-        let most = LABELLED + usize::from(labelled.contains_key(OTHERS));
-        let own = labelled.contains_key(workspace) || labelled.len() < most;
-        let workspace = if own { workspace } else { OTHERS };
+        // The shared label does not count towards the limit.
+        let limit = MAX_LABELLED_WORKSPACES + usize::from(labelled.contains_key(OTHER_WORKSPACES));
+        let own = labelled.contains_key(workspace) || labelled.len() < limit;
+        let workspace = if own { workspace } else { OTHER_WORKSPACES };
         let known = labelled.get(workspace).and_then(|known| known.get(class));
         if let Some(labels) = known {
             return labels.clone();
         }
         let classes = labelled.entry(workspace.to_owned()).or_default();
-        let bind = || Labels::bind(workspace, class, &self.first_byte, &self.whole);
+        let bind = || Labels::bind(workspace, class, &self.first_byte, &self.response_end);
         let labels = classes.entry(class.to_owned()).or_insert_with(bind);
         labels.clone()
     }
 
     /// Returns the labels of a request that named no known workspace.
     #[must_use]
-    pub fn nobody(&self) -> Labels {
-        self.nobody.clone()
+    pub fn unknown_workspace(&self) -> Labels {
+        self.unknown_workspace.clone()
     }
 
     /// Returns all metrics as Prometheus text.
@@ -235,7 +241,7 @@
 struct Bound {
     set: Vec<KeyValue>,
     first_byte: BoundHistogram<f64>,
-    whole: BoundHistogram<f64>,
+    response_end: BoundHistogram<f64>,
     // By outcome and status; both have few values.
     requests: Mutex<BTreeMap<(Outcome, u16), BoundCounter<u64>>>,
 }
@@ -245,7 +251,7 @@
         workspace: &str,
         class: &str,
         first_byte: &Histogram<f64>,
-        whole: &Histogram<f64>,
+        response_end: &Histogram<f64>,
     ) -> Self {
         let set = vec![
             KeyValue::new("workspace", workspace.to_owned()),
@@ -253,7 +259,7 @@
         ];
         Self(Arc::new(Bound {
             first_byte: first_byte.bind(&set),
-            whole: whole.bind(&set),
+            response_end: response_end.bind(&set),
             requests: Mutex::default(),
             set,
         }))
--- a/crates/process/src/metrics/tests.rs
+++ b/crates/process/src/metrics/tests.rs
@@ -2,20 +2,20 @@
 
 use godwitpost_types::outcome::Outcome;
 
-use super::{LABELLED, Metrics};
+use super::{MAX_LABELLED_WORKSPACES, Metrics};
 
-// With 8,900 workspaces a label set each would outgrow the memory allowed.
+// With 8,900 workspaces, one label set each would exceed the memory limit.
 #[test]
 fn workspaces_beyond_the_limit_share_a_label() {
     let metrics = Metrics::new("otaru-1");
-    for n in 0..LABELLED + 5 {
+    for n in 0..MAX_LABELLED_WORKSPACES + 5 {
         let labels = metrics.labels(&format!("w{n}"), "draft");
-        metrics.head(&labels, Outcome::Ran, 200, Duration::from_millis(3));
+        metrics.record_response_head(&labels, Outcome::Ran, 200, Duration::from_millis(3));
     }
     let text = metrics.text();
-    let last = format!("workspace=\"w{}\"", LABELLED - 1);
+    let last = format!("workspace=\"w{}\"", MAX_LABELLED_WORKSPACES - 1);
     assert!(text.contains(&last), "{text}");
-    assert!(!text.contains(&format!("workspace=\"w{LABELLED}\"")));
+    assert!(!text.contains(&format!("workspace=\"w{MAX_LABELLED_WORKSPACES}\"")));
     let others = text
         .lines()
         .find(|line| line.starts_with("godwitpost_requests_total") && line.contains("(others)"));
@@ -26,7 +26,7 @@
 fn latencies_are_histograms_of_workspace_and_class() {
     let metrics = Metrics::new("otaru-1");
     let labels = metrics.labels("otaru", "order");
-    metrics.head(&labels, Outcome::Ran, 200, Duration::from_millis(700));
+    metrics.record_response_head(&labels, Outcome::Ran, 200, Duration::from_millis(700));
     let text = metrics.text();
     let bucket = |le: &str| {
         let line = text.lines().find(|line| {
@@ -42,10 +42,10 @@
     assert!(bucket("0.8"));
 }
 
-// The number is read when metrics are asked for, so an instrument that lost
-// its reader would show nothing, and operators would see an idle router.
+// The value is read when metrics are exported. An instrument without its reader would
+// report nothing, and the router would look idle.
 #[test]
-fn requests_in_flight_are_shown_as_they_are_now() {
+fn requests_in_flight_show_the_current_value() {
     let metrics = Metrics::new("otaru-1");
     let shown = || {
         let text = metrics.text();
--- a/crates/router/src/serve/peers.rs
+++ b/crates/router/src/serve/peers.rs
@@ -68,7 +68,7 @@
             Ok(())
         }
         Err(error) => {
-            shared.metrics.stranger();
+            shared.metrics.count_unauthenticated();
             log::warn!(path:% = parts.uri.path(), error:% = error; "peer message refused");
             Err(empty_response(StatusCode::UNAUTHORIZED))
         }
@@ -79,7 +79,7 @@
     let version = parts.headers.get(header::BUNDLE);
     let version = version.and_then(|value| value.to_str().ok()?.parse().ok());
     if let Some(version) = version {
-        crate::control::report_peer_version(shared, id::of(sender), version);
+        crate::control::report_peer_version(shared, id::from_name(sender), version);
     }
 }
 
@@ -120,7 +120,7 @@
     }
     let now = shared.now();
     let summary = shared.owner.with(|owner| owner.summary(now, pool));
-    if let Ok(load) = HeaderValue::from_str(&dispatch::load_text(&summary)) {
+    if let Ok(load) = HeaderValue::from_str(&dispatch::format_load(&summary)) {
         headers.insert(header::LOAD, load);
     }
     // A stream that this instance relays is in flight until it ends.
--- a/crates/router/tests/router/engine_orders.rs
+++ b/crates/router/tests/router/engine_orders.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use godwitpost_router::Running;
-use godwitpost_standin::engine::{self, Wanted};
+use godwitpost_standin::engine::{self, OrderAction};
 use godwitpost_state::lease::{LEASE_DURATION, Operation, Record, STREAM_NAME, Table};
 use godwitpost_types::id::{self, Offset};
 use http::Request;
@@ -27,7 +27,7 @@
         let decoded = Record::decode(&record.body);
         table.apply(record.offset, record.time, decoded.as_ref());
     }
-    let current = table.current(id::of("drafting"))?;
+    let current = table.current(id::from_name("drafting"))?;
     (table.log_time() < current.expires_at).then_some((current.holder, current.fence))
 }
 
@@ -59,7 +59,7 @@
 
 fn remove_router(fleet: &mut Fleet, holder: u64) -> Running {
     let names = ["router-0", "router-1", "router-2"];
-    let index = names.iter().position(|name| id::of(name) == holder);
+    let index = names.iter().position(|name| id::from_name(name) == holder);
     fleet.routers.remove(index.unwrap())
 }
 
@@ -184,7 +184,7 @@
     })
     .await;
     let last = fleet.engines[0].orders().pop().unwrap();
-    let wanted = Wanted::Load {
+    let wanted = OrderAction::Load {
         model: "writer".to_owned(),
         weights: "7".to_owned(),
     };
--- a/crates/standin/src/engine/kv.rs
+++ b/crates/standin/src/engine/kv.rs
@@ -11,7 +11,7 @@
 use crate::faults::lock;
 use crate::serve::Body;
 
-/// A chat's context, as an export gives and an import takes it.
+/// A chat's context, as exported and imported.
 #[derive(Deserialize, Serialize)]
 struct Context {
     prefix: String,
@@ -66,7 +66,7 @@
     pub(super) fn store(&self, prefix: &str, tokens: u32) {
         let gaps = self.faults.get().event_gaps;
         let now = self.clock.now();
-        let published = || !self.faults.hits(gaps);
+        let published = || !self.faults.occurs(gaps);
         lock(&self.state)
             .cache
             .store(prefix, tokens, now, published);
--- a/crates/standin/tests/engine.rs
+++ b/crates/standin/tests/engine.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use godwitpost_client::connect::{Connector, Error, Received, Settings as Pool};
+use godwitpost_client::connect::{Connector, Error, ResponseBody, Settings as Pool};
 use godwitpost_standin::digest;
 use godwitpost_standin::engine::{self, End, Faults, Running, Settings};
 use http::{Method, Request, Response, StatusCode};
@@ -13,9 +13,9 @@
 
 const TIMEOUT: Duration = Duration::from_secs(20);
 const STREAM: &str = r#"{"model":"route-writer","stream":true,"max_tokens":5}"#;
-const WHOLE: &str = r#"{"model":"route-writer","max_tokens":5}"#;
+const UNSTREAMED: &str = r#"{"model":"route-writer","max_tokens":5}"#;
 
-fn quick() -> Settings {
+fn fast_settings() -> Settings {
     Settings {
         models: ["route-writer@7".to_owned()].into(),
         decode: 5_000.0,
@@ -35,7 +35,7 @@
     path: &str,
     headers: &[(&str, &str)],
     body: &str,
-) -> Result<Response<Received>, Error> {
+) -> Result<Response<ResponseBody>, Error> {
     let body = Full::new(Bytes::from(body.to_owned()))
         .map_err(|never| match never {})
         .boxed_unsync();
@@ -48,19 +48,19 @@
     connector.send(address, request, TIMEOUT).await
 }
 
-async fn chat(running: &Running, id: &str, body: &str) -> Result<Response<Received>, Error> {
+async fn chat(running: &Running, id: &str, body: &str) -> Result<Response<ResponseBody>, Error> {
     let headers = [("x-request-id", id), ("x-prefix-key", "chat-1")];
     let path = "/v1/chat/completions";
     call(running.address(), Method::POST, path, &headers, body).await
 }
 
-async fn text(response: Response<Received>) -> Result<String, hyper::Error> {
+async fn text(response: Response<ResponseBody>) -> Result<String, hyper::Error> {
     let bytes = response.into_body().collect().await?.to_bytes();
     Ok(String::from_utf8(bytes.to_vec()).expect("text"))
 }
 
-async fn parsed(response: Response<Received>) -> Value {
-    let text = text(response).await.expect("a whole body");
+async fn parsed(response: Response<ResponseBody>) -> Value {
+    let text = text(response).await.expect("a complete body");
     serde_json::from_str(&text).expect("JSON")
 }
 
@@ -74,38 +74,38 @@
 }
 
 fn expected(body: &str, from: u32) -> String {
-    let digest = digest::of(body.as_bytes());
+    let digest = digest::body_digest(body.as_bytes());
     (from..5).map(|n| digest::word(&digest, n)).collect()
 }
 
 #[tokio::test]
-async fn a_stream_has_every_word_of_its_own_request() {
-    let running = start(quick(), Faults::default()).await;
+async fn stream_has_every_word_of_its_own_request() {
+    let running = start(fast_settings(), Faults::default()).await;
     let response = chat(&running, "r1", STREAM).await.expect("an answer");
     assert_eq!(response.headers()["x-request-id"], "r1");
-    let stream = text(response).await.expect("a whole stream");
+    let stream = text(response).await.expect("a complete stream");
     assert_eq!(words(&stream), expected(STREAM, 0));
     assert!(stream.ends_with("data: [DONE]\n\n"));
     assert_eq!(running.runs()[0].end, Some(End::Finished));
 }
 
 #[tokio::test]
-async fn a_whole_answer_counts_what_the_cache_took_off() {
-    let running = start(quick(), Faults::default()).await;
-    let first = parsed(chat(&running, "r1", WHOLE).await.expect("an answer")).await;
-    let second = parsed(chat(&running, "r2", WHOLE).await.expect("an answer")).await;
+async fn unstreamed_answer_reports_cached_tokens() {
+    let running = start(fast_settings(), Faults::default()).await;
+    let first = parsed(chat(&running, "r1", UNSTREAMED).await.expect("an answer")).await;
+    let second = parsed(chat(&running, "r2", UNSTREAMED).await.expect("an answer")).await;
     let cached = |answer: &Value| answer["usage"]["prompt_tokens_details"]["cached_tokens"].clone();
     assert_eq!(cached(&first), 0);
     assert_eq!(cached(&second), second["usage"]["prompt_tokens"]);
     let content = &second["choices"][0]["message"]["content"];
-    assert_eq!(*content, expected(WHOLE, 0));
+    assert_eq!(*content, expected(UNSTREAMED, 0));
 }
 
 #[tokio::test]
 async fn a_stream_resumes_after_the_last_event_seen() {
-    let running = start(quick(), Faults::default()).await;
+    let running = start(fast_settings(), Faults::default()).await;
     let response = chat(&running, "r1", STREAM).await.expect("an answer");
-    text(response).await.expect("a whole stream");
+    text(response).await.expect("a complete stream");
     let headers = [("x-request-id", "r1"), ("last-event-id", "3")];
     let path = "/v1/chat/completions";
     let rest = call(running.address(), Method::POST, path, &headers, "").await;
@@ -115,12 +115,12 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_goes_away_cancels_its_request() {
+async fn disconnected_caller_cancels_its_request() {
     let running = start(
         Settings {
             decode: 0.01,
             hold: Duration::ZERO,
-            ..quick()
+            ..fast_settings()
         },
         Faults::default(),
     )
@@ -138,7 +138,7 @@
     let running = start(
         Settings {
             decode: 0.01,
-            ..quick()
+            ..fast_settings()
         },
         Faults::default(),
     )
@@ -147,14 +147,14 @@
     let path = "/v1/requests/r1";
     let deleted = call(running.address(), Method::DELETE, path, &[], "").await;
     assert_eq!(deleted.expect("an answer").status(), StatusCode::NO_CONTENT);
-    text(response).await.expect_err("a stream broken off");
+    text(response).await.expect_err("a truncated stream");
     assert_eq!(running.runs()[0].end, Some(End::Cancelled));
 }
 
 #[tokio::test]
-async fn a_marked_request_takes_its_engine_down_into_a_new_life() {
+async fn crash_marker_restarts_the_engine_as_a_new_incarnation() {
     let running = start(
-        quick(),
+        fast_settings(),
         Faults {
             crash_marker: Some("poison".to_owned()),
             down_for: Duration::from_millis(20),
@@ -168,34 +168,34 @@
     assert_eq!(running.runs()[0].end, Some(End::Crashed));
     assert_eq!(running.incarnation(), 2);
     let back = loop {
-        match chat(&running, "r2", WHOLE).await {
+        match chat(&running, "r2", UNSTREAMED).await {
             Ok(response) => break parsed(response).await,
             Err(_) => tokio::time::sleep(Duration::from_millis(5)).await,
         }
     };
-    assert_eq!(back["digest"], digest::of(WHOLE.as_bytes()));
+    assert_eq!(back["digest"], digest::body_digest(UNSTREAMED.as_bytes()));
 }
 
 #[tokio::test]
 async fn faults_truncate_and_cross_answers() {
-    let running = start(quick(), Faults::default()).await;
+    let running = start(fast_settings(), Faults::default()).await;
     text(chat(&running, "r1", STREAM).await.expect("an answer"))
         .await
-        .expect("a whole stream");
+        .expect("a complete stream");
     running.faults().change(|faults| faults.cross = 1.0);
-    let crossed = chat(&running, "r2", WHOLE).await.expect("an answer");
+    let crossed = chat(&running, "r2", UNSTREAMED).await.expect("an answer");
     assert_eq!(crossed.headers()["x-request-id"], "r1");
     running.faults().set(Faults {
         truncate: 1.0,
         ..Faults::default()
     });
     let cut = chat(&running, "r3", STREAM).await.expect("an answer");
-    text(cut).await.expect_err("a stream broken off");
+    text(cut).await.expect_err("a truncated stream");
 }
 
 #[tokio::test]
 async fn an_old_fencing_number_is_refused_or_ignored() {
-    let running = start(quick(), Faults::default()).await;
+    let running = start(fast_settings(), Faults::default()).await;
     let order = async |fence: u64, weights: &str| {
         let load = json!({ "model": "captions", "weights": weights });
         let body = json!({ "fence": fence, "load": load }).to_string();
@@ -212,13 +212,13 @@
     assert_eq!(taken, [true, false, true]);
 }
 
-// One context takes 15 tokens of 20, so a second chat's pushes the first out.
+// One context uses 15 of 20 tokens, so that of a second chat evicts the first.
 #[tokio::test]
-async fn cache_events_tell_of_evictions() {
+async fn cache_events_report_evictions() {
     let running = start(
         Settings {
             cache_tokens: 20,
-            ..quick()
+            ..fast_settings()
         },
         Faults::default(),
     )
@@ -226,8 +226,10 @@
     for prefix in ["chat-1", "chat-2"] {
         let headers = [("x-prefix-key", prefix)];
         let path = "/v1/chat/completions";
-        let done = call(running.address(), Method::POST, path, &headers, WHOLE).await;
-        text(done.expect("an answer")).await.expect("a whole body");
+        let done = call(running.address(), Method::POST, path, &headers, UNSTREAMED).await;
+        text(done.expect("an answer"))
+            .await
+            .expect("a complete body");
     }
     let path = "/v1/cache-events?from=0";
     let page = call(running.address(), Method::GET, path, &[], "").await;
@@ -246,19 +248,19 @@
     assert_eq!(kinds, all);
 }
 
-/// An engine that keeps a finished stream for its caller to resume must not
-/// keep the slot as well: the next request would wait for the whole hold, and
-/// an engine of 16 slots would run eight requests a second at most.
+/// A finished stream that is retained for resumption must release its slot.
+/// Otherwise the next request waits for the whole hold, and an engine of 16 slots
+/// runs at most eight requests per second.
 #[tokio::test]
-async fn a_finished_stream_that_is_held_leaves_its_slot() {
+async fn finished_stream_releases_its_slot() {
     let settings = Settings {
         slots: 1,
         hold: 2 * TIMEOUT,
-        ..quick()
+        ..fast_settings()
     };
     let running = start(settings, Faults::default()).await;
     for id in ["first", "second"] {
-        let response = chat(&running, id, WHOLE).await;
+        let response = chat(&running, id, UNSTREAMED).await;
         assert_eq!(response.expect("an answer").status(), StatusCode::OK);
     }
 }
--- a/crates/standin/tests/plain.rs
+++ b/crates/standin/tests/plain.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use godwitpost_client::connect::{Connector, Error, Received, Settings};
+use godwitpost_client::connect::{Connector, Error, ResponseBody, Settings};
 use godwitpost_standin::plain::{self, Faults, Running};
 use http::{Request, Response, StatusCode};
 use http_body_util::{BodyExt as _, Full};
@@ -15,7 +15,7 @@
     plain::start(address, faults).await.expect("a free port")
 }
 
-async fn order(running: &Running, body: &'static str) -> Result<Response<Received>, Error> {
+async fn order(running: &Running, body: &'static str) -> Result<Response<ResponseBody>, Error> {
     let body = Full::new(Bytes::from_static(body.as_bytes()))
         .map_err(|never| match never {})
         .boxed_unsync();
@@ -48,11 +48,11 @@
     assert!(running.executions().is_empty());
 }
 
-// A request crashes the service that runs it. The caller sees a broken
-// connection, the port refuses for a while, and then someone else listens on
-// the same address: a new incarnation.
+// A request crashes the service that runs it: the connection breaks, the port
+// refuses connections for a while, and then a new incarnation listens on the same
+// address.
 #[tokio::test]
-async fn a_marked_call_crashes_the_service_into_a_new_life() {
+async fn crash_marker_restarts_the_service_as_a_new_incarnation() {
     let running = start(Faults {
         crash_marker: Some("poison".to_owned()),
         down_for: Duration::from_millis(50),
