--- a/crates/bundle/src/blob.rs
+++ b/crates/bundle/src/blob.rs
@@ -1,7 +1,7 @@
-//! Byte strings that are serialised as such.
+//! Byte strings that are serialized as MessagePack byte strings.
 //!
 //! `serde` writes a `Vec<u8>` as a list of integers, which costs up to two
-//! bytes for each in MessagePack. These types use the byte-string form.
+//! bytes for each element in MessagePack. These types use the byte-string form.
 
 use std::fmt;
 
@@ -21,7 +21,7 @@
 pub struct Signature(pub [u8; 64]);
 
 impl Digest {
-    /// The parent of the first version.
+    /// The parent digest that the first version names.
     pub const ZERO: Self = Self([0; 32]);
 
     /// Returns the BLAKE3 digest of `bytes`.
--- a/crates/bundle/src/check.rs
+++ b/crates/bundle/src/check.rs
@@ -1,10 +1,10 @@
-//! Checks of a bundle as a whole: names, references, ranges.
+//! Validates a whole bundle: names, references and ranges.
 //!
-//! The same checks run in the operators' tool, where all mistakes are shown
-//! at once, and in every router's fold, so that a signed bundle which a
-//! decision could trip over is never in force. They depend on the bundle
-//! alone; a change of the checks is a change of the format, since instances
-//! that check differently would disagree about what is in force.
+//! The same checks run in the operators' tool, which reports all mistakes at
+//! once, and in every router's fold, so that a signed bundle with invalid
+//! content never comes into force. The checks depend only on the bundle.
+//! Changing them changes the format: instances with different checks would
+//! disagree about which version is in force.
 
 #[cfg(test)]
 mod tests;
@@ -17,10 +17,10 @@
 use crate::mistake::Mistake;
 use crate::schema::{Bundle, Class, Kind, Model, Operator, Route, Service, Workspace};
 
-/// Names go into headers, metrics' labels and log lines.
+/// Names appear in headers, metric labels and log lines, so they are kept short.
 const MAX_NAME_BYTES: usize = 64;
 
-/// Returns every mistake of the bundle.
+/// Returns every mistake in the bundle.
 #[must_use]
 pub fn bundle(bundle: &Bundle) -> Vec<Mistake> {
     let mut found = Vec::new();
@@ -54,13 +54,13 @@
     found
 }
 
-/// Returns the key path of a route.
+/// Returns the key path of the route at `index`.
 #[must_use]
 pub fn route_path(index: usize) -> String {
     format!("routes[{index}]")
 }
 
-/// Checks one workspace, given whether a service of a name exists.
+/// Checks one workspace; `known` returns whether a service of that name exists.
 pub fn workspace(
     name: &str,
     workspace: &Workspace,
@@ -88,7 +88,7 @@
     }
 }
 
-/// Checks one name.
+/// Checks the length and the characters of one name.
 pub fn name(path: &str, name: &str, found: &mut Vec<Mistake>) {
     let allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     let fits = !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.chars().all(allowed);
--- a/crates/bundle/src/check/tests.rs
+++ b/crates/bundle/src/check/tests.rs
@@ -22,8 +22,8 @@
     );
 }
 
-// A weak public key accepts signatures that nobody made: the all-zero point
-// is of small order, so whoever sees the bundle could sign the next one.
+// A weak public key accepts forged signatures: the all-zero point has small
+// order, so anybody who sees the bundle could sign the next one.
 #[test]
 fn a_weak_key_is_refused() {
     let yaml = FULL_BUNDLE.replace(
@@ -64,8 +64,8 @@
     );
 }
 
-// A bundle may reach the fold without passing the source, signed by a tool
-// of another version; ranges are checked there too.
+// A bundle signed by another version of the tool reaches the fold without
+// passing this parser, so the fold must check ranges too.
 #[test]
 fn ranges_are_checked_without_the_source() {
     let mut bundle = source::read(FULL_BUNDLE).expect("it is right");
--- a/crates/bundle/src/delta.rs
+++ b/crates/bundle/src/delta.rs
@@ -1,4 +1,4 @@
-//! What changes between two versions: entries put and entries removed.
+//! The difference between two versions: entries put and entries removed.
 
 use std::collections::BTreeSet;
 
@@ -6,17 +6,17 @@
 
 use crate::entry::Entries;
 
-/// A change of entries.
+/// A set of entries to put and to remove.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// Entries that are new or have other bytes.
+    /// Entries that are new or whose bytes differ.
     pub puts: Entries,
-    /// Names of entries that are gone.
+    /// Names of entries to remove.
     pub removes: BTreeSet<String>,
 }
 
 impl Delta {
-    /// Returns the change that leads from one set of entries to another.
+    /// Returns the change that turns `old` into `new`.
     #[must_use]
     pub fn between(old: &Entries, new: &Entries) -> Self {
         let puts = new
@@ -38,7 +38,7 @@
         self.puts.is_empty() && self.removes.is_empty()
     }
 
-    /// Returns the names of all entries that it touches.
+    /// Returns the names of all entries that it puts or removes.
     pub fn names(&self) -> impl Iterator<Item = &str> {
         self.puts.keys().chain(&self.removes).map(String::as_str)
     }
--- a/crates/bundle/src/entry.rs
+++ b/crates/bundle/src/entry.rs
@@ -1,8 +1,8 @@
-//! Entries: the small named parts that a bundle is signed as.
+//! Entries: the small named parts into which a bundle is split for signing.
 //!
 //! A bundle is a map from names such as `workspace/otaru` to the canonical
-//! bytes of that part, so a change of one workspace among thousands is one
-//! entry. Canonical bytes are `rmp-serde` of the structs in
+//! bytes of that part, so a change to one workspace among thousands affects
+//! one entry. Canonical bytes are `rmp-serde` of the structs in
 //! [`schema`](crate::schema).
 
 #[cfg(test)]
@@ -18,12 +18,12 @@
 use crate::blob::Blob;
 use crate::schema::Bundle;
 
-/// Entries by name, the canonical form of a bundle without its version.
+/// Entries by name: the canonical form of a bundle without its version.
 pub type Entries = BTreeMap<String, Blob>;
 
-/// The entry of what holds for the fleet as a whole.
+/// The name of the entry with the fleet-wide settings.
 pub const FLEET: &str = "fleet";
-/// The entry of all routes, whose order is their own.
+/// The name of the entry with all routes; it keeps their declared order.
 pub const ROUTES: &str = "routes";
 /// The prefix of operators' entries.
 pub const OPERATOR: &str = "operator/";
@@ -36,7 +36,7 @@
 /// The prefix of workspaces' entries.
 pub const WORKSPACE: &str = "workspace/";
 
-/// Why entries are not a bundle.
+/// Why entries do not form a bundle.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Error {
     /// entry {0} is ill-formed; sign the bundle again with this version of the tool
@@ -49,7 +49,7 @@
 
 impl std::error::Error for Error {}
 
-/// Returns the entries of a bundle.
+/// Splits a bundle into entries.
 #[must_use]
 pub fn split(bundle: &Bundle) -> Entries {
     let mut entries = Entries::new();
@@ -63,11 +63,11 @@
     entries
 }
 
-/// Returns the bundle that entries make up.
+/// Assembles a bundle from its entries.
 ///
 /// # Errors
 ///
-/// Returns an error if an entry is ill-formed, unknown or missing.
+/// Returns an error if an entry is ill-formed, of an unknown kind or missing.
 pub fn join(version: Version, entries: &Entries) -> Result<Bundle, Error> {
     for name in entries.keys() {
         known(name)?;
@@ -88,27 +88,28 @@
 ///
 /// # Panics
 ///
-/// Panics if the part cannot be written, which is a bug: the schema holds no
-/// type that MessagePack lacks.
+/// Panics if the part cannot be encoded, which is a bug: the schema has no
+/// type that MessagePack cannot represent.
 #[must_use]
 pub fn encode<T: Serialize>(part: &T) -> Blob {
     Blob(rmp_serde::to_vec(part).expect("the schema can be written as MessagePack"))
 }
 
-/// Returns the part that an entry's bytes stand for.
+/// Decodes the bytes of an entry.
 ///
 /// # Errors
 ///
-/// Returns [`Error::IllFormed`] with the entry's name.
+/// Returns [`Error::IllFormed`] with the entry's name if the bytes do not decode.
 pub fn decode<T: DeserializeOwned>(name: &str, blob: &Blob) -> Result<T, Error> {
     rmp_serde::from_slice(&blob.0).map_err(|_cause| Error::IllFormed(name.to_owned()))
 }
 
-/// Returns the parts whose entry names start with `prefix`, by bare name.
+/// Decodes the entries whose names start with `prefix`, keyed by the name
+/// without it.
 ///
 /// # Errors
 ///
-/// Returns [`Error::IllFormed`] for the first that is.
+/// Returns [`Error::IllFormed`] for the first entry that does not decode.
 pub fn section<T: DeserializeOwned>(
     entries: &Entries,
     prefix: &str,
--- a/crates/bundle/src/fold.rs
+++ b/crates/bundle/src/fold.rs
@@ -1,18 +1,20 @@
-//! What is in force: a pure fold of the `bundles` stream in log order.
+//! Determines the bundle in force by a pure fold of the `bundles` stream in
+//! log order.
 //!
-//! Every instance folds the same records to the same result, so nothing has
-//! to be agreed on. A change counts if it is for this fleet, its parent is
-//! the bundle in force, its version is one more, an operator of the parent
-//! signed it, its digests match and its content passes all checks. Of two
-//! with one parent the first in the log wins, on every instance.
+//! Every instance folds the same records to the same result, so instances
+//! need no agreement protocol. A change is accepted if it is for this fleet,
+//! its parent is the bundle in force, its version is one more, an operator of
+//! the parent signed it, its digests match and its content passes all checks.
+//! Of two changes with the same parent, the first in the log wins on every
+//! instance.
 //!
-//! Three things reach an instance beside the records themselves. A peer's
-//! *snapshot* or *update* brings it forward while the log is slow or down. A
-//! *checkpoint* on the stream is such a snapshot for readers that start after
-//! older records were dropped. Both name the first offset that they do not
-//! cover, and both are taken only if that lies ahead of what is folded here,
-//! so neither a peer with an old bundle nor an instance that was paused and
-//! appends an old checkpoint can turn the version back.
+//! Besides the records, an instance can apply three other inputs. A peer's
+//! *snapshot* or *update* advances it while the log is slow or down. A
+//! *checkpoint* on the stream is a snapshot for readers that start after
+//! older records were dropped. Each names the first offset that it does not
+//! cover, and is applied only if that offset is beyond what is folded here.
+//! So neither a peer with an old bundle nor a paused instance that appends an
+//! old checkpoint can revert the version.
 
 mod assembly;
 mod gap;
@@ -41,24 +43,25 @@
 use held::ActiveBundle;
 use times::Times;
 
-/// Changes kept for peers that are behind and to know duplicates by.
+/// Accepted changes that are retained to update peers that are behind and to
+/// recognize duplicates.
 const MAX_RETAINED_CHANGES: usize = 64;
 
-/// What came of a record or of a peer's word.
+/// The result of applying a record, snapshot or update.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// This version is in force now.
+    /// This version is now in force.
     InForce(Version),
-    /// It does not count, for this reason.
+    /// It was rejected for this reason.
     Refused(Refusal),
-    /// It changes nothing: read before, a duplicate, or a checkpoint.
+    /// It changes nothing: already read, a duplicate, or a checkpoint.
     Ignored,
-    /// It is kept: records before it were dropped, and nothing covers them
-    /// yet. Ask a peer for its snapshot.
+    /// It is buffered: records before it were dropped and nothing covers them
+    /// yet. Request a snapshot from a peer.
     Waiting,
 }
 
-/// The fold and all that it remembers.
+/// The state of the fold.
 #[derive(Clone, Debug)]
 pub struct Fold {
     fleet: String,
@@ -74,7 +77,7 @@
 #[derive(Clone, Debug)]
 struct AcceptedChange {
     statement: Statement,
-    // Encoded, as a peer would be sent it.
+    // Encoded as it is sent to peers.
     change: Blob,
 }
 
@@ -128,25 +131,26 @@
         self.gap.as_ref().map_or(self.next, |gap| gap.read)
     }
 
-    /// Returns whether records were dropped that nothing known here covers.
+    /// Returns whether records were dropped that no snapshot or checkpoint
+    /// seen here covers.
     ///
-    /// Changes are not folded meanwhile; a peer's snapshot helps.
+    /// Until a snapshot or checkpoint covers the gap, changes are not folded.
     #[must_use]
     pub const fn has_gap(&self) -> bool {
         self.gap.is_some()
     }
 
-    /// Returns the oldest record that a reader without memory needs; `None`
-    /// while this instance cannot speak for the stream.
+    /// Returns the oldest record that a reader with no state needs; `None`
+    /// while nothing is in force or the stream has a gap.
     #[must_use]
     pub fn anchor(&self) -> Option<Anchor> {
         let active = self.active.as_ref().filter(|_| self.gap.is_none())?;
         Some(active.anchor)
     }
 
-    /// Takes the next record of the stream.
+    /// Applies the next record of the stream.
     pub fn apply(&mut self, offset: Offset, time: Moment, bytes: &[u8]) -> Next {
-        // No log gets to the last number, and there would be no next.
+        // A log never reaches the maximum offset, and it has no successor.
         if offset < self.next_offset() || offset == Offset::MAX {
             return Next::Ignored;
         }
@@ -184,13 +188,15 @@
             gap.buffer(offset, bytes.to_vec());
             return Next::Waiting;
         }
-        // Without a checkpoint a reader needs every record since the first.
-        // If its time is forgotten it counts as old, and a checkpoint is due.
+        // Without a checkpoint a reader needs every record from the first one.
+        // If that record's time is no longer known, it counts as old, which
+        // makes a checkpoint due.
         let since = self.times.time_of(0).unwrap_or_default();
         self.apply_change(change, bytes, Anchor { from: 0, since })
     }
 
-    // The anchor is for the first version alone; later ones keep theirs.
+    // The anchor is used for the first version only; later versions keep the
+    // current anchor.
     fn apply_change(&mut self, change: Change, bytes: &[u8], anchor: Anchor) -> Next {
         if let Err(next) = self.check_change(&change) {
             return next;
--- a/crates/bundle/src/fold/assembly.rs
+++ b/crates/bundle/src/fold/assembly.rs
@@ -1,4 +1,4 @@
-//! Checkpoints put together from their parts.
+//! Assembles checkpoints from their parts.
 
 use std::collections::VecDeque;
 
@@ -7,14 +7,14 @@
 use crate::blob::Digest;
 use crate::record::Part;
 
-/// Checkpoints in progress at once: a few instances may write at the same
-/// moment, and a writer that died leaves one unfinished.
+/// Several instances may write checkpoints at the same time, and a writer
+/// that crashes leaves one incomplete.
 const MAX_OPEN_CHECKPOINTS: usize = 4;
 
-/// Parts of one checkpoint: 4 MiB, several times what 8,900 workspaces need.
+/// Limits a checkpoint to 4 MiB, several times what 8,900 workspaces need.
 const MAX_CHECKPOINT_PARTS: u32 = 16;
 
-/// Checkpoints in progress.
+/// Checkpoints of which some parts have been read.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Assembly {
     open: VecDeque<PartialCheckpoint>,
@@ -28,20 +28,20 @@
     bytes: Vec<u8>,
 }
 
-/// A whole checkpoint.
+/// A complete checkpoint.
 #[derive(Debug)]
 pub(super) struct Checkpoint {
     /// The offset of its first part.
     pub first: Offset,
-    /// Its bytes, whose digest was checked.
+    /// Its bytes, with the digest verified.
     pub bytes: Vec<u8>,
 }
 
 impl Assembly {
-    /// Adds a part and returns the whole once it is complete.
+    /// Adds a part and returns the checkpoint once it is complete.
     ///
-    /// A part appended twice after a lost answer is skipped. A part out of
-    /// order ends the attempt; its writer begins again.
+    /// A part that was appended twice because a response was lost is skipped.
+    /// A part that skips ahead discards the checkpoint; its writer starts over.
     pub fn add(&mut self, offset: Offset, part: &Part) -> Option<Checkpoint> {
         if part.count > MAX_CHECKPOINT_PARTS || part.index >= part.count {
             return None;
--- a/crates/bundle/src/fold/gap.rs
+++ b/crates/bundle/src/fold/gap.rs
@@ -1,10 +1,10 @@
-//! Records read after a gap, kept until a checkpoint or a peer fills it.
+//! Buffers records read after a gap until a checkpoint or a peer covers it.
 //!
-//! The failure it guards against: two operators roll version 6 on version 5,
-//! and the log drops the record that won but still keeps the one that lost. A
-//! reader that holds version 5 and goes on reading would take the loser, and
-//! differ from the fleet for good. So after a gap no change is folded; it is
-//! kept, and folded only once something that covers the gap is known.
+//! This guards against the following failure: two operators roll version 6
+//! on version 5, and the log drops the record that won but still retains the
+//! one that lost. A reader with version 5 that continued reading would accept
+//! the losing record and differ from the fleet permanently. So changes after
+//! a gap are buffered, and folded only once a snapshot covers the gap.
 
 use std::collections::VecDeque;
 
@@ -13,17 +13,17 @@
 use crate::blob::Blob;
 use crate::record::BufferedChange;
 
-/// Records kept; twice what makes a checkpoint due, so the checkpoint that a
-/// healthy fleet appends always covers the first record kept.
+/// Twice the number of records that makes a checkpoint due, so the checkpoint
+/// that a healthy fleet appends always covers the first buffered record.
 pub(super) const MAX_BUFFERED_RECORDS: usize = 4_096;
 
-/// Bytes kept: a sixteenth of the 64 MB that control may use.
+/// A sixteenth of the 64 MB that the control plane may use.
 const MAX_BUFFERED_BYTES: usize = 4 * 1024 * 1024;
 
-/// What was read after a gap.
+/// The changes read after a gap.
 #[derive(Clone, Debug)]
 pub(super) struct Gap {
-    /// Every change from this offset on is kept.
+    /// Every change from this offset on is buffered.
     pub first: Offset,
     /// The next offset to read.
     pub read: Offset,
@@ -32,7 +32,7 @@
 }
 
 impl Gap {
-    /// Returns a gap that ends at `first`.
+    /// Returns a gap that ends before `first`.
     pub fn new(first: Offset) -> Self {
         Self {
             first,
@@ -42,10 +42,10 @@
         }
     }
 
-    /// Keeps a change, and drops the oldest above the limits.
+    /// Buffers a change and drops the oldest ones above the limits.
     ///
-    /// Dropping widens the gap, which is safe: a checkpoint must then cover
-    /// the dropped record too.
+    /// Dropping a change widens the gap, which is safe: a checkpoint must then
+    /// cover the dropped record too.
     pub fn buffer(&mut self, offset: Offset, bytes: Vec<u8>) {
         self.bytes += bytes.len();
         let bytes = Blob(bytes);
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Returns the changes from `next` on, if nothing is missing there.
+    /// Returns the changes from `next` on; `None` if some of them are missing.
     pub fn changes_from(&self, next: Offset) -> Option<Vec<BufferedChange>> {
         (next >= self.first).then(|| {
             let records = self.records.iter();
--- a/crates/bundle/src/fold/held.rs
+++ b/crates/bundle/src/fold/held.rs
@@ -1,4 +1,4 @@
-//! One bundle in force, and the step to the next version.
+//! The bundle in force, and its change to the next version.
 
 use godwitpost_types::id;
 use godwitpost_types::policy::Policy;
@@ -30,7 +30,7 @@
 }
 
 impl ActiveBundle {
-    /// Returns the first version, which a root key signs.
+    /// Returns the first version, which must be signed by a root key.
     pub fn from_first_change(change: Change, anchor: Anchor) -> Result<Self, Refusal> {
         let tree = Tree::new(change.delta.puts);
         let (bundle, operators) = join_and_check(&change.statement, &tree)?;
@@ -50,8 +50,8 @@
         })
     }
 
-    /// Returns what a snapshot holds, once its proof is checked against those
-    /// who may sign after `version`.
+    /// Returns the bundle of a snapshot after verifying its lineage against
+    /// `signers`, who may sign the version after `version`.
     pub fn from_snapshot(
         snapshot: Snapshot,
         signers: Signers<'_>,
@@ -79,9 +79,9 @@
         })
     }
 
-    /// Takes the next version, or leaves all as it was.
+    /// Applies the next version; on an error the state is unchanged.
     ///
-    /// The caller has checked version, parent and signature.
+    /// The caller must have checked version, parent and signature.
     pub fn apply_change(&mut self, change: Change) -> Result<(), Refusal> {
         let small = only_workspaces(&change.delta);
         let undo = self.tree.apply(change.delta.clone());
@@ -100,8 +100,9 @@
         Ok(())
     }
 
-    // Most changes are of one workspace among thousands. Checking and
-    // resolving just those keeps a change at the cost of its own size.
+    // Most changes affect one workspace among thousands. Checking and
+    // resolving only the changed ones makes the cost proportional to the
+    // size of the change.
     fn apply_workspaces(&mut self, change: &Change) -> Result<(), Refusal> {
         let statement = &change.statement;
         check_digests(statement, self.tree.root(), &self.operators)?;
--- a/crates/bundle/src/fold/peer.rs
+++ b/crates/bundle/src/fold/peer.rs
@@ -1,4 +1,5 @@
-//! What peers and checkpoints bring, and what a peer is handed.
+//! Snapshots and updates: building them for peers, and applying those of
+//! peers and checkpoints.
 
 use godwitpost_types::id::{Offset, Version};
 
@@ -10,7 +11,7 @@
 use crate::statement::Statement;
 
 impl Fold {
-    /// Returns what is in force with its proof.
+    /// Returns the bundle in force with the signatures that prove it.
     #[must_use]
     pub fn snapshot(&self) -> Option<Snapshot> {
         let active = self.active.as_ref()?;
@@ -24,11 +25,11 @@
         })
     }
 
-    /// Takes a peer's snapshot if it is ahead in log order.
+    /// Applies a peer's snapshot if it is ahead in log order.
     ///
     /// # Errors
     ///
-    /// Returns why it is not believed; what is in force here stays.
+    /// Returns why it is rejected; the bundle in force does not change.
     pub fn apply_snapshot(&mut self, snapshot: Snapshot) -> Result<Next, Refusal> {
         self.check_fleet(&snapshot.statement)?;
         if snapshot.next <= self.next {
@@ -46,7 +47,7 @@
     }
 
     /// Returns the changes after `version`; `None` if they are no longer
-    /// kept, and a whole snapshot is needed.
+    /// retained, so that the peer needs a full snapshot.
     #[must_use]
     pub fn update(&self, version: Version) -> Option<Update> {
         let active = self.active.as_ref()?;
@@ -61,23 +62,24 @@
         })
     }
 
-    /// Takes a peer's latest changes if they are ahead in log order.
+    /// Applies a peer's latest changes if they are ahead in log order.
     ///
-    /// Versions that are in force here already are skipped.
+    /// Versions up to the one in force here are skipped.
     ///
     /// # Errors
     ///
-    /// Returns why a change is not believed; what is in force here stays.
+    /// Returns why a change is rejected; the bundle in force does not change.
     pub fn apply_update(&mut self, update: &Update) -> Result<Next, Refusal> {
         if update.next <= self.next {
             return Ok(Next::Ignored);
         }
         let before = self.version();
         let changes = self.new_changes(update)?;
-        // All or nothing: with some of the changes in force, their place on
-        // the stream would be unknown, and folding on from the old place
-        // could take a version that came too early for the fleet. A single
-        // change that is refused leaves all as it was.
+        // The update is applied entirely or not at all. After a part of it the
+        // offset on the stream would be unknown, and folding from the old
+        // offset could accept a version that the fleet rejected because it
+        // came too early. A single rejected change leaves no trace, so it
+        // needs no saved state.
         let saved = (changes.len() > 1).then(|| (self.active.clone(), self.accepted.clone()));
         for (change, bytes) in changes {
             if let Next::Refused(refusal) = self.apply_change(change, bytes, update.anchor) {
@@ -92,7 +94,8 @@
         Ok(self.outcome(before))
     }
 
-    // The changes of an update that are not in force here, with their bytes.
+    // Returns the changes of an update that are newer than the version in
+    // force, with their bytes.
     fn new_changes<'a>(&self, update: &'a Update) -> Result<Vec<(Change, &'a [u8])>, Refusal> {
         let mut changes = Vec::new();
         for bytes in &update.changes {
@@ -124,13 +127,13 @@
     fn replace_bundle(&mut self, snapshot: Snapshot) -> Result<(), Refusal> {
         let active = ActiveBundle::from_snapshot(snapshot, self.signers(), self.version())?;
         self.active = Some(active);
-        // What was kept no longer leads to what is in force.
+        // The retained changes no longer lead to the version in force.
         self.accepted.clear();
         Ok(())
     }
 
-    // Everything before `next` is folded in. If that covers the gap, the
-    // changes kept after it are folded too.
+    // Records that everything before `next` is folded. If that covers the
+    // gap, the changes buffered after it are folded too.
     fn advance_to(&mut self, next: Offset, anchor: Anchor) {
         self.raise_anchor(anchor);
         self.next = self.next.max(next);
@@ -154,7 +157,7 @@
         if snapshot.next > whole.first {
             return Next::Refused(Refusal::Future);
         }
-        // A checkpoint is as old as the first record that it does not cover.
+        // The age of a checkpoint is that of the first record it does not cover.
         let anchor = self.times.time_of(snapshot.next).map(|since| Anchor {
             from: snapshot.next,
             since,
--- a/crates/bundle/src/fold/refusal.rs
+++ b/crates/bundle/src/fold/refusal.rs
@@ -1,4 +1,4 @@
-//! Why a record or a peer's word does not come into force.
+//! Why a record, snapshot or update is rejected.
 
 use displaydoc::Display;
 use godwitpost_types::id::Version;
@@ -7,7 +7,7 @@
 use crate::record;
 use crate::{entry, snapshot};
 
-/// Why a record does not come into force.
+/// Why a record, snapshot or update is rejected.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Refusal {
     /// {0}
@@ -18,16 +18,16 @@
     Snapshot(snapshot::Error),
     /// it is for the fleet {found}, not {wanted}; name this fleet in the bundle
     Fleet {
-        /// The fleet of this fold.
+        /// The fleet that this fold is for.
         wanted: String,
         /// The fleet that the statement names.
         found: String,
     },
     /// version {version} by {winner} came first; take the bundle in force, make your change in it and roll it as the next version
     Lost {
-        /// The version that both wanted to be.
+        /// The version that both records have.
         version: Version,
-        /// Who signed the one in force.
+        /// The operator who signed the accepted record.
         winner: String,
     },
     /// version {found} is older than {current}, which is in force; roll the old content as version {current} + 1
--- a/crates/bundle/src/fold/tests.rs
+++ b/crates/bundle/src/fold/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the fold, each over a stream that is written in the test.
+//! Tests of the fold; each test writes its own stream.
 
 mod gaps;
 mod order;
@@ -16,7 +16,7 @@
 use crate::source;
 use crate::source::tests::FULL_BUNDLE;
 
-/// A stream and the fold of all of it.
+/// A stream and the fold of all its records.
 pub(crate) struct Stream {
     pub(crate) records: Vec<Vec<u8>>,
     pub(crate) outcomes: Vec<Next>,
@@ -36,7 +36,7 @@
     Fold::new("kitakaze", [root_key().public()])
 }
 
-/// Returns the test bundle of a version; `concurrency` is what varies.
+/// Returns the test bundle of a version with this `concurrency`.
 pub(crate) fn bundle(version: u64, concurrency: u32) -> Bundle {
     let mut bundle = source::read(FULL_BUNDLE).expect("it is right");
     bundle.version = version;
@@ -72,7 +72,7 @@
         &self.reader
     }
 
-    /// Returns the change to a version of this test bundle, not appended.
+    /// Returns the change to a version of the test bundle without appending it.
     pub(crate) fn change(&self, version: u64, concurrency: u32) -> Record {
         self.sign(&bundle(version, concurrency), "asahikawa")
     }
@@ -124,7 +124,7 @@
         assert_eq!(self.append(&change), Next::InForce(version));
     }
 
-    /// Appends what an instance would write as a checkpoint.
+    /// Appends the checkpoint that an instance would write.
     pub(crate) fn checkpoint(&mut self, writer: &Fold) {
         let snapshot = writer.snapshot().expect("it is in force");
         for part in record::checkpoint(&snapshot) {
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Feeds the records from an offset on, and returns the last outcome.
+    /// Applies the records from an offset on and returns the last result.
     pub(crate) fn read(&self, from: u64, fold: &mut Fold) -> Next {
         let mut next = Next::Ignored;
         for (offset, bytes) in (0..).zip(&self.records).skip(to_usize(from)) {
--- a/crates/bundle/src/fold/tests/gaps.rs
+++ b/crates/bundle/src/fold/tests/gaps.rs
@@ -2,9 +2,9 @@
 use crate::fold::{Fold, Next, Refusal};
 use crate::record::Record;
 
-// The log drops the record of version 3 that won and still keeps the one that
-// lost. An instance that starts then, or that slept through it with version
-// 2, would come into force with the loser and differ from the fleet for good.
+// The log drops the record of version 3 that won and still retains the one
+// that lost. An instance that starts then, or that was paused at version 2,
+// must not accept the losing record: it would differ from the fleet for good.
 #[test]
 fn the_loser_of_a_race_is_not_taken_without_its_winner() {
     let mut stream = Stream::rolled(2);
@@ -28,9 +28,9 @@
     }
 }
 
-// All instances are replaced at once, and the log has dropped everything
-// before the checkpoint. Version 4 was rolled while the checkpoint was being
-// written, so its record stands before the checkpoint.
+// All instances are replaced at once after the log dropped everything before
+// the checkpoint. Version 4 was rolled while the checkpoint was being written,
+// so its record precedes the checkpoint.
 #[test]
 fn a_checkpoint_and_what_follows_it_are_enough() {
     let mut stream = Stream::rolled(3);
@@ -45,9 +45,9 @@
     assert!(!fresh.has_gap());
 }
 
-// An instance is paused with a checkpoint of version 2 in hand, and appends
-// it hours later. Readers in force keep theirs; a fresh reader must wait for
-// a checkpoint that leaves no gap.
+// An instance is paused before it appends a checkpoint of version 2, and
+// appends it hours later. Readers with a bundle must keep it; a new reader must
+// wait for a checkpoint that leaves no gap.
 #[test]
 fn a_stale_checkpoint_does_not_win() {
     let mut stream = Stream::rolled(2);
@@ -65,8 +65,8 @@
     assert_eq!((fresh.version(), fresh.has_gap()), (4, false));
 }
 
-// A stale checkpoint must not count as the renewal of the bundle either, or
-// the records it needs would be dropped before anybody renews them.
+// A stale checkpoint must not move the anchor, or the log would drop records
+// that readers need before an instance appends the next checkpoint.
 #[test]
 fn only_a_checkpoint_that_reaches_further_moves_the_anchor() {
     let mut stream = Stream::rolled(2);
@@ -79,8 +79,8 @@
     assert_eq!(stream.fold().anchor(), Some(anchor));
 }
 
-// Two instances append large checkpoints at the same moment, one of them dies
-// half-way, and an answer is lost so that a part stands there twice.
+// Two instances append large checkpoints at the same time, one of them crashes
+// half-way, and a lost response causes one part to be appended twice.
 #[test]
 fn interleaved_repeated_and_broken_checkpoints_are_told_apart() {
     let mut stream = Stream::new();
--- a/crates/bundle/src/fold/tests/order.rs
+++ b/crates/bundle/src/fold/tests/order.rs
@@ -17,8 +17,8 @@
     }
 }
 
-// Two operators roll version 3 on version 2 at the same moment. If instances
-// differed on who won, callers would see two bundles at once.
+// Two operators roll version 3 on version 2 at the same time. If instances
+// disagreed on which one won, callers would see two bundles at once.
 #[test]
 fn of_two_with_one_parent_the_first_wins_and_the_other_is_told() {
     let mut stream = Stream::rolled(2);
@@ -32,8 +32,8 @@
     assert_eq!(stream.append(&second), Next::Refused(lost));
 }
 
-// The answer to an append is lost and the tool appends the record again. The
-// second must neither be in force twice nor look like a lost race.
+// The response to an append is lost and the tool appends the record again. The
+// second record must neither take effect again nor be reported as a lost race.
 #[test]
 fn a_record_appended_twice_counts_once() {
     let mut stream = Stream::rolled(2);
@@ -46,8 +46,8 @@
 }
 
 // An operator signs versions 3 and 4, and the delayed append of 3 lands
-// after 4. The fold must not take 4 when 3 shows: a reader that had started
-// between the two would not.
+// after 4. The fold must not accept 4 once 3 appears: a reader that started
+// between the two would not accept it.
 #[test]
 fn a_version_that_came_too_early_is_not_taken_later() {
     let mut stream = Stream::rolled(2);
@@ -97,7 +97,7 @@
 }
 
 // A signed bundle with a broken reference, from a tool without the checks,
-// would make every router route to a service that is not there.
+// would make every router route to a service that does not exist.
 #[test]
 fn a_signed_bundle_with_mistakes_is_not_in_force() {
     let mut stream = Stream::rolled(1);
@@ -165,8 +165,8 @@
     );
 }
 
-// Resolving only what changed must give the policy that a whole resolution
-// gives, or an instance that was restarted would decide otherwise.
+// Resolving only the changed workspaces must give the same policy as resolving
+// the whole bundle, or a restarted instance would decide differently.
 #[test]
 fn policies_after_small_changes_equal_those_after_a_restart() {
     let mut stream = Stream::rolled(1);
--- a/crates/bundle/src/fold/tests/peers.rs
+++ b/crates/bundle/src/fold/tests/peers.rs
@@ -10,8 +10,8 @@
     fold.snapshot().expect("it is in force")
 }
 
-// A peer that slept hands out version 2 while 4 is in force here. Adopting it
-// would turn the fleet back one instance at a time.
+// A peer that was paused sends version 2 while 4 is in force here. Applying it
+// would revert the fleet one instance at a time.
 #[test]
 fn an_older_snapshot_changes_nothing() {
     let mut stream = Stream::rolled(2);
@@ -25,8 +25,8 @@
     assert_eq!(fold.version(), 4);
 }
 
-// The log goes down right after version 3 was accepted. Those who read it
-// bring the others forward, who skip its record once the log is back.
+// The log goes down right after version 3 was accepted. Instances that read it
+// update the others, which skip its record once the log is back.
 #[test]
 fn peers_bring_each_other_forward_while_the_log_is_down() {
     let mut stream = Stream::rolled(2);
@@ -56,9 +56,9 @@
     assert_eq!(stream.fold().update(6).map(|u| u.changes.len()), Some(64));
 }
 
-// A peer's second change is damaged on the way. With the first in force, but
-// without its place on the stream, the instance would go on reading at the
-// old place and take a version that came too early for the fleet.
+// The second change of a peer's update is corrupted. If the first one were in
+// force without its offset on the stream, the instance would continue reading
+// at the old offset and accept a version that came too early for the fleet.
 #[test]
 fn a_broken_update_changes_nothing() {
     let mut stream = Stream::rolled(2);
@@ -92,9 +92,9 @@
     assert_eq!(root(&fold), root(stream.fold()));
 }
 
-// A key leaked, and version 2 removed its operator. Whoever holds the key
-// forges version 9 from version 1, naming himself. An instance that holds
-// version 2 must not follow.
+// A key leaked, and version 2 removed its operator. The holder of the key
+// forges version 9 on version 1 and names himself as an operator. An instance
+// with version 2 must reject it.
 #[test]
 fn a_removed_operator_cannot_forge_a_snapshot() {
     let mut stream = Stream::rolled(1);
@@ -175,8 +175,8 @@
     ));
 }
 
-// Two logs were mixed up, and a peer holds another version 3. Neither side
-// can know who is right, so the one in force stays and the operator is told.
+// Two logs were mixed up, and a peer has another version 3. Neither side can
+// know which is right, so the one in force stays and an error is reported.
 #[test]
 fn a_peer_that_contradicts_is_not_believed() {
     let mut stream = Stream::rolled(2);
--- a/crates/bundle/src/fold/tests/schedules.rs
+++ b/crates/bundle/src/fold/tests/schedules.rs
@@ -6,26 +6,26 @@
 use crate::fold::Fold;
 use crate::record;
 
-/// Readers beside the one that sees every record.
+/// Readers besides the one that reads every record.
 const READERS: usize = 3;
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// An operator signs on what is in force and appends.
+    /// An operator signs a change to the version in force and appends it.
     Roll { kushiro: bool, concurrency: u32 },
-    /// Both operators do, at the same moment.
+    /// Both operators do so at the same time.
     Race,
-    /// An old record is appended once more.
+    /// An old record is appended again.
     Repeat(usize),
-    /// A reader appends a checkpoint of what it holds, however old.
+    /// A reader appends a checkpoint of its bundle, however old.
     Checkpoint(usize),
     /// A reader reads some records.
     Read(usize, usize),
-    /// A reader takes another's snapshot, or its update.
+    /// A reader applies the snapshot or update of another one.
     Talk(usize, usize, bool),
     /// The log drops its oldest records.
     Truncate(usize),
-    /// A reader starts with empty memory.
+    /// A reader restarts with no state.
     Restart(usize),
 }
 
@@ -47,7 +47,7 @@
 
 struct World {
     stream: Stream,
-    // The fold of every record before each offset.
+    // The fold of all records before each offset.
     states: Vec<Fold>,
     first: usize,
     readers: Vec<Fold>,
@@ -137,8 +137,9 @@
         ..ProptestConfig::default()
     })]
 
-    // Whatever happens, and in whatever order: no reader goes back, and one
-    // without a gap holds exactly what a reader of every record held there.
+    // For any order of steps: no reader reverts to an older version, and a reader
+    // without a gap has the same bundle as a reader of every record at that
+    // offset.
     #[test]
     fn readers_never_go_back_and_agree_with_one_that_saw_everything(
         steps in vec(step(), 1..60)
--- a/crates/bundle/src/fold/times.rs
+++ b/crates/bundle/src/fold/times.rs
@@ -1,4 +1,5 @@
-//! When the latest records were appended, to tell how old a checkpoint is.
+//! Append times of the latest records, used to compute the age of a
+//! checkpoint.
 
 use std::collections::VecDeque;
 
@@ -7,7 +8,7 @@
 
 use super::gap;
 
-/// Times of the latest offsets, without a hole.
+/// Append times of the latest consecutive offsets.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Times {
     first: Offset,
@@ -15,7 +16,8 @@
 }
 
 impl Times {
-    /// Notes the time of the next offset; after a hole it begins anew.
+    /// Records the time of an offset. If it does not follow the last one, the
+    /// earlier times are dropped.
     pub fn record(&mut self, offset: Offset, time: Moment) {
         if offset != self.first + self.times.len() as u64 {
             self.times.clear();
@@ -28,7 +30,7 @@
         }
     }
 
-    /// Returns the time of an offset, if it is among the latest.
+    /// Returns the time of an offset, if it is among the latest ones.
     pub fn time_of(&self, offset: Offset) -> Option<Moment> {
         let index = usize::try_from(offset.checked_sub(self.first)?).ok()?;
         self.times.get(index).copied()
--- a/crates/bundle/src/key.rs
+++ b/crates/bundle/src/key.rs
@@ -7,12 +7,12 @@
 
 use crate::blob::Digest;
 
-/// A private key; its `Debug` form shows the public half alone.
+/// A private key; its `Debug` output shows only the public key.
 #[derive(Clone)]
 pub struct PrivateKey(pub(crate) SigningKey);
 
 impl PrivateKey {
-    /// Draws a new key.
+    /// Generates a random key.
     pub fn generate(rng: &mut impl CryptoRng) -> Self {
         Self(SigningKey::generate(rng))
     }
@@ -42,9 +42,9 @@
     }
 }
 
-/// Returns whether `key` is a public key that signatures can be checked by.
+/// Returns whether `key` is a public key that signatures can be verified with.
 ///
-/// Weak keys are refused: a signature by one may hold for many messages.
+/// Weak keys are rejected: a signature by one may be valid for many messages.
 #[must_use]
 pub fn valid(key: Digest) -> bool {
     VerifyingKey::from_bytes(&key.0).is_ok_and(|key| !key.is_weak())
--- a/crates/bundle/src/lib.rs
+++ b/crates/bundle/src/lib.rs
@@ -1,11 +1,12 @@
 //! Bundle schema, checks, signatures and the fold of the configuration stream.
 //!
 //! A *bundle* is the versioned declaration that operators sign: workspaces,
-//! services, models, classes and routes. This crate takes it from YAML
-//! ([`source`], [`check`]) to the policy that decisions are taken on
-//! ([`resolve`]), and says which version is in force ([`fold`]).
+//! services, models, classes and routes. This crate parses and validates its
+//! YAML ([`source`], [`check`]), converts it to the policy that routing
+//! decisions use ([`resolve`]), and determines which version is in force
+//! ([`fold`]).
 //!
-//! Nothing here does I/O or reads a clock: records come in as bytes with
+//! Nothing here does I/O or reads a clock. Callers pass records as bytes with
 //! their offset and time, and functions return what to do next. The router,
 //! the operators' tool and the benches run the same code.
 
--- a/crates/bundle/src/lineage.rs
+++ b/crates/bundle/src/lineage.rs
@@ -1,9 +1,10 @@
 //! Who may sign, and how that changed since the first version.
 //!
-//! A reader of the whole log checks each version against the operators of
+//! A reader of the whole log verifies each version against the operators of
 //! its parent. An instance that starts from a peer's snapshot has no parent
-//! to look at; it follows the *lineage*, the signed statements of just those
-//! versions that changed the operators, from the root keys in its settings.
+//! to verify against. It follows the *lineage* from the root keys in its
+//! settings: the signed statements of only those versions that changed the
+//! operators.
 
 use std::collections::BTreeMap;
 
@@ -19,28 +20,28 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Operators(pub BTreeMap<String, Digest>);
 
-/// One version that changed the operators.
+/// A version that changed the operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Link {
     /// Its statement.
     pub statement: Statement,
     /// The signature by an operator of its parent.
     pub signature: Signature,
-    /// The operators after it.
+    /// The operators of this version.
     pub operators: Operators,
 }
 
 /// Who may sign the next version.
 #[derive(Clone, Copy, Debug)]
 pub enum Signers<'a> {
-    /// Nothing is in force: the holder of a key that the settings name.
+    /// Root keys from the settings, while nothing is in force.
     Roots(&'a [Digest]),
-    /// An operator of the version in force.
+    /// The operators of the version in force.
     Operators(&'a Operators),
 }
 
 impl Operators {
-    /// Returns the operators that a bundle names.
+    /// Returns the operators of a bundle.
     #[must_use]
     pub fn of(bundle: &Bundle) -> Self {
         let operators = bundle.operators.iter();
@@ -51,7 +52,7 @@
         )
     }
 
-    /// Returns the digest that statements carry.
+    /// Returns the digest of the operators that statements contain.
     #[must_use]
     pub fn digest(&self) -> Digest {
         Digest::of(&entry::encode(self).0)
@@ -59,7 +60,7 @@
 }
 
 impl Signers<'_> {
-    /// Returns whether one of them signed the statement.
+    /// Returns whether one of the signers made this signature on the statement.
     #[must_use]
     pub fn verify(&self, statement: &Statement, signature: &Signature) -> bool {
         match self {
@@ -74,10 +75,10 @@
     }
 }
 
-/// Returns whether `statement` follows by `links` from `signers`, who may
-/// sign the version after `version`.
+/// Returns whether `links` form a valid chain of signatures from `signers`,
+/// who may sign the version after `version`, to `statement`.
 ///
-/// Links up to `version` are what the caller has checked before.
+/// Links up to `version` are skipped; the caller has verified them before.
 #[must_use]
 pub fn verify_chain(
     signers: Signers<'_>,
--- a/crates/bundle/src/mistake.rs
+++ b/crates/bundle/src/mistake.rs
@@ -1,4 +1,4 @@
-//! Mistakes in a bundle, each with its place and the way out.
+//! Mistakes in a bundle, each with its location and a remedy.
 
 use std::error;
 use std::fmt;
@@ -6,11 +6,11 @@
 /// One mistake in a bundle.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Mistake {
-    /// The line in the source, where there is one; the first is 1.
+    /// The line in the source, if known; the first is 1.
     pub line: Option<u64>,
     /// The key path, such as `workspaces.otaru.rate`.
     pub path: String,
-    /// What is wrong, with the value at fault.
+    /// What is wrong, with the invalid value.
     pub problem: String,
     /// What to write instead.
     pub remedy: String,
@@ -42,7 +42,7 @@
     }
 }
 
-/// All mistakes of a bundle, in the order of their lines and paths.
+/// All mistakes in a bundle, sorted by line and path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Mistakes(pub Vec<Mistake>);
 
--- a/crates/bundle/src/record.rs
+++ b/crates/bundle/src/record.rs
@@ -1,4 +1,4 @@
-//! What is appended to the `bundles` stream.
+//! Records of the `bundles` stream.
 
 #[cfg(test)]
 mod tests;
@@ -17,17 +17,17 @@
 use crate::snapshot::Snapshot;
 use crate::statement::Statement;
 
-/// The stream of bundles on the log service.
+/// The name of the stream on the log service.
 pub const STREAM: &str = "bundles";
 
-/// The most bytes of one record; larger snapshots are split. The log takes
-/// single records of this size in a round trip without holding up others.
+/// Larger snapshots are split into several records. The log accepts a single
+/// record of this size in one round trip without delaying others.
 pub const MAX_RECORD_BYTES: usize = 256 * 1024;
 
-/// Room for the frame around a part's bytes.
+/// Space reserved for the encoding around the bytes of a part.
 const PART_OVERHEAD_BYTES: usize = 256;
 
-/// One record.
+/// A record of the stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
     /// A new version.
@@ -36,7 +36,7 @@
     Checkpoint(Part),
 }
 
-/// A new version: what changes, and the signed statement on the result.
+/// A new version: its changes and the signed statement about the result.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
     /// The signed statement.
@@ -50,11 +50,11 @@
 /// A part of an encoded snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
-    /// The digest of the whole.
+    /// The digest of the whole snapshot.
     pub whole: Digest,
-    /// The place of this part; the first is 0.
+    /// The index of this part; the first is 0.
     pub index: u32,
-    /// How many parts there are.
+    /// The number of parts.
     pub count: u32,
     /// The bytes of this part.
     pub bytes: Blob,
@@ -103,11 +103,11 @@
         Ok(bytes)
     }
 
-    /// Returns the record of some bytes.
+    /// Decodes a record.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::IllFormed`] for bytes that are none, and
+    /// Returns [`Error::IllFormed`] if the bytes are not a record, and
     /// [`Error::TooLarge`] for more than [`MAX_RECORD_BYTES`].
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
         if bytes.len() > MAX_RECORD_BYTES {
@@ -117,7 +117,7 @@
     }
 }
 
-/// Returns the records of a checkpoint, to be appended in this order.
+/// Splits a snapshot into checkpoint records, to be appended in this order.
 #[must_use]
 pub fn checkpoint(snapshot: &Snapshot) -> Vec<Record> {
     let bytes = snapshot.encode();
@@ -137,11 +137,11 @@
         .collect()
 }
 
-/// A record as the log handed it out.
+/// A change that was read from the log but not folded yet.
 #[derive(Clone, Debug)]
 pub struct BufferedChange {
     /// Its offset.
     pub offset: Offset,
-    /// Its change, still encoded.
+    /// The encoded change.
     pub bytes: Blob,
 }
--- a/crates/bundle/src/record/tests.rs
+++ b/crates/bundle/src/record/tests.rs
@@ -23,8 +23,8 @@
     }
 }
 
-// A change of one workspace among thousands has to stay a few hundred bytes:
-// 3,400 of them a day go to every instance within six kilobytes a second.
+// A change of one workspace among thousands must stay at a few hundred bytes:
+// 3,400 of them a day go to every instance within six kilobytes per second.
 #[test]
 fn a_change_of_one_workspace_is_small() {
     let mut stream = Stream::new();
--- a/crates/bundle/src/renew.rs
+++ b/crates/bundle/src/renew.rs
@@ -1,10 +1,10 @@
-//! When to append a checkpoint, and which instance does.
+//! Decides when to append a checkpoint, and which instance does so.
 //!
-//! The log keeps records for a limited time. Before the oldest record that a
-//! reader without memory needs is dropped, the bundle in force is appended
-//! whole, so that a fleet whose instances are all replaced at once still
-//! finds it. Instances agree on nothing for this: each waits by its rank and
-//! sees on the stream that another was first.
+//! The log retains records for a limited time. Before it drops the oldest
+//! record that a reader with no state needs, an instance appends the whole
+//! bundle in force, so that a fleet whose instances are all replaced at once
+//! still finds it. Instances do not coordinate: each waits longer the higher
+//! its rank, and stops when a checkpoint of another one appears on the stream.
 
 #[cfg(test)]
 mod tests;
@@ -15,56 +15,58 @@
 
 use crate::snapshot::Anchor;
 
-/// Checkpoints are due at a third of the retention, which leaves two thirds
-/// for outages of the log and for writers that fail.
+/// A checkpoint is due after a third of the retention, which leaves two
+/// thirds for log outages and failed writers.
 const DUE_RETENTION_DIVISOR: u32 = 3;
 
-/// The wait between two ranks, as a part of the retention. The last rank
-/// goes at a third and eight twenty-fourths: two thirds of the retention.
+/// Each rank waits a further 1/24 of the retention. The last rank appends at
+/// a third plus eight twenty-fourths: two thirds of the retention.
 const RANK_DELAY_RETENTION_DIVISOR: u32 = 24;
 
-/// Ranks that wait for each other; beyond them one is as good as another.
+/// Higher ranks wait as long as this one.
 const MAX_DELAYED_RANK: u32 = 8;
 
-/// Records after a checkpoint that make the next one due however young it
-/// is. Half of what a reader keeps while it waits for a checkpoint, so that
-/// a fresh reader always keeps enough; at 3,400 changes a day two a day.
+/// The next checkpoint is due after this many records, whatever its age. This
+/// is half of what a reader buffers while it waits for a checkpoint, so that a
+/// new reader always buffers enough. At 3,400 changes a day it means two
+/// checkpoints a day.
 const MAX_RECORDS_SINCE_CHECKPOINT: u64 = 2_048;
 
-/// Further records for each rank.
+/// Each rank waits for this many further records, so that one instance appends
+/// first.
 const EXTRA_RECORDS_PER_RANK: u64 = 128;
 
-/// How often one instance tries again while no checkpoint shows.
+/// The delay before an instance retries while no checkpoint appears.
 const RETRY_DELAY: Duration = Duration::from_secs(30);
 
-/// What an instance knows when it asks.
+/// The inputs of a decision.
 #[derive(Clone, Copy, Debug)]
 pub struct View {
-    /// The time now.
+    /// The current time.
     pub now: Moment,
-    /// How long the log keeps records.
+    /// How long the log retains records.
     pub retention: Duration,
     /// The oldest record needed, from [`Fold::anchor`](crate::fold::Fold::anchor);
     /// `None` while nothing is in force or the stream has a gap.
     pub anchor: Option<Anchor>,
     /// The next offset of the stream.
     pub next: u64,
-    /// When this instance last tried to append one.
+    /// When this instance last tried to append a checkpoint.
     pub tried: Option<Moment>,
-    /// The place of this instance among the live ones, by name; first is 0.
+    /// The index of this instance among the live ones, sorted by name.
     pub rank: u32,
 }
 
 /// What to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Ask again at this time, or when a record shows.
+    /// Decide again at this time, or when a record appears.
     Wait(Moment),
     /// Append the records of [`record::checkpoint`](crate::record::checkpoint).
     Append,
 }
 
-/// Returns whether this instance appends a checkpoint now.
+/// Decides whether this instance appends a checkpoint now.
 #[must_use]
 pub fn decide(view: &View) -> Next {
     let Some(anchor) = view.anchor else {
@@ -87,7 +89,7 @@
 }
 
 fn due(anchor: Anchor, retention: Duration, rank: u32) -> Moment {
-    // The time comes from a peer, so it may be any.
+    // The time comes from a peer, so it may have any value.
     let wait = retention / DUE_RETENTION_DIVISOR + retention / RANK_DELAY_RETENTION_DIVISOR * rank;
     anchor.since.saturating_add(wait)
 }
--- a/crates/bundle/src/renew/tests.rs
+++ b/crates/bundle/src/renew/tests.rs
@@ -19,10 +19,10 @@
     }
 }
 
-// All instances are replaced at once after a quiet week. If the last change
-// had been dropped from the log by then, no instance would find a bundle.
-// Even if eight writers fail one after the other, a ninth still appends while
-// a third of the retention is left.
+// All instances are replaced at once after a week without changes. If the log
+// had dropped the last change by then, no instance would find a bundle. Even if
+// eight writers fail in turn, a ninth must still append a checkpoint while a
+// third of the retention is left.
 #[test]
 fn a_checkpoint_is_due_well_before_the_oldest_record_goes() {
     assert_eq!(decide(&view(107 * HOUR, 0)), Next::Wait(108 * HOUR));
--- a/crates/bundle/src/resolve.rs
+++ b/crates/bundle/src/resolve.rs
@@ -1,4 +1,4 @@
-//! The policy that decisions are taken on, from a checked bundle.
+//! Converts a checked bundle to the policy that routing decisions use.
 
 #[cfg(test)]
 mod tests;
@@ -24,7 +24,7 @@
     }
 }
 
-/// Returns one workspace by its name and declaration.
+/// Returns the policy of one workspace.
 #[must_use]
 pub fn workspace(name: &str, workspace: &Workspace) -> policy::Workspace {
     policy::Workspace {
--- a/crates/bundle/src/root.rs
+++ b/crates/bundle/src/root.rs
@@ -1,9 +1,9 @@
-//! The root digest of all entries, kept up to date at the cost of a change.
+//! The root digest of all entries, updated incrementally.
 //!
-//! Entries fall into buckets by the digest of their name. A bucket's digest
-//! is taken over the sorted digests of its entries, the root over the digests
-//! of the buckets. A change of one entry then re-hashes one bucket and the
-//! top, in place of every entry: `docs/design/bundles.md` has the figures.
+//! Entries are assigned to buckets by the digest of their name. A bucket's
+//! digest covers the sorted digests of its entries, and the root covers the
+//! digests of the buckets. A change of one entry rehashes one bucket and the
+//! root instead of every entry: `docs/design/bundles.md` has the figures.
 
 #[cfg(test)]
 mod tests;
@@ -16,9 +16,9 @@
 use crate::delta::Delta;
 use crate::entry::Entries;
 
-/// Buckets of the tree. At 8,900 entries a bucket has 35, about a kilobyte of
-/// digests, against eight kilobytes for the top; more buckets would make the
-/// top dearer than the bucket saves, fewer the reverse.
+/// At 8,900 entries a bucket has 35, about a kilobyte of digests, and the root
+/// covers eight kilobytes. With more buckets the root would cost more to hash
+/// than smaller buckets save; with fewer buckets the reverse.
 const BUCKETS: usize = 256;
 
 /// Entries with their root digest.
@@ -36,7 +36,7 @@
 }
 
 impl Tree {
-    /// Returns the tree of some entries.
+    /// Builds the tree of `entries`.
     #[must_use]
     pub fn new(entries: Entries) -> Self {
         let mut buckets = vec![Bucket::default(); BUCKETS];
@@ -68,7 +68,7 @@
         self.root
     }
 
-    /// Applies a change and returns the one that takes it back.
+    /// Applies a change and returns the change that undoes it.
     pub fn apply(&mut self, delta: Delta) -> Delta {
         let mut undo = Delta::default();
         let mut changed = BTreeSet::new();
@@ -109,7 +109,7 @@
     }
 }
 
-/// Returns the root digest of some entries.
+/// Returns the root digest of `entries`.
 #[must_use]
 pub fn of(entries: &Entries) -> Digest {
     let mut leaves = vec![BTreeSet::new(); BUCKETS];
@@ -127,8 +127,8 @@
     usize::from(blake3::hash(name.as_bytes()).as_bytes()[0])
 }
 
-// The name's length goes first, so that no two pairs of name and bytes give
-// the same input.
+// The length of the name is hashed first, so that no two pairs of name and
+// bytes produce the same input.
 fn leaf_digest(name: &str, blob: &Blob) -> Digest {
     let mut hasher = Hasher::new();
     hasher.update(&(name.len() as u64).to_le_bytes());
--- a/crates/bundle/src/root/tests.rs
+++ b/crates/bundle/src/root/tests.rs
@@ -19,7 +19,7 @@
         ..ProptestConfig::default()
     })]
 
-    // The root after a change must be the one of the entries taken afresh, or
+    // The root after a change must equal the root computed from all entries, or
     // instances that started at different times would disagree.
     #[test]
     fn a_change_gives_the_root_of_its_result(old in entries(), new in entries()) {
@@ -29,7 +29,7 @@
         prop_assert_eq!(tree.root(), root::of(&new));
     }
 
-    // A refused change is taken back whole, whatever it puts and removes.
+    // A rejected change must be undone completely, whatever it puts and removes.
     #[test]
     fn any_change_can_be_taken_back(
         old in entries(),
--- a/crates/bundle/src/schema.rs
+++ b/crates/bundle/src/schema.rs
@@ -1,9 +1,9 @@
-//! The typed bundle, with every default filled in.
+//! The typed bundle, with all defaults filled in.
 //!
-//! The structs are also the canonical form of entries: they are written with
-//! `rmp-serde` as arrays, so the order of fields is part of the format. A
-//! field is only ever added at the end, and routers are updated before the
-//! first bundle that uses it.
+//! The structs also define the canonical form of entries: `rmp-serde` encodes
+//! them as arrays, so the order of fields is part of the format. New fields
+//! go at the end, and routers must be updated before the first bundle that
+//! uses one.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -18,7 +18,7 @@
 pub struct Bundle {
     /// The version; the first is 1.
     pub version: Version,
-    /// What holds for the fleet as a whole.
+    /// Fleet-wide settings.
     pub fleet: Fleet,
     /// Who may sign the next version.
     pub operators: BTreeMap<String, Operator>,
@@ -30,20 +30,20 @@
     pub models: BTreeMap<String, Model>,
     /// Customers.
     pub workspaces: BTreeMap<String, Workspace>,
-    /// How paths reach services.
+    /// The mapping of paths to services.
     pub routes: Vec<Route>,
 }
 
-/// What holds for the fleet as a whole.
+/// Fleet-wide settings.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fleet {
-    /// The fleet's name, which the routers' settings repeat.
+    /// The fleet's name; it must match the routers' settings.
     pub name: String,
-    /// How long an idempotency key is honoured.
+    /// How long an idempotency key stays valid.
     pub claim_window: Duration,
 }
 
-/// Someone who may sign the next version.
+/// A person who may sign the next version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Operator {
     /// The Ed25519 public key.
@@ -53,17 +53,17 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Class {
-    /// Strict priority between classes; 0 goes first.
+    /// Strict priority between classes; 0 is served first.
     pub priority: u8,
-    /// Share against other classes of the same priority.
+    /// Weight relative to other classes of the same priority.
     pub weight: f64,
-    /// The time a caller waits when it states none.
+    /// The deadline of requests that state none.
     pub deadline: Duration,
-    /// Whether requests may wait in a queue at all.
+    /// Whether requests may wait in a queue.
     pub queue: bool,
 }
 
-/// What kind of endpoints serve a service.
+/// The kind of endpoints that serve a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
@@ -73,58 +73,58 @@
     Plain,
 }
 
-/// A service and how work is spread over its endpoints.
+/// A service and how requests are distributed over its endpoints.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
     /// The kind of its endpoints.
     pub kind: Kind,
-    /// The set multiple of the mean load that no endpoint may exceed.
+    /// The multiple of the mean load that no endpoint may exceed.
     pub load_bound: f64,
-    /// The weight of cache reuse against skew, from 0 to 1.
+    /// The weight of cache reuse relative to load skew, from 0 to 1.
     pub reuse: f64,
-    /// Requests that one endpoint runs at once.
+    /// The number of requests that one endpoint runs concurrently.
     pub slots: u32,
-    /// Whether its endpoints refuse orders with an old fencing number.
+    /// Whether its endpoints reject requests with an old fencing number.
     pub checks_fencing: bool,
 }
 
-/// A model and its steady shape of work.
+/// A model and its expected load.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Model {
     /// The service whose engines load it.
     pub service: String,
     /// The version of the weights.
     pub weights: String,
-    /// Engines that should have it loaded.
+    /// The number of engines that should have it loaded.
     pub replicas: u32,
-    /// Answer tokens expected when the caller sets no limit.
+    /// The answer tokens expected if the caller sets no limit.
     pub answer_tokens: u32,
 }
 
 /// A customer of the marketplace.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Workspace {
-    /// Share against other workspaces under contention.
+    /// Weight relative to other workspaces under contention.
     pub weight: f64,
-    /// Requests a second over the whole fleet.
+    /// Requests per second across the fleet.
     pub rate: f64,
-    /// Requests at once over the whole fleet.
+    /// Concurrent requests across the fleet.
     pub concurrency: u32,
     /// Services it may call.
     pub services: BTreeSet<String>,
 }
 
-/// How a path reaches a service.
+/// A mapping of a path to a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// The prefix of paths that it takes.
+    /// The path prefix that it matches.
     pub path: String,
-    /// Methods that it takes; empty for all.
+    /// The methods that it matches; empty for all.
     pub methods: BTreeSet<String>,
-    /// The service it leads to.
+    /// The target service.
     pub service: String,
     /// The class of its requests.
     pub class: String,
-    /// Whether its requests may run at most once and need a key.
+    /// Whether its requests may run at most once, which requires a key.
     pub unrepeatable: bool,
 }
--- a/crates/bundle/src/signature.rs
+++ b/crates/bundle/src/signature.rs
@@ -12,10 +12,10 @@
     Signature(key.0.sign(&statement.message()).to_bytes())
 }
 
-/// Returns whether `signature` on `statement` is by the holder of `key`.
+/// Returns whether `signature` on `statement` was made with `key`.
 ///
-/// The strict check refuses weak keys and second forms of a signature, so
-/// that two instances never differ about one.
+/// Strict verification rejects weak keys and malleable signatures, so that all
+/// instances agree on whether a signature is valid.
 #[must_use]
 pub fn verify(statement: &Statement, signature: &Signature, key: Digest) -> bool {
     let signature = ed25519_dalek::Signature::from_bytes(&signature.0);
--- a/crates/bundle/src/snapshot.rs
+++ b/crates/bundle/src/snapshot.rs
@@ -1,4 +1,5 @@
-//! All that is in force, as a peer or a checkpoint hands it over.
+//! Snapshots and updates of the bundle in force, as peers and checkpoints
+//! carry them.
 
 use displaydoc::Display;
 use godwitpost_types::clock::Moment;
@@ -10,12 +11,12 @@
 use crate::lineage::Link;
 use crate::statement::Statement;
 
-/// The bundle in force with the proof of it.
+/// The bundle in force with the signatures that prove it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The first offset of the stream that is not folded in yet.
+    /// The first offset of the stream that the snapshot does not cover.
     pub next: Offset,
-    /// Where a reader without any memory would have to start.
+    /// Where a reader with no state has to start.
     pub anchor: Anchor,
     /// The signed statement of the version in force.
     pub statement: Statement,
@@ -27,7 +28,7 @@
     pub entries: Entries,
 }
 
-/// The oldest record that a reader without any memory needs.
+/// The oldest record that a reader with no state needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Anchor {
     /// Its offset: the first one that the latest checkpoint does not cover.
@@ -39,11 +40,11 @@
 /// The latest changes, for a peer that is a few versions behind.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// The first offset that is not folded in after them.
+    /// The first offset that the update does not cover.
     pub next: Offset,
-    /// Where a reader without any memory would have to start.
+    /// Where a reader with no state has to start.
     pub anchor: Anchor,
-    /// The digest of the statement in force after them.
+    /// The digest of the statement in force after the changes.
     pub statement: Digest,
     /// Encoded [`Record::Change`](crate::record::Record)s, oldest first.
     pub changes: Vec<Blob>,
@@ -65,17 +66,17 @@
         self.statement.version
     }
 
-    /// Returns its bytes.
+    /// Encodes the snapshot.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         entry::encode(self).0
     }
 
-    /// Returns the snapshot of some bytes.
+    /// Decodes a snapshot.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::IllFormed`] for bytes that are none.
+    /// Returns [`Error::IllFormed`] if the bytes are not a snapshot.
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
         rmp_serde::from_slice(bytes).map_err(|_cause| Error::IllFormed)
     }
--- a/crates/bundle/src/source.rs
+++ b/crates/bundle/src/source.rs
@@ -1,4 +1,4 @@
-//! A bundle from YAML, with every mistake told at once.
+//! Parses a bundle from YAML and reports all mistakes at once.
 
 mod node;
 mod reader;
@@ -21,18 +21,18 @@
 use reader::{Map, Notes};
 pub use write::write;
 
-/// The window of a bundle that states none: well above a caller's resends,
-/// which come within minutes, and well below the log's retention.
+/// Well above the time in which callers resend, which is minutes, and well
+/// below the log's retention.
 const DEFAULT_CLAIM_WINDOW: Duration = Duration::from_mins(15);
 
-/// The top of ranges that only guard against slips of the keyboard.
+/// The limit only catches typing errors.
 const MAX_RATE: f64 = 1e9;
 
-/// Weights are ratios; six orders of magnitude are more than fairness can
-/// tell apart.
+/// Weights are ratios; six orders of magnitude are more than fair scheduling
+/// can distinguish.
 const WEIGHT_RANGE: (f64, f64) = (0.001, 1000.0);
 
-/// Reads a bundle and checks it whole.
+/// Parses a bundle and checks all of it.
 ///
 /// # Errors
 ///
--- a/crates/bundle/src/source/node.rs
+++ b/crates/bundle/src/source/node.rs
@@ -1,7 +1,8 @@
-//! YAML as a tree that knows its lines.
+//! A YAML tree with line numbers.
 //!
-//! Reading straight into typed structs would stop at the first wrong value.
-//! The tree is read whole, so that every mistake can be told at once.
+//! Deserializing straight into typed structs would stop at the first invalid
+//! value. Parsing the whole tree first allows all mistakes to be reported at
+//! once.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -37,7 +38,7 @@
 }
 
 impl Node {
-    /// Returns what kind of value this is, as a message names it.
+    /// Describes the value for an error message.
     #[must_use]
     pub fn describe(&self) -> String {
         match self {
--- a/crates/bundle/src/source/reader.rs
+++ b/crates/bundle/src/source/reader.rs
@@ -1,4 +1,5 @@
-//! Typed reading of the tree, noting mistakes instead of stopping at them.
+//! Reads typed values from the tree and collects mistakes instead of stopping
+//! at the first.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,14 +10,14 @@
 /// Mistakes found so far and the line of each key path.
 #[derive(Debug, Default)]
 pub struct Notes {
-    /// What was wrong.
+    /// The mistakes found.
     pub mistakes: Vec<Mistake>,
-    /// Where each key stands, for the checks that follow.
+    /// The line of each key path, for the checks that follow.
     pub lines: BTreeMap<String, u64>,
 }
 
 impl Notes {
-    /// Notes a mistake at a path whose line is known.
+    /// Adds a mistake at `path`, with the line of that path.
     pub fn add(&mut self, path: &str, problem: impl Into<String>, remedy: impl Into<String>) {
         let mut mistake = Mistake::new(path, problem, remedy);
         mistake.line = line_of(&self.lines, path);
@@ -24,7 +25,7 @@
     }
 }
 
-/// Returns the line of a path or of the nearest key above it.
+/// Returns the line of a path or of its nearest known ancestor.
 #[must_use]
 pub fn line_of(lines: &BTreeMap<String, u64>, path: &str) -> Option<u64> {
     let mut path = path;
@@ -36,9 +37,9 @@
     }
 }
 
-/// One map of the source, whose keys are taken one by one.
+/// A map of the source, whose keys are removed as they are read.
 ///
-/// [`Map::finish`] refuses the keys that nobody took.
+/// [`Map::finish`] reports the remaining keys as mistakes.
 #[derive(Debug)]
 pub struct Map {
     path: String,
@@ -47,7 +48,8 @@
 }
 
 impl Map {
-    /// Returns the map at `path`, empty with a mistake noted if it is none.
+    /// Returns the map at `path`. If the node is not a map, adds a mistake and
+    /// returns an empty map.
     pub fn new(path: &str, node: Node, notes: &mut Notes) -> Self {
         let fields = match node {
             Node::Map(fields) => fields,
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Returns every key with its path and value, for maps of names.
+    /// Returns every key with its path and value, for maps keyed by name.
     pub fn named(self) -> impl Iterator<Item = (String, String, Node)> {
         let path = self.path;
         self.fields.into_iter().map(move |(key, field)| {
@@ -76,7 +78,7 @@
         })
     }
 
-    /// Takes a key; `None` if it is absent.
+    /// Removes a key and returns its value; `None` if it is absent.
     pub fn take(&mut self, key: &'static str) -> Option<Node> {
         self.known.push(key);
         self.fields.remove(key).map(|field| field.node)
@@ -88,7 +90,7 @@
         join(&self.path, key)
     }
 
-    /// Takes a number within `[least, most]`.
+    /// Reads a number within `[least, most]`.
     pub fn number(
         &mut self,
         key: &'static str,
@@ -104,7 +106,7 @@
         self.read(key, default, least, &remedy, read, notes)
     }
 
-    /// Takes a whole number within `[least, most]`.
+    /// Reads an integer within `[least, most]`.
     pub fn integer(
         &mut self,
         key: &'static str,
@@ -120,7 +122,7 @@
         self.read(key, default, least, &remedy, read, notes)
     }
 
-    /// Takes `true` or `false`.
+    /// Reads a boolean.
     pub fn flag(&mut self, key: &'static str, default: bool, notes: &mut Notes) -> bool {
         let read = |node: &Node| match node {
             Node::Bool(value) => Some(*value),
@@ -136,7 +138,7 @@
         )
     }
 
-    /// Takes a string.
+    /// Reads a non-empty string.
     pub fn text(&mut self, key: &'static str, remedy: &str, notes: &mut Notes) -> String {
         let read = |node: &Node| match node {
             Node::Text(value) if !value.is_empty() => Some(value.clone()),
@@ -145,7 +147,7 @@
         self.read(key, None, String::new(), remedy, read, notes)
     }
 
-    /// Takes a duration such as `500ms`, `5s`, `15m` or `1h`.
+    /// Reads a duration such as `500ms`, `5s`, `15m` or `1h`.
     pub fn duration(
         &mut self,
         key: &'static str,
@@ -160,7 +162,7 @@
         self.read(key, default, Duration::ZERO, remedy, read, notes)
     }
 
-    /// Takes a list of strings; absent is empty.
+    /// Reads a list of strings; an absent key gives an empty set.
     pub fn texts(
         &mut self,
         key: &'static str,
@@ -177,8 +179,8 @@
         )
     }
 
-    /// Takes a key by `read`; notes a mistake and returns `filler` if that
-    /// fails, or if the key is absent and has no default.
+    /// Reads a key with `read`. If that fails, or if the key is absent and has
+    /// no default, adds a mistake and returns `filler`.
     pub fn read<T>(
         &mut self,
         key: &'static str,
@@ -199,7 +201,7 @@
         })
     }
 
-    /// Refuses the keys that are left.
+    /// Adds a mistake for each key that was not read.
     pub fn finish(self, notes: &mut Notes) {
         for key in self.fields.keys() {
             let remedy = format!("remove it; known here: {}", self.known.join(", "));
@@ -229,7 +231,7 @@
         .collect()
 }
 
-/// Parses a whole number with one of the units ms, s, m, h.
+/// Parses a positive integer with one of the units ms, s, m, h.
 #[must_use]
 pub fn duration(text: &str) -> Option<Duration> {
     let split = text.find(|c: char| !c.is_ascii_digit())?;
--- a/crates/bundle/src/source/tests.rs
+++ b/crates/bundle/src/source/tests.rs
@@ -41,8 +41,9 @@
     assert!(bundle.routes[1].unrepeatable);
 }
 
-// An operator mends one mistake, runs the check and is shown the next, ten
-// times over. All mistakes of shape have to come at once, with their lines.
+// Without this, an operator would fix one mistake, run the check and see the
+// next, ten times over. All mistakes of form must be reported at once, with
+// their lines.
 #[test]
 fn every_mistake_of_shape_is_told_at_once() {
     let yaml = FULL_BUNDLE
@@ -96,8 +97,8 @@
     assert!(text.contains("version: is missing"), "{text}");
 }
 
-// At the size of two years from now the library's limits on hostile
-// documents must not refuse the operator's own file.
+// The YAML library limits the size of hostile documents. These limits must not
+// reject an operator's own file at the size expected in two years.
 #[test]
 fn a_bundle_of_8900_workspaces_is_read() {
     use std::fmt::Write;
--- a/crates/bundle/src/source/write.rs
+++ b/crates/bundle/src/source/write.rs
@@ -1,4 +1,4 @@
-//! A bundle as YAML again, for an operator to edit.
+//! Writes a bundle as YAML for an operator to edit.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,12 +9,12 @@
 
 use crate::schema::{Bundle, Class, Model, Operator, Route, Service, Workspace};
 
-/// Returns the YAML that reads as `bundle`, with every default written out.
+/// Returns YAML that parses to `bundle`, with all defaults written out.
 ///
 /// # Panics
 ///
-/// Panics if the bundle cannot be written, which is a bug: it holds plain
-/// values only.
+/// Panics if the bundle cannot be serialized, which is a bug: it contains only
+/// plain values.
 #[must_use]
 pub fn write(bundle: &Bundle) -> String {
     let yaml = Yaml {
--- a/crates/bundle/src/statement.rs
+++ b/crates/bundle/src/statement.rs
@@ -1,4 +1,4 @@
-//! What an operator signs.
+//! The statement that an operator signs.
 
 use godwitpost_types::id::Version;
 use serde::{Deserialize, Serialize};
@@ -8,13 +8,13 @@
 use crate::lineage::Operators;
 use crate::schema::Bundle;
 
-/// Parts signatures of statements from any other use of the same key.
+/// Separates signatures of statements from any other use of the same key.
 const SIGNATURE_DOMAIN: &[u8] = b"godwitpost bundle statement 1\0";
 
-/// One version's claim on what the entries are after it.
+/// A version and the digest of its entries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Statement {
-    /// The fleet that it is for.
+    /// The fleet that the version is for.
     pub fleet: String,
     /// One more than the version it replaces.
     pub version: Version,
@@ -24,16 +24,16 @@
     pub root: Digest,
     /// The digest of the operators after the change.
     ///
-    /// It lets an instance that starts from a peer's word follow the change
-    /// of keys from the settings' root keys without the old versions.
+    /// It lets an instance that starts from a peer's snapshot verify changes of
+    /// keys from the root keys in its settings without the old versions.
     pub operators: Digest,
-    /// Who signs.
+    /// The operator who signs.
     pub operator: String,
 }
 
 impl Statement {
-    /// Returns the statement on `bundle` by `operator`, given its parent's
-    /// root digest and its own.
+    /// Returns the statement of `operator` about `bundle`, given the root
+    /// digests of its parent and of the bundle.
     #[must_use]
     pub fn new(bundle: &Bundle, parent: Digest, root: Digest, operator: &str) -> Self {
         Self {
@@ -54,7 +54,7 @@
         message
     }
 
-    /// Returns the digest that stands for this statement.
+    /// Returns the digest that identifies this statement.
     #[must_use]
     pub fn digest(&self) -> Digest {
         Digest::of(&self.message())
--- a/crates/operator/src/keyfile.rs
+++ b/crates/operator/src/keyfile.rs
@@ -1,4 +1,4 @@
-//! PrivateKey keys in files that only their owner reads.
+//! Private keys in files that only their owner reads.
 
 use std::fs::{File, OpenOptions};
 use std::io::{Read, Write};
