--- a/crates/bundle/src/entry/tests.rs
+++ b/crates/bundle/src/entry/tests.rs
@@ -4,7 +4,7 @@
 use crate::source::tests::FULL_BUNDLE;
 
 #[test]
-fn a_bundle_survives_its_entries() {
+fn splitting_and_joining_entries_preserves_a_bundle() {
     let bundle = source::read(FULL_BUNDLE).expect("it is right");
     let entries = entry::split(&bundle);
     assert!(entries.contains_key("workspace/otaru"));
--- a/crates/bundle/src/fold.rs
+++ b/crates/bundle/src/fold.rs
@@ -128,7 +128,7 @@
     /// Returns the offset to read the stream from.
     #[must_use]
     pub fn next_offset(&self) -> Offset {
-        self.gap.as_ref().map_or(self.next, |gap| gap.read)
+        self.gap.as_ref().map_or(self.next, |gap| gap.next)
     }
 
     /// Returns whether records were dropped that no snapshot or checkpoint
@@ -160,7 +160,7 @@
         }
         self.times.record(offset, time);
         match &mut self.gap {
-            Some(gap) => gap.read = offset + 1,
+            Some(gap) => gap.next = offset + 1,
             None => self.next = offset + 1,
         }
         match Record::decode(bytes) {
@@ -202,12 +202,12 @@
             return next;
         }
         let statement = change.statement.clone();
-        let taken = match &mut self.active {
+        let result = match &mut self.active {
             Some(active) => active.apply_change(change),
             None => ActiveBundle::from_first_change(change, anchor)
                 .map(|active| self.active = Some(active)),
         };
-        if let Err(refusal) = taken {
+        if let Err(refusal) = result {
             return Next::Refused(refusal);
         }
         let version = statement.version;
--- a/crates/bundle/src/fold/gap.rs
+++ b/crates/bundle/src/fold/gap.rs
@@ -26,7 +26,7 @@
     /// Every change from this offset on is buffered.
     pub first: Offset,
     /// The next offset to read.
-    pub read: Offset,
+    pub next: Offset,
     records: VecDeque<BufferedChange>,
     bytes: usize,
 }
@@ -36,7 +36,7 @@
     pub fn new(first: Offset) -> Self {
         Self {
             first,
-            read: first,
+            next: first,
             records: VecDeque::new(),
             bytes: 0,
         }
--- a/crates/bundle/src/fold/held.rs
+++ b/crates/bundle/src/fold/held.rs
@@ -83,16 +83,16 @@
     ///
     /// The caller must have checked version, parent and signature.
     pub fn apply_change(&mut self, change: Change) -> Result<(), Refusal> {
-        let small = only_workspaces(&change.delta);
+        let workspaces_only = only_workspaces(&change.delta);
         let undo = self.tree.apply(change.delta.clone());
-        let taken = if small {
+        let result = if workspaces_only {
             self.apply_workspaces(&change)
         } else {
             self.apply_full(&change)
         };
-        if taken.is_err() {
+        if result.is_err() {
             self.tree.apply(undo);
-            return taken;
+            return result;
         }
         self.policy.version = change.statement.version;
         self.statement = change.statement;
--- a/crates/bundle/src/fold/peer.rs
+++ b/crates/bundle/src/fold/peer.rs
@@ -140,8 +140,8 @@
         let Some(kept) = self.gap.as_ref().and_then(|gap| gap.changes_from(next)) else {
             return;
         };
-        let read = self.gap.take().map_or(next, |gap| gap.read);
-        self.next = self.next.max(read);
+        let next_read = self.gap.take().map_or(next, |gap| gap.next);
+        self.next = self.next.max(next_read);
         for record in kept {
             if let Ok(Record::Change(change)) = Record::decode(&record.bytes.0) {
                 self.apply_change(change, &record.bytes.0, anchor);
--- a/crates/bundle/src/fold/refusal.rs
+++ b/crates/bundle/src/fold/refusal.rs
@@ -48,12 +48,12 @@
     Parent,
     /// it is not signed by an operator of the bundle in force ({0} is named); sign with a key that it names
     Signature(String),
-    /// its root or operators digest is not what its entries give; sign it again
+    /// its root or operators digest does not match its entries; sign it again
     Root,
     /// the bundle has mistakes:
     /// {0}
     Content(Mistakes),
-    /// it claims to fold records that were not there yet; restart the instance that wrote it
+    /// it covers records after its own place on the log; restart the instance that wrote it
     Future,
     /// it contradicts what is in force here; compare the two instances' GET /bundle and restart the wrong one
     Contradiction,
--- a/crates/bundle/src/record/tests.rs
+++ b/crates/bundle/src/record/tests.rs
@@ -2,7 +2,7 @@
 use crate::record::{self, Error, MAX_RECORD_BYTES, Record};
 
 #[test]
-fn bytes_that_are_no_record_are_refused() {
+fn invalid_bytes_are_refused() {
     assert_eq!(Record::decode(b"hello"), Err(Error::IllFormed));
     assert_eq!(Record::decode(&[]), Err(Error::IllFormed));
     let large = vec![0; MAX_RECORD_BYTES + 1];
--- a/crates/bundle/src/renew/tests.rs
+++ b/crates/bundle/src/renew/tests.rs
@@ -24,7 +24,7 @@
 // eight writers fail in turn, a ninth must still append a checkpoint while a
 // third of the retention is left.
 #[test]
-fn a_checkpoint_is_due_well_before_the_oldest_record_goes() {
+fn a_checkpoint_is_due_well_before_the_oldest_record_is_dropped() {
     assert_eq!(decide(&view(107 * HOUR, 0)), Next::Wait(108 * HOUR));
     assert_eq!(decide(&view(108 * HOUR, 0)), Next::Append);
     assert_eq!(decide(&view(108 * HOUR, 1)), Next::Wait(109 * HOUR));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn an_append_without_effect_is_tried_again_after_a_while() {
+fn an_append_without_effect_is_retried_after_a_delay() {
     let mut view = view(110 * HOUR, 0);
     view.tried = Some(110 * HOUR);
     let retry = 110 * HOUR + Duration::from_secs(30);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn an_instance_that_cannot_speak_for_the_stream_stays_silent() {
+fn an_instance_without_an_anchor_appends_nothing() {
     let mut view = view(110 * HOUR, 0);
     view.anchor = None;
     assert!(matches!(decide(&view), Next::Wait(_)));
--- a/crates/bundle/src/resolve/tests.rs
+++ b/crates/bundle/src/resolve/tests.rs
@@ -5,7 +5,7 @@
 use crate::source::tests::FULL_BUNDLE;
 
 #[test]
-fn names_become_ids_and_cross_references_hold() {
+fn names_become_ids_and_references_use_them() {
     let policy = resolve::bundle(&source::read(FULL_BUNDLE).expect("it is right"));
     assert_eq!(policy.version, 2);
     let route = policy.route("POST", "/orders/7").expect("it is routed");
--- a/crates/bundle/src/root/tests.rs
+++ b/crates/bundle/src/root/tests.rs
@@ -31,7 +31,7 @@
 
     // A rejected change must be undone completely, whatever it puts and removes.
     #[test]
-    fn any_change_can_be_taken_back(
+    fn any_change_can_be_undone(
         old in entries(),
         puts in entries(),
         removes in btree_set("[a-c]{1,2}", 0..6),
--- a/crates/bundle/src/source.rs
+++ b/crates/bundle/src/source.rs
@@ -97,7 +97,9 @@
     let Some(node) = map.take(key) else {
         return BTreeMap::new();
     };
-    let entries = Map::new(&path, node, notes).named().collect::<Vec<_>>();
+    let entries = Map::new(&path, node, notes)
+        .into_entries()
+        .collect::<Vec<_>>();
     entries
         .into_iter()
         .map(|(name, path, node)| {
--- a/crates/bundle/src/source/reader.rs
+++ b/crates/bundle/src/source/reader.rs
@@ -70,7 +70,7 @@
     }
 
     /// Returns every key with its path and value, for maps keyed by name.
-    pub fn named(self) -> impl Iterator<Item = (String, String, Node)> {
+    pub fn into_entries(self) -> impl Iterator<Item = (String, String, Node)> {
         let path = self.path;
         self.fields.into_iter().map(move |(key, field)| {
             let path = join(&path, &key);
@@ -95,15 +95,15 @@
         &mut self,
         key: &'static str,
         default: Option<f64>,
-        (least, most): (f64, f64),
+        (min, max): (f64, f64),
         notes: &mut Notes,
     ) -> f64 {
-        let remedy = format!("write a number from {least} to {most}");
+        let remedy = format!("write a number from {min} to {max}");
         let read = |node: &Node| match node {
-            Node::Number(value) if (least..=most).contains(value) => Some(*value),
+            Node::Number(value) if (min..=max).contains(value) => Some(*value),
             _ => None,
         };
-        self.read(key, default, least, &remedy, read, notes)
+        self.read(key, default, min, &remedy, read, notes)
     }
 
     /// Reads an integer within `[least, most]`.
@@ -111,15 +111,15 @@
         &mut self,
         key: &'static str,
         default: Option<u32>,
-        (least, most): (u32, u32),
+        (min, max): (u32, u32),
         notes: &mut Notes,
     ) -> u32 {
-        let remedy = format!("write a whole number from {least} to {most}");
+        let remedy = format!("write a whole number from {min} to {max}");
         let read = |node: &Node| match node {
-            Node::Number(value) => whole(*value).filter(|value| (least..=most).contains(value)),
+            Node::Number(value) => whole(*value).filter(|value| (min..=max).contains(value)),
             _ => None,
         };
-        self.read(key, default, least, &remedy, read, notes)
+        self.read(key, default, min, &remedy, read, notes)
     }
 
     /// Reads a boolean.
--- a/crates/bundle/src/source/tests.rs
+++ b/crates/bundle/src/source/tests.rs
@@ -45,7 +45,7 @@
 // next, ten times over. All mistakes of form must be reported at once, with
 // their lines.
 #[test]
-fn every_mistake_of_shape_is_told_at_once() {
+fn all_mistakes_of_form_are_reported_at_once() {
     let yaml = FULL_BUNDLE
         .replace("rate: 50", "rate: fast")
         .replace("slots: 64", "slots: 0, colour: red")
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn every_broken_reference_is_told_at_once() {
+fn all_broken_references_are_reported_at_once() {
     let yaml = FULL_BUNDLE
         .replace("[drafting, ordering]", "[drafting, booking]")
         .replace("class: order,", "class: orders,")
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_missing_key_is_told() {
+fn a_missing_key_is_reported() {
     let text = mistakes("fleet: kitakaze\n");
     assert!(text.contains("version: is missing"), "{text}");
 }
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn what_is_written_reads_the_same() {
+fn written_yaml_parses_to_the_same_bundle() {
     let mut bundle = read(FULL_BUNDLE).expect("it is right");
     let draft = bundle.classes.get_mut("draft").expect("it is there");
     draft.deadline = Duration::from_millis(1_500);
--- a/crates/bundle/src/source/write.rs
+++ b/crates/bundle/src/source/write.rs
@@ -17,7 +17,7 @@
 /// plain values.
 #[must_use]
 pub fn write(bundle: &Bundle) -> String {
-    let yaml = Yaml {
+    let yaml = BundleYaml {
         fleet: &bundle.fleet.name,
         version: bundle.version,
         claim_window: duration(bundle.fleet.claim_window),
@@ -32,12 +32,12 @@
 }
 
 #[derive(Serialize)]
-struct Yaml<'a> {
+struct BundleYaml<'a> {
     fleet: &'a str,
     version: u64,
     claim_window: String,
-    operators: BTreeMap<&'a str, Key>,
-    classes: BTreeMap<&'a str, Timed>,
+    operators: BTreeMap<&'a str, OperatorYaml>,
+    classes: BTreeMap<&'a str, ClassYaml>,
     services: &'a BTreeMap<String, Service>,
     models: &'a BTreeMap<String, Model>,
     workspaces: &'a BTreeMap<String, Workspace>,
@@ -45,12 +45,12 @@
 }
 
 #[derive(Serialize)]
-struct Key {
+struct OperatorYaml {
     key: String,
 }
 
 #[derive(Serialize)]
-struct Timed {
+struct ClassYaml {
     priority: u8,
     weight: f64,
     deadline: String,
@@ -64,14 +64,14 @@
         .collect()
 }
 
-fn operator(operator: &Operator) -> Key {
-    Key {
+fn operator(operator: &Operator) -> OperatorYaml {
+    OperatorYaml {
         key: STANDARD.encode(operator.key.0),
     }
 }
 
-fn class(class: &Class) -> Timed {
-    Timed {
+fn class(class: &Class) -> ClassYaml {
+    ClassYaml {
         priority: class.priority,
         weight: class.weight,
         deadline: duration(class.deadline),
